--- a/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
+++ b/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
@@ -21,7 +21,7 @@
 import org.yuccagw.adapters.telemetry.Metrics;
 import org.yuccagw.adapters.telemetry.TracedHop;
 import org.yuccagw.adapters.telemetry.Traces;
-import org.yuccagw.core.cache.StoresAsked;
+import org.yuccagw.core.cache.StoresRequested;
 import org.yuccagw.core.control.ControlInput;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.error.ErrorKind;
@@ -194,7 +194,7 @@
     }
 
     private void stores(AdminCall call) {
-        input.offer(new StoresAsked(known -> call.reply(views.stores(known))));
+        input.offer(new StoresRequested(known -> call.reply(views.stores(known))));
     }
 
     private void drain(AdminCall call) {
--- a/src/main/java/org/yuccagw/adapters/admin/CatalogueCalls.java
+++ b/src/main/java/org/yuccagw/adapters/admin/CatalogueCalls.java
@@ -9,9 +9,9 @@
 import org.yuccagw.adapters.settings.CatalogueJson;
 import org.yuccagw.core.catalogue.AcceptedEdit;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
-import org.yuccagw.core.catalogue.CatalogueHistoryAsked;
-import org.yuccagw.core.catalogue.CatalogueRevisionAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
+import org.yuccagw.core.catalogue.CatalogueHistoryRequested;
+import org.yuccagw.core.catalogue.CatalogueRevisionRequested;
 import org.yuccagw.core.control.ControlInput;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.error.ErrorKind;
@@ -47,10 +47,10 @@
             answer(call, SnapshotViews.catalogue(snapshots.get()));
             return;
         }
-        input.offer(new CatalogueRevisionAsked(call.number("revision", revision.get()), result -> {
-            if (result instanceof CatalogueRevisionAsked.Result.Found found) {
+        input.offer(new CatalogueRevisionRequested(call.number("revision", revision.get()), result -> {
+            if (result instanceof CatalogueRevisionRequested.Result.Found found) {
                 answer(call, found.catalogue());
-            } else if (result instanceof CatalogueRevisionAsked.Result.Refused refused) {
+            } else if (result instanceof CatalogueRevisionRequested.Result.Refused refused) {
                 call.refuse(refused.error());
             }
         }));
@@ -62,20 +62,20 @@
                 .filter(id -> !id.isBlank())
                 .orElseThrow(() -> ErrorKind.WRONG_FIELD.raise("edit", "add ?edit=ID with an id of your own"));
         Catalogue wanted = json.decode(call.body());
-        input.offer(new CatalogueEditAsked(wanted.revision(), wanted, editId, call.operator(), result -> {
-            if (result instanceof CatalogueEditAsked.Result.Accepted accepted) {
+        input.offer(new CatalogueEditRequested(wanted.revision(), wanted, editId, call.operator(), result -> {
+            if (result instanceof CatalogueEditRequested.Result.Accepted accepted) {
                 call.reply(MAPPER.createObjectNode().put("revision", accepted.revision()));
-            } else if (result instanceof CatalogueEditAsked.Result.Refused refused) {
+            } else if (result instanceof CatalogueEditRequested.Result.Refused refused) {
                 call.refuse(refused.error());
             }
         }));
     }
 
     void history(AdminCall call) {
-        input.offer(new CatalogueHistoryAsked(result -> {
-            if (result instanceof CatalogueHistoryAsked.Result.History history) {
+        input.offer(new CatalogueHistoryRequested(result -> {
+            if (result instanceof CatalogueHistoryRequested.Result.History history) {
                 call.reply(write(history));
-            } else if (result instanceof CatalogueHistoryAsked.Result.Refused refused) {
+            } else if (result instanceof CatalogueHistoryRequested.Result.Refused refused) {
                 call.refuse(refused.error());
             }
         }));
@@ -85,7 +85,7 @@
         call.reply(JSON, json.encodeReadable(catalogue).getBytes(StandardCharsets.UTF_8));
     }
 
-    private static ObjectNode write(CatalogueHistoryAsked.Result.History history) {
+    private static ObjectNode write(CatalogueHistoryRequested.Result.History history) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode edits = root.putArray("edits");
         for (AcceptedEdit edit : history.edits()) {
--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import org.yuccagw.core.admission.AdmissionSnapshot;
-import org.yuccagw.core.cache.StoresAsked;
+import org.yuccagw.core.cache.StoresRequested;
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.claim.ClaimsSnapshot;
 import org.yuccagw.core.control.ControlSnapshot;
@@ -106,14 +106,14 @@
         return root;
     }
 
-    ObjectNode stores(List<StoresAsked.StoreStatus> known) {
+    ObjectNode stores(List<StoresRequested.StoreStatus> known) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode stores = root.putArray("stores");
         known.forEach(store -> writeStore(store, stores.addObject()));
         return root;
     }
 
-    private static void writeStore(StoresAsked.StoreStatus store, ObjectNode node) {
+    private static void writeStore(StoresRequested.StoreStatus store, ObjectNode node) {
         node.put("store", store.store().value());
         node.put("usable", store.usable());
         node.put("memory_used_bytes", store.memory().used());
--- a/src/main/java/org/yuccagw/adapters/cache/CacheActions.java
+++ b/src/main/java/org/yuccagw/adapters/cache/CacheActions.java
@@ -13,8 +13,8 @@
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.CacheOrder;
 import org.yuccagw.core.cache.CacheOrder.StoreAddress;
-import org.yuccagw.core.cache.ReplicaNews;
-import org.yuccagw.core.cache.StoreNews;
+import org.yuccagw.core.cache.EngineCacheUpdate;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
 import org.yuccagw.core.control.ControlEvent;
@@ -55,13 +55,13 @@
             ask(
                     HttpQuery.get(read.address(), "/v1/cache/events?after=" + read.after()),
                     answer -> CacheJson.events(read.endpoint(), answer),
-                    reason -> new ReplicaNews.ReadFailed(read.endpoint()),
+                    reason -> new EngineCacheUpdate.ReadFailed(read.endpoint()),
                     input);
         } else if (order instanceof CacheOrder.ReadCacheSnapshot read) {
             ask(
                     HttpQuery.get(read.address(), "/v1/cache/snapshot"),
                     answer -> CacheJson.snapshot(read.endpoint(), answer),
-                    reason -> new ReplicaNews.ReadFailed(read.endpoint()),
+                    reason -> new EngineCacheUpdate.ReadFailed(read.endpoint()),
                     input);
         } else if (order instanceof CacheOrder.PrefetchBlocks prefetch) {
             imports.prefetch(prefetch);
@@ -113,13 +113,13 @@
                 .withTimeouts(CONNECT, export.deadline());
         ask(
                 query,
-                answer -> new ReplicaNews.ExportEnded(
+                answer -> new EngineCacheUpdate.ExportEnded(
                         export.number(),
                         export.endpoint().id(),
                         CacheJson.exported(answer, export.blocks()),
                         answer.path("full").asBoolean(),
                         Optional.empty()),
-                reason -> new ReplicaNews.ExportEnded(
+                reason -> new EngineCacheUpdate.ExportEnded(
                         export.number(), export.endpoint().id(), List.of(), false, Optional.of(reason)),
                 input);
     }
@@ -130,11 +130,11 @@
         HttpQuery query = HttpQuery.json("POST", lookUp.store().address(), "/v1/lookup", CacheJson.write(body));
         send(query, result -> {
             if (result.failure().isPresent()) {
-                input.offer(new StoreNews.Failed(
+                input.offer(new StoreUpdate.Failed(
                         lookUp.store().id(), result.failure().get()));
             }
             // The asking part waits for one answer from each store, also from one that failed.
-            input.offer(new StoreNews.BlocksFound(
+            input.offer(new StoreUpdate.BlocksFound(
                     lookUp.number(),
                     lookUp.store().id(),
                     result.body()
@@ -148,7 +148,7 @@
         askStore(
                 read.store(),
                 path,
-                answer -> new StoreNews.PageRead(read.store().id(), CacheJson.found(answer.path("found"))),
+                answer -> new StoreUpdate.PageRead(read.store().id(), CacheJson.found(answer.path("found"))),
                 input);
     }
 
@@ -163,12 +163,13 @@
                                         "/v1/blocks/" + block.key() + "/move?generation=" + block.generation()
                                                 + "&tier=" + move.tier().text()),
                                 done))
-                .run(moved -> input.offer(new StoreNews.BlocksMoved(move.store().id(), move.tier(), moved)));
+                .run(moved ->
+                        input.offer(new StoreUpdate.BlocksMoved(move.store().id(), move.tier(), moved)));
     }
 
     private void askStore(
             StoreAddress store, String path, Function<JsonNode, ControlEvent> outcome, ControlInput input) {
-        ask(HttpQuery.get(store.address(), path), outcome, reason -> new StoreNews.Failed(store.id(), reason), input);
+        ask(HttpQuery.get(store.address(), path), outcome, reason -> new StoreUpdate.Failed(store.id(), reason), input);
     }
 
     private void ask(
--- a/src/main/java/org/yuccagw/adapters/cache/CacheJson.java
+++ b/src/main/java/org/yuccagw/adapters/cache/CacheJson.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import java.util.Optional;
 import org.yuccagw.core.cache.BlockKey;
+import org.yuccagw.core.cache.EngineCacheUpdate;
 import org.yuccagw.core.cache.ReplicaIndex;
-import org.yuccagw.core.cache.ReplicaNews;
-import org.yuccagw.core.cache.StoreNews;
 import org.yuccagw.core.cache.StoreTier;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.StoreId;
@@ -68,7 +68,7 @@
         return array;
     }
 
-    static ReplicaNews.EventsRead events(EndpointId endpoint, JsonNode answer) {
+    static EngineCacheUpdate.EventsRead events(EndpointId endpoint, JsonNode answer) {
         List<ReplicaIndex.Event> events = new ArrayList<>();
         for (JsonNode event : answer.path("events")) {
             events.add(new ReplicaIndex.Event(
@@ -76,12 +76,13 @@
                     event.path("kind").asText().equals("stored"),
                     readKeys(event.path("blocks"))));
         }
-        return new ReplicaNews.EventsRead(endpoint, answer.path("sequence").asLong(), events);
+        return new EngineCacheUpdate.EventsRead(
+                endpoint, answer.path("sequence").asLong(), events);
     }
 
-    static ReplicaNews.SnapshotRead snapshot(EndpointId endpoint, JsonNode answer) {
+    static EngineCacheUpdate.SnapshotRead snapshot(EndpointId endpoint, JsonNode answer) {
         String version = answer.path("version").asText();
-        return new ReplicaNews.SnapshotRead(
+        return new EngineCacheUpdate.SnapshotRead(
                 endpoint,
                 answer.path("sequence").asLong(),
                 version.isBlank() ? Optional.empty() : Optional.of(WeightVersion.of(version)),
@@ -103,10 +104,10 @@
         return asked.stream().filter(byKey::containsKey).map(byKey::get).toList();
     }
 
-    static List<ReplicaNews.FailedBlock> failed(JsonNode answer) {
-        List<ReplicaNews.FailedBlock> failed = new ArrayList<>();
+    static List<EngineCacheUpdate.FailedBlock> failed(JsonNode answer) {
+        List<EngineCacheUpdate.FailedBlock> failed = new ArrayList<>();
         for (JsonNode block : answer.path("failed")) {
-            failed.add(new ReplicaNews.FailedBlock(
+            failed.add(new EngineCacheUpdate.FailedBlock(
                     BlockKey.parse(block.path("key").asText()),
                     importFailure(block.path("reason").asText())));
         }
@@ -114,37 +115,37 @@
     }
 
     /** Sealed blocks with their tiers, of a lookup or a page. */
-    static List<StoreNews.Found> found(JsonNode blocks) {
-        List<StoreNews.Found> found = new ArrayList<>();
+    static List<StoreUpdate.Found> found(JsonNode blocks) {
+        List<StoreUpdate.Found> found = new ArrayList<>();
         for (JsonNode block : blocks) {
-            found.add(new StoreNews.Found(
+            found.add(new StoreUpdate.Found(
                     storedBlock(block), StoreTier.of(block.path("tier").asText())));
         }
         return found;
     }
 
-    static StoreNews.StatusRead status(StoreId store, JsonNode answer) {
-        return new StoreNews.StatusRead(
+    static StoreUpdate.StatusRead status(StoreId store, JsonNode answer) {
+        return new StoreUpdate.StatusRead(
                 store,
                 usage(answer.path("memory")),
                 usage(answer.path("disk")),
                 answer.path("link_bytes_per_second").asDouble() / MILLIS_PER_SECOND);
     }
 
-    static StoreNews.UnsealedRead unsealed(StoreId store, JsonNode answer) {
-        List<StoreNews.Unsealed> blocks = new ArrayList<>();
+    static StoreUpdate.UnsealedRead unsealed(StoreId store, JsonNode answer) {
+        List<StoreUpdate.Unsealed> blocks = new ArrayList<>();
         for (JsonNode block : answer.path("blocks")) {
-            blocks.add(new StoreNews.Unsealed(
+            blocks.add(new StoreUpdate.Unsealed(
                     BlockKey.parse(block.path("key").asText()),
                     block.path("generation").asLong(),
                     block.path("writer").asText(),
                     block.path("age").asLong()));
         }
-        return new StoreNews.UnsealedRead(store, blocks);
+        return new StoreUpdate.UnsealedRead(store, blocks);
     }
 
-    private static StoreNews.Usage usage(JsonNode tier) {
-        return new StoreNews.Usage(
+    private static StoreUpdate.Usage usage(JsonNode tier) {
+        return new StoreUpdate.Usage(
                 tier.path("used").asLong(), tier.path("capacity").asLong());
     }
 
@@ -156,11 +157,11 @@
                 block.path("checksum").asLong());
     }
 
-    private static ReplicaNews.ImportFailure importFailure(String reason) {
+    private static EngineCacheUpdate.ImportFailure importFailure(String reason) {
         try {
-            return ReplicaNews.ImportFailure.valueOf(reason.toUpperCase(Locale.ROOT));
+            return EngineCacheUpdate.ImportFailure.valueOf(reason.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            return ReplicaNews.ImportFailure.STORE;
+            return EngineCacheUpdate.ImportFailure.STORE;
         }
     }
 
--- a/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
+++ b/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
@@ -17,9 +17,9 @@
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.CacheOrder;
-import org.yuccagw.core.cache.ReplicaNews;
-import org.yuccagw.core.cache.ReplicaNews.FailedBlock;
-import org.yuccagw.core.cache.ReplicaNews.ImportFailure;
+import org.yuccagw.core.cache.EngineCacheUpdate;
+import org.yuccagw.core.cache.EngineCacheUpdate.FailedBlock;
+import org.yuccagw.core.cache.EngineCacheUpdate.ImportFailure;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.control.ControlInput;
 import org.yuccagw.core.endpoint.EndpointStatus;
@@ -113,12 +113,12 @@
 
     private void end(Job job, Running entry, HttpAnswer answer, Throwable failure, long millis) {
         remove(entry);
-        ReplicaNews.ImportEnded ended = read(job, answer, failure, millis);
+        EngineCacheUpdate.ImportEnded ended = read(job, answer, failure, millis);
         input.offer(ended);
         entry.outcome().complete(new ImportOutcome(ended.imported(), ended.bytes(), millis));
     }
 
-    private static ReplicaNews.ImportEnded read(Job job, HttpAnswer answer, Throwable failure, long millis) {
+    private static EngineCacheUpdate.ImportEnded read(Job job, HttpAnswer answer, Throwable failure, long millis) {
         if (failure != null) {
             return none(job, millis, ImportFailure.LATE);
         }
@@ -128,7 +128,7 @@
         }
         try {
             JsonNode body = CacheJson.read(answer.body());
-            return new ReplicaNews.ImportEnded(
+            return new EngineCacheUpdate.ImportEnded(
                     job.endpoint().id(),
                     job.store(),
                     job.blocks(),
@@ -141,11 +141,11 @@
         }
     }
 
-    private static ReplicaNews.ImportEnded none(Job job, long millis, ImportFailure reason) {
+    private static EngineCacheUpdate.ImportEnded none(Job job, long millis, ImportFailure reason) {
         List<FailedBlock> failed = job.blocks().stream()
                 .map(block -> new FailedBlock(block.key(), reason))
                 .toList();
-        return new ReplicaNews.ImportEnded(job.endpoint().id(), job.store(), job.blocks(), 0, 0, millis, failed);
+        return new EngineCacheUpdate.ImportEnded(job.endpoint().id(), job.store(), job.blocks(), 0, 0, millis, failed);
     }
 
     private synchronized Optional<Running> find(EndpointId endpoint, List<StoredBlock> blocks) {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
@@ -20,14 +20,14 @@
 import org.yuccagw.adapters.http.HttpCall;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
-import org.yuccagw.core.admission.AdmissionAsked;
+import org.yuccagw.core.admission.AdmissionRequested;
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.catalogue.RequestClass;
 import org.yuccagw.core.catalogue.Service;
 import org.yuccagw.core.catalogue.Workspace;
-import org.yuccagw.core.claim.ClaimAsked;
 import org.yuccagw.core.claim.ClaimDecision;
+import org.yuccagw.core.claim.ClaimRequested;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.endpoint.EndpointStatus;
 import org.yuccagw.core.error.YuccagwException;
@@ -35,7 +35,7 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.id.WeightVersion;
-import org.yuccagw.core.quarantine.QuarantineAsked;
+import org.yuccagw.core.quarantine.QuarantineRequested;
 import org.yuccagw.core.request.AnswerHead;
 import org.yuccagw.core.request.AttemptFailure;
 import org.yuccagw.core.request.RequestEffects;
@@ -46,7 +46,7 @@
 import org.yuccagw.core.retry.RetryDecision;
 import org.yuccagw.core.routing.AttemptReport;
 import org.yuccagw.core.routing.ImportPlan;
-import org.yuccagw.core.routing.RouteAsked;
+import org.yuccagw.core.routing.RouteRequested;
 
 /**
  * Carries out what the request machine asks, on the I/O thread of the caller's exchange: questions to the control core
@@ -174,7 +174,7 @@
         long answerTokens =
                 target.engineBody().map(body -> (long) body.maxTokens()).orElse(0L);
         services.control()
-                .offer(new AdmissionAsked(
+                .offer(new AdmissionRequested(
                         profile.request(),
                         profile.workspace(),
                         profile.service(),
@@ -191,7 +191,7 @@
     public void askClaim() {
         spans.begin("claim");
         services.control()
-                .offer(new ClaimAsked(
+                .offer(new ClaimRequested(
                         profile.claim().orElseThrow(),
                         decision -> onThread(() -> {
                             spans.note("claim", "decision", decision.getClass().getSimpleName());
@@ -203,14 +203,14 @@
     @Override
     public void askQuarantine() {
         services.control()
-                .offer(new QuarantineAsked(
+                .offer(new QuarantineRequested(
                         profile.fingerprint(), verdict -> onThread(() -> machine.onVerdict(verdict))));
     }
 
     @Override
     public void askRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
         spans.begin("route");
-        RouteAsked.Question question = new RouteAsked.Question(
+        RouteRequested.Question question = new RouteRequested.Question(
                 profile.request(),
                 profile.workspace(),
                 profile.service(),
@@ -221,11 +221,11 @@
                 target.engineBody().map(body -> (long) body.maxTokens()).orElse(0L),
                 excluded,
                 alone);
-        services.control().offer(new RouteAsked(question, routed -> onThread(() -> onRouted(routed))));
+        services.control().offer(new RouteRequested(question, routed -> onThread(() -> onRouted(routed))));
     }
 
-    private void onRouted(RouteAsked.Answer routed) {
-        if (routed instanceof RouteAsked.Answer.Chosen chosen) {
+    private void onRouted(RouteRequested.Answer routed) {
+        if (routed instanceof RouteRequested.Answer.Chosen chosen) {
             spans.note("route", "endpoint", chosen.endpoint().id().value());
             spans.explain(chosen.explanation());
         }
--- a/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
@@ -373,11 +373,11 @@
                         exchange,
                         catalogue,
                         workspace,
-                        ResumeAsked.of(asked, services.settings().tokenKeys()));
+                        ResumeRequested.of(asked, services.settings().tokenKeys()));
             });
             return;
         }
-        ResumeAsked asked = ResumeAsked.of(
+        ResumeRequested asked = ResumeRequested.of(
                 exchange.getQueryParameters(), services.settings().tokenKeys());
         exchange.dispatch(io.undertow.util.SameThreadExecutor.INSTANCE, () -> {
             try {
@@ -396,7 +396,7 @@
         }
     }
 
-    private void resumeAt(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, ResumeAsked asked)
+    private void resumeAt(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, ResumeRequested asked)
             throws YuccagwException {
         ResumeToken token = asked.token();
         if (!token.workspace().equals(workspace.id())) {
--- a/src/main/java/org/yuccagw/adapters/caller/ResumeAsked.java
+++ b/src/main/java/org/yuccagw/adapters/caller/ResumeRequested.java
@@ -24,16 +24,16 @@
  * @param text their text
  * @param body the body of the first request
  */
-record ResumeAsked(
+record ResumeRequested(
         ResumeToken token, long from, Optional<String> text, Optional<EngineBody> body, byte[] originalBody) {
 
-    static ResumeAsked of(Map<String, Deque<String>> query, List<String> keys) throws YuccagwException {
+    static ResumeRequested of(Map<String, Deque<String>> query, List<String> keys) throws YuccagwException {
         ResumeToken token = ResumeToken.verify(require(query, "token"), keys);
         long from = parseFrom(require(query, "from"));
-        return new ResumeAsked(token, from, Optional.empty(), Optional.empty(), new byte[0]);
+        return new ResumeRequested(token, from, Optional.empty(), Optional.empty(), new byte[0]);
     }
 
-    static ResumeAsked of(JsonNode body, List<String> keys) throws YuccagwException {
+    static ResumeRequested of(JsonNode body, List<String> keys) throws YuccagwException {
         ResumeToken token = ResumeToken.verify(body.path("token").asText(), keys);
         long from = parseFrom(body.path("from").asText());
         if (!body.path("text").isTextual() || !body.path("request").isObject()) {
@@ -41,7 +41,8 @@
         }
         byte[] original = body.path("request").toString().getBytes(StandardCharsets.UTF_8);
         EngineBody request = EngineBody.read(original, token.chat());
-        return new ResumeAsked(token, from, Optional.of(body.path("text").textValue()), Optional.of(request), original);
+        return new ResumeRequested(
+                token, from, Optional.of(body.path("text").textValue()), Optional.of(request), original);
     }
 
     PromptFingerprint fingerprint(WorkspaceId workspace) {
--- a/src/main/java/org/yuccagw/adapters/peer/CacheCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/CacheCodec.java
@@ -6,8 +6,8 @@
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.BlocksPlaced;
 import org.yuccagw.core.cache.PromptScope;
-import org.yuccagw.core.cache.StoreNews;
 import org.yuccagw.core.cache.StoreTier;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
@@ -39,7 +39,7 @@
                 .setService(placed.scope().service().value())
                 .setVersion(placed.scope().version().value())
                 .setStartDepth(placed.startDepth());
-        for (StoreNews.Found found : placed.blocks()) {
+        for (StoreUpdate.Found found : placed.blocks()) {
             body.addPlacements(CachePlacement.newBuilder()
                     .setKeyHigh(found.block().key().high())
                     .setKeyLow(found.block().key().low())
@@ -75,8 +75,8 @@
         }
     }
 
-    private static List<StoreNews.Found> found(CacheMessage body) {
-        List<StoreNews.Found> blocks = new ArrayList<>();
+    private static List<StoreUpdate.Found> found(CacheMessage body) {
+        List<StoreUpdate.Found> blocks = new ArrayList<>();
         for (CachePlacement placement : body.getPlacementsList()) {
             if (placement.getLength() <= 0 || body.getStartDepth() < 0) {
                 throw new IllegalArgumentException("a cache block needs a length above 0 and a depth of at least 0");
@@ -86,7 +86,7 @@
                     placement.getGeneration(),
                     placement.getLength(),
                     placement.getChecksum());
-            blocks.add(new StoreNews.Found(block, placement.getTier() == 0 ? StoreTier.MEMORY : StoreTier.DISK));
+            blocks.add(new StoreUpdate.Found(block, placement.getTier() == 0 ? StoreTier.MEMORY : StoreTier.DISK));
         }
         return blocks;
     }
--- a/src/main/java/org/yuccagw/adapters/peer/CatalogueNewsCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/CatalogueUpdateCodec.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.ByteString;
 import java.util.Optional;
-import org.yuccagw.core.catalogue.CatalogueNews;
+import org.yuccagw.core.catalogue.CatalogueUpdate;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.port.PeerMessage;
@@ -10,25 +10,25 @@
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
 /** Messages of the catalogue part. */
-public final class CatalogueNewsCodec implements BodyCodec {
+public final class CatalogueUpdateCodec implements BodyCodec {
     private static final int WHOLE = 0;
     private static final int ASK = 1;
     private static final int DELTA = 2;
 
-    private CatalogueNewsCodec() {}
+    private CatalogueUpdateCodec() {}
 
-    public static CatalogueNewsCodec of() {
-        return new CatalogueNewsCodec();
+    public static CatalogueUpdateCodec of() {
+        return new CatalogueUpdateCodec();
     }
 
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
         CatalogueMessage.Builder body = CatalogueMessage.newBuilder();
-        if (message instanceof CatalogueNews.Whole whole) {
+        if (message instanceof CatalogueUpdate.Whole whole) {
             body.setKind(WHOLE).setRevision(whole.revision()).setDocument(ByteString.copyFrom(whole.document()));
-        } else if (message instanceof CatalogueNews.Ask ask) {
+        } else if (message instanceof CatalogueUpdate.Ask ask) {
             body.setKind(ASK).setRevision(ask.revision());
-        } else if (message instanceof CatalogueNews.Delta delta) {
+        } else if (message instanceof CatalogueUpdate.Delta delta) {
             body.setKind(DELTA)
                     .setRevision(delta.revision())
                     .setBaseRevision(delta.baseRevision())
@@ -49,9 +49,9 @@
         byte[] document = body.getDocument().toByteArray();
         return Optional.of(
                 switch (body.getKind()) {
-                    case WHOLE -> new CatalogueNews.Whole(body.getRevision(), document);
-                    case ASK -> new CatalogueNews.Ask(body.getRevision());
-                    case DELTA -> new CatalogueNews.Delta(body.getRevision(), body.getBaseRevision(), document);
+                    case WHOLE -> new CatalogueUpdate.Whole(body.getRevision(), document);
+                    case ASK -> new CatalogueUpdate.Ask(body.getRevision());
+                    case DELTA -> new CatalogueUpdate.Delta(body.getRevision(), body.getBaseRevision(), document);
                     default ->
                         throw ErrorKind.PEER_MESSAGE_INVALID.raise(
                                 envelope.getFrom(), "catalogue: unknown kind " + body.getKind());
--- a/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.ByteString;
 import java.util.Optional;
 import org.yuccagw.core.follow.FollowMessage;
-import org.yuccagw.core.placing.BreakSeen;
+import org.yuccagw.core.placing.BreakReported;
 import org.yuccagw.core.port.KeyValueAnswer.Item;
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.wire.PeerProtocol;
@@ -34,10 +34,10 @@
             envelope.setFollow(encode(tell));
             return true;
         }
-        if (message instanceof BreakSeen seen) {
+        if (message instanceof BreakReported reported) {
             envelope.setBreakSeen(BreakMessage.newBuilder()
-                    .setFingerprint(seen.fingerprint())
-                    .setEndpoint(EndpointStarts.encode(seen.endpoint())));
+                    .setFingerprint(reported.fingerprint())
+                    .setEndpoint(EndpointStarts.encode(reported.endpoint())));
             return true;
         }
         return false;
@@ -65,7 +65,7 @@
     public Optional<PeerMessage> decode(Envelope envelope) {
         if (envelope.hasBreakSeen()) {
             BreakMessage wire = envelope.getBreakSeen();
-            return Optional.of(new BreakSeen(wire.getFingerprint(), EndpointStarts.decode(wire.getEndpoint())));
+            return Optional.of(new BreakReported(wire.getFingerprint(), EndpointStarts.decode(wire.getEndpoint())));
         }
         if (!envelope.hasFollow()) {
             return Optional.empty();
--- a/src/main/java/org/yuccagw/adapters/peer/NoticeCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/NoticeCodec.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.Optional;
-import org.yuccagw.core.notice.EndpointNews;
+import org.yuccagw.core.notice.EndpointUpdate;
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.wire.PeerProtocol.EndpointNewsMessage;
 import org.yuccagw.wire.PeerProtocol.Envelope;
@@ -17,13 +17,13 @@
 
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
-        if (!(message instanceof EndpointNews news)) {
+        if (!(message instanceof EndpointUpdate update)) {
             return false;
         }
         envelope.setEndpointNews(EndpointNewsMessage.newBuilder()
-                .setEndpoint(EndpointStarts.encode(news.endpoint()))
-                .setLeaving(news.leaving())
-                .setBackOffMillis(news.backOff().orElse(Duration.ZERO).toMillis()));
+                .setEndpoint(EndpointStarts.encode(update.endpoint()))
+                .setLeaving(update.leaving())
+                .setBackOffMillis(update.backOff().orElse(Duration.ZERO).toMillis()));
         return true;
     }
 
@@ -36,6 +36,6 @@
         Optional<Duration> backOff = wire.getBackOffMillis() > 0
                 ? Optional.of(Duration.ofMillis(wire.getBackOffMillis()))
                 : Optional.empty();
-        return Optional.of(new EndpointNews(EndpointStarts.decode(wire.getEndpoint()), wire.getLeaving(), backOff));
+        return Optional.of(new EndpointUpdate(EndpointStarts.decode(wire.getEndpoint()), wire.getLeaving(), backOff));
     }
 }
--- a/src/main/java/org/yuccagw/adapters/peer/PlacementCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/PlacementCodec.java
@@ -12,8 +12,8 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.WorkspaceId;
 import org.yuccagw.core.placing.AttemptEnded;
-import org.yuccagw.core.placing.PlaceAsked;
 import org.yuccagw.core.placing.PlacementMessage;
+import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
@@ -159,7 +159,7 @@
                 wire.hasPrompt() ? Optional.of(decode(wire.getPrompt())) : Optional.empty(),
                 wire.getFingerprint(),
                 wire.getExcludedList().stream().map(EndpointId::of).collect(ImmutableSet.toImmutableSet()),
-                PlaceAsked.Kind.valueOf(wire.getKind()),
+                PlacementRequest.Kind.valueOf(wire.getKind()),
                 positive(wire.getPinned()),
                 wire.getLeftMillis());
     }
--- a/src/main/java/org/yuccagw/adapters/peer/RateLimitCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/RateLimitCodec.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.yuccagw.core.notice.RateLimit;
 import org.yuccagw.core.port.PeerMessage;
-import org.yuccagw.core.ratelimit.RateLimitNews;
+import org.yuccagw.core.ratelimit.RateLimitUpdate;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.RateLimitMessage;
 
@@ -17,14 +17,14 @@
 
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
-        if (!(message instanceof RateLimitNews news)) {
+        if (!(message instanceof RateLimitUpdate update)) {
             return false;
         }
         envelope.setRateLimit(RateLimitMessage.newBuilder()
-                .setEndpoint(EndpointStarts.encode(news.endpoint()))
-                .setLimited(news.limit().isPresent())
-                .setPerSecond(news.limit().map(RateLimit::perSecond).orElse(0.0))
-                .setAgeMillis(news.ageMillis()));
+                .setEndpoint(EndpointStarts.encode(update.endpoint()))
+                .setLimited(update.limit().isPresent())
+                .setPerSecond(update.limit().map(RateLimit::perSecond).orElse(0.0))
+                .setAgeMillis(update.ageMillis()));
         return true;
     }
 
@@ -35,6 +35,6 @@
         }
         RateLimitMessage wire = envelope.getRateLimit();
         Optional<RateLimit> limit = wire.getLimited() ? RateLimit.of(wire.getPerSecond()) : Optional.empty();
-        return Optional.of(new RateLimitNews(EndpointStarts.decode(wire.getEndpoint()), limit, wire.getAgeMillis()));
+        return Optional.of(new RateLimitUpdate(EndpointStarts.decode(wire.getEndpoint()), limit, wire.getAgeMillis()));
     }
 }
--- a/src/main/java/org/yuccagw/adapters/peer/StatusCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/StatusCodec.java
@@ -11,8 +11,8 @@
 import org.yuccagw.core.peers.DomainDigest;
 import org.yuccagw.core.peers.PeerStatus;
 import org.yuccagw.core.peers.Roster;
-import org.yuccagw.core.peers.RosterAsk;
-import org.yuccagw.core.placing.LoadNews;
+import org.yuccagw.core.peers.RosterRequest;
+import org.yuccagw.core.placing.LoadUpdate;
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.wire.PeerProtocol.Contact;
 import org.yuccagw.wire.PeerProtocol.DigestMessage;
@@ -34,13 +34,13 @@
 
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
-        if (message instanceof LoadNews news) {
-            envelope.setLoadNews(encode(news.load()));
+        if (message instanceof LoadUpdate update) {
+            envelope.setLoadNews(encode(update.load()));
             return true;
         }
-        if (message instanceof RosterAsk ask) {
+        if (message instanceof RosterRequest request) {
             envelope.setRosterAsk(
-                    RosterAskMessage.newBuilder().setDomain(ask.domain().value()));
+                    RosterAskMessage.newBuilder().setDomain(request.domain().value()));
             return true;
         }
         if (message instanceof DomainDigest digest) {
@@ -129,11 +129,11 @@
     @Override
     public Optional<PeerMessage> decode(Envelope envelope) {
         if (envelope.hasLoadNews()) {
-            return Optional.of(new LoadNews(decode(envelope.getLoadNews())));
+            return Optional.of(new LoadUpdate(decode(envelope.getLoadNews())));
         }
         if (envelope.hasRosterAsk()) {
             return Optional.of(
-                    new RosterAsk(FailureDomain.of(envelope.getRosterAsk().getDomain())));
+                    new RosterRequest(FailureDomain.of(envelope.getRosterAsk().getDomain())));
         }
         if (envelope.hasDigest()) {
             return Optional.of(decode(envelope.getDigest()));
--- a/src/main/java/org/yuccagw/adapters/serving/Dialect.java
+++ b/src/main/java/org/yuccagw/adapters/serving/Dialect.java
@@ -10,7 +10,7 @@
 import org.yuccagw.core.forward.AnswerStart;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
 
 /** How callers and endpoints spell what they say; it decides nothing. */
 public interface Dialect {
@@ -25,7 +25,7 @@
     HeaderMap attemptHeaders(
             CallerHead head,
             Optional<WorkspaceAccess> workspace,
-            PlaceDecision.Placed placed,
+            PlacementDecision.Placed placed,
             Duration left,
             long afterEvent);
 
--- a/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
@@ -27,12 +27,12 @@
 import org.yuccagw.core.forward.ForwardMachine.TimerKind;
 import org.yuccagw.core.forward.ForwardRequest;
 import org.yuccagw.core.id.EndpointId;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
 import org.yuccagw.core.placing.AttemptEnded.End;
-import org.yuccagw.core.placing.PlaceAsked;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest;
 
 /** One request: carries out what its {@link ForwardMachine} asks, on the I/O thread of the caller's connection. */
 final class ServingRun implements ForwardEffects, CallerResponse.Flow {
@@ -94,9 +94,10 @@
     }
 
     @Override
-    public void askPlace(ImmutableSet<EndpointId> excluded, PlaceAsked.Kind kind, OptionalLong pinned, Duration left) {
+    public void askPlace(
+            ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left) {
         services.control()
-                .offer(new PlaceAsked(
+                .offer(new PlacementRequest(
                         request.id(),
                         request.route(),
                         request.service(),
@@ -110,13 +111,13 @@
                         decision -> thread.execute(() -> onPlaced(decision))));
     }
 
-    private void onPlaced(PlaceDecision decision) {
+    private void onPlaced(PlacementDecision decision) {
         watch.look();
         machine.onPlaced(decision);
     }
 
     @Override
-    public void send(long leg, PlaceDecision.Placed placed, Duration left, long afterEvent, boolean fresh) {
+    public void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh) {
         HeaderMap headers = services.dialect().attemptHeaders(head, request.workspace(), placed, left, afterEvent);
         String query = exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString();
         // Once past its end the machine itself gives the leg up; this only frees what it might forget.
@@ -212,8 +213,8 @@
     }
 
     @Override
-    public void report(NoticeHeard heard) {
-        services.control().offer(heard);
+    public void report(NoticeReceived received) {
+        services.control().offer(received);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/bench/control/BenchNode.java
+++ b/src/main/java/org/yuccagw/bench/control/BenchNode.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlCore;
 import org.yuccagw.core.control.ControlCore.CallAnswered;
 import org.yuccagw.core.control.ControlCore.Effect;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.control.ControlInput;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.id.EntryId;
@@ -31,10 +31,10 @@
     private long messagesSent;
     private long busyNanos;
 
-    BenchNode(ControlBench bench, EntryIdentity identity, long seed, List<ControlPart> parts) {
+    BenchNode(ControlBench bench, EntryIdentity identity, long seed, List<ControlComponent> components) {
         this.bench = bench;
         this.identity = identity;
-        this.core = ControlCore.of(identity, new SplittableRandom(seed), parts);
+        this.core = ControlCore.of(identity, new SplittableRandom(seed), components);
         this.pausedUntilNanos = bench.time().nowNanos();
     }
 
--- a/src/main/java/org/yuccagw/bench/control/CatalogueRace.java
+++ b/src/main/java/org/yuccagw/bench/control/CatalogueRace.java
@@ -12,8 +12,8 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
-import org.yuccagw.core.catalogue.CatalogueEditAsked.Result;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
+import org.yuccagw.core.catalogue.CatalogueEditRequested.Result;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.port.KeyValueCall;
@@ -92,7 +92,7 @@
             this.rounds = rounds;
             this.lost = lost;
             for (int index = 0; index < entries; index++) {
-                nodes.add(bench.start("entry-" + index, ControlParts.all()));
+                nodes.add(bench.start("entry-" + index, ControlComponents.all()));
             }
             bench.runFor(Duration.ofSeconds(10));
         }
@@ -141,7 +141,7 @@
         }
 
         private void ask(int node, long base, Catalogue wanted, String editId, List<Result> results) {
-            nodes.get(node).offer(new CatalogueEditAsked(base, wanted, editId, "operator-" + node, results::add));
+            nodes.get(node).offer(new CatalogueEditRequested(base, wanted, editId, "operator-" + node, results::add));
         }
 
         /** An unconfirmed edit is sent again under its id until its outcome is known. */
--- a/src/main/java/org/yuccagw/bench/control/ControlBench.java
+++ b/src/main/java/org/yuccagw/bench/control/ControlBench.java
@@ -13,7 +13,7 @@
 import java.util.function.ToIntBiFunction;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
-import org.yuccagw.core.control.ControlPart;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.endpoint.PlatformListed;
@@ -34,8 +34,8 @@
  *
  * <pre>{@code
  * ControlBench bench = ControlBench.of(7);
- * BenchNode first = bench.start("entry-1", List.of(MembershipPart.of(Readiness.always())));
- * BenchNode second = bench.start("entry-2", List.of(MembershipPart.of(Readiness.always())));
+ * BenchNode first = bench.start("entry-1", List.of(MembershipComponent.of(Readiness.always())));
+ * BenchNode second = bench.start("entry-2", List.of(MembershipComponent.of(Readiness.always())));
  * bench.runFor(Duration.ofSeconds(5));
  * bench.cutOneWay(first, second);
  * }</pre>
@@ -80,11 +80,11 @@
     }
 
     /** Starts a process of an entry; one of the same name must have been killed before. */
-    public BenchNode start(String name, List<ControlPart> parts) {
-        return start(name, FailureDomain.of("ulemiste"), parts);
+    public BenchNode start(String name, List<ControlComponent> components) {
+        return start(name, FailureDomain.of("ulemiste"), components);
     }
 
-    public BenchNode start(String name, FailureDomain domain, List<ControlPart> parts) {
+    public BenchNode start(String name, FailureDomain domain, List<ControlComponent> components) {
         started++;
         int port = FIRST_PORT + (3 * started) % PORTS;
         EntryIdentity identity = new EntryIdentity(
@@ -94,7 +94,7 @@
                 NetworkAddress.of("127.0.0.1", port),
                 NetworkAddress.of("127.0.0.1", port + 1),
                 NetworkAddress.of("127.0.0.1", port + 2));
-        BenchNode node = new BenchNode(this, identity, seed * 1_000_003 + started, parts);
+        BenchNode node = new BenchNode(this, identity, seed * 1_000_003 + started, components);
         nodes.put(identity.entry(), node);
         node.start();
         return node;
--- a/src/main/java/org/yuccagw/bench/control/ControlMemory.java
+++ b/src/main/java/org/yuccagw/bench/control/ControlMemory.java
@@ -10,7 +10,7 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.endpoint.EndpointReported;
 import org.yuccagw.core.endpoint.PlatformListed;
@@ -56,7 +56,7 @@
 
     private static double kilobytes(long seed, Filling filling) {
         ControlBench bench = ControlBench.of(seed);
-        BenchNode node = bench.start("entry-0", ControlParts.all());
+        BenchNode node = bench.start("entry-0", ControlComponents.all());
         bench.runFor(Duration.ofSeconds(5));
         long before = usedHeap();
         filling.fill(bench, node);
@@ -101,7 +101,7 @@
 
     private static void addWorkspaces(ControlBench bench, BenchNode node) {
         Catalogue wanted = SampleCatalogues.ofWorkspaces(COUNT);
-        node.offer(new CatalogueEditAsked(0, wanted, "first", "mari", result -> {}));
+        node.offer(new CatalogueEditRequested(0, wanted, "first", "mari", result -> {}));
         bench.runUntil(() -> node.state(Catalogue.class).orElseThrow().revision() == 1, Duration.ofMinutes(1));
     }
 
--- a/src/main/java/org/yuccagw/bench/control/ControlSlope.java
+++ b/src/main/java/org/yuccagw/bench/control/ControlSlope.java
@@ -17,11 +17,11 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.membership.Gossip;
-import org.yuccagw.core.membership.OwnLoadTold;
+import org.yuccagw.core.membership.OwnLoadReported;
 import org.yuccagw.core.port.PeerMessage;
 
 /**
@@ -170,19 +170,19 @@
             this.random = new SplittableRandom(seed);
             EnginePool.start(
                     bench, "assistant", endpoints, SampleCatalogues.FIRST_VERSION, true, Duration.ofMillis(450));
-            PeerCodec codec = ControlParts.codec();
+            PeerCodec codec = ControlComponents.codec();
             bench.measureBytes((from, message) -> {
                 int bytes = codec.encode(from, message).length;
                 bytesByKind.merge(kindOf(message), (long) bytes, Long::sum);
                 return bytes;
             });
             for (int index = 0; index < size; index++) {
-                nodes.add(bench.start("entry-" + index, ControlParts.all()));
+                nodes.add(bench.start("entry-" + index, ControlComponents.all()));
             }
             bench.runFor(Duration.ofSeconds(20));
             Catalogue first = SampleCatalogues.withPool(
                     SampleCatalogues.ofWorkspaces(WORKSPACES), "assistant", SampleCatalogues.FIRST_VERSION, true, 3, 1);
-            nodes.get(0).offer(new CatalogueEditAsked(0, first, "first", "mari", result -> {}));
+            nodes.get(0).offer(new CatalogueEditRequested(0, first, "first", "mari", result -> {}));
             bench.runUntil(() -> lowestRevision() == 1, LIMIT);
             changeLoads();
             bench.runFor(SETTLING);
@@ -226,7 +226,8 @@
             Catalogue wanted = SampleCatalogues.withLimit(base, "workspace-7", 100 + number);
             long began = bench.time().nowNanos();
             BenchNode accepting = nodes.get(random.nextInt(nodes.size()));
-            accepting.offer(new CatalogueEditAsked(base.revision(), wanted, "edit-" + number, "mari", result -> {}));
+            accepting.offer(
+                    new CatalogueEditRequested(base.revision(), wanted, "edit-" + number, "mari", result -> {}));
             bench.runUntil(() -> lowestRevision() > base.revision(), LIMIT);
             Duration took = Duration.ofNanos(bench.time().nowNanos() - began);
             millis.recordValue(took.toMillis());
@@ -237,7 +238,7 @@
 
         private void changeLoads() {
             bench.time().after(Duration.ofSeconds(1), this::changeLoads);
-            nodes.forEach(node -> node.offer(new OwnLoadTold(random.nextInt(50))));
+            nodes.forEach(node -> node.offer(new OwnLoadReported(random.nextInt(50))));
         }
 
         /** Cheap enough to be asked after every task: it stops at the first node that lags. */
--- a/src/main/java/org/yuccagw/bench/control/KeyValueOutage.java
+++ b/src/main/java/org/yuccagw/bench/control/KeyValueOutage.java
@@ -11,11 +11,11 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.ShardNumber;
 import org.yuccagw.core.membership.DirectorySnapshot;
-import org.yuccagw.core.shard.ShardsPart;
+import org.yuccagw.core.shard.ShardsComponent;
 
 /**
  * The key-value service is down for long. Measured are who stays ready, how many calls are tried, how an entry that
@@ -64,7 +64,7 @@
     private static final class Run {
         private final ControlBench bench;
         private final int entries;
-        private final Map<String, ShardsPart> authorities = new HashMap<>();
+        private final Map<String, ShardsComponent> authorities = new HashMap<>();
 
         private Run(long seed, int entries) {
             this.bench = ControlBench.of(seed);
@@ -112,17 +112,17 @@
         }
 
         private void start(int index) {
-            ControlParts.WithShards parts = ControlParts.withShards();
+            ControlComponents.WithShards parts = ControlComponents.withShards();
             authorities.put("entry-" + index, parts.shards());
             bench.start("entry-" + index, parts.parts());
         }
 
         private double edit(long base, int limit) {
             Catalogue wanted = SampleCatalogues.withLimit(SampleCatalogues.ofWorkspaces(10), "workspace-0", limit);
-            List<CatalogueEditAsked.Result> results = new ArrayList<>();
+            List<CatalogueEditRequested.Result> results = new ArrayList<>();
             bench.node("entry-0")
                     .orElseThrow()
-                    .offer(new CatalogueEditAsked(base, wanted, "edit-" + limit, "mari", results::add));
+                    .offer(new CatalogueEditRequested(base, wanted, "edit-" + limit, "mari", results::add));
             return seconds(() -> lowestRevision() > base);
         }
 
--- a/src/main/java/org/yuccagw/bench/control/SwapUnderLoad.java
+++ b/src/main/java/org/yuccagw/bench/control/SwapUnderLoad.java
@@ -10,11 +10,11 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.WeightVersion;
-import org.yuccagw.core.shard.ShardsPart;
-import org.yuccagw.core.swap.SwapsPart;
+import org.yuccagw.core.shard.ShardsComponent;
+import org.yuccagw.core.swap.SwapsComponent;
 
 /**
  * A weight swap of a whole pool, with several limits of replicas that load at once and with an owner that dies in the
@@ -68,7 +68,7 @@
     private static final class Run {
         private final ControlBench bench;
         private final EnginePool engines;
-        private final Map<BenchNode, ShardsPart> authorities = new HashMap<>();
+        private final Map<BenchNode, ShardsComponent> authorities = new HashMap<>();
         private final int limit;
         private final int replicas;
 
@@ -79,7 +79,7 @@
             this.engines = EnginePool.start(bench, POOL, replicas, SampleCatalogues.FIRST_VERSION, true, LOAD);
             engines.feedAtOnce(fed);
             for (int index = 0; index < ENTRIES; index++) {
-                ControlParts.WithShards parts = ControlParts.withShards();
+                ControlComponents.WithShards parts = ControlComponents.withShards();
                 authorities.put(bench.start("entry-" + index, parts.parts()), parts.shards());
             }
             bench.runFor(Duration.ofSeconds(5));
@@ -108,8 +108,9 @@
                     bench.keyValue().callsByKind().getOrDefault("CompareAndSwap", 0L));
         }
 
-        private void killIfOwner(BenchNode node, ShardsPart shards) {
-            if (shards.epochIfHeld(SwapsPart.shardOf(POOL, 16), bench.time().nowNanos())
+        private void killIfOwner(BenchNode node, ShardsComponent shards) {
+            if (shards.epochIfHeld(
+                            SwapsComponent.shardOf(POOL, 16), bench.time().nowNanos())
                     .isPresent()) {
                 node.kill();
             }
@@ -120,8 +121,8 @@
             long base = node.state(Catalogue.class).orElseThrow().revision();
             Catalogue wanted =
                     SampleCatalogues.withPool(SampleCatalogues.ofWorkspaces(1), POOL, version, true, limit, 1);
-            List<CatalogueEditAsked.Result> results = new ArrayList<>();
-            node.offer(new CatalogueEditAsked(base, wanted, editId, "mari", results::add));
+            List<CatalogueEditRequested.Result> results = new ArrayList<>();
+            node.offer(new CatalogueEditRequested(base, wanted, editId, "mari", results::add));
             bench.runUntil(() -> !results.isEmpty(), LIMIT);
         }
     }
--- a/src/main/java/org/yuccagw/bench/fuzz/FuzzAdmissions.java
+++ b/src/main/java/org/yuccagw/bench/fuzz/FuzzAdmissions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import org.yuccagw.bench.control.BenchNode;
-import org.yuccagw.core.admission.AdmissionAsked;
+import org.yuccagw.core.admission.AdmissionRequested;
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.WorkspaceId;
@@ -32,7 +32,7 @@
             return;
         }
         RequestId request = RequestId.of("admitted-" + requests++);
-        node.offer(new AdmissionAsked(
+        node.offer(new AdmissionRequested(
                 request, WorkspaceId.of(WORKSPACE), ServiceName.of(FuzzWorld.POOL), CLASS, 100, 10, refusal -> {
                     if (refusal.isEmpty() && !node.isDead()) {
                         running.add(new Running(node, request));
@@ -49,7 +49,7 @@
     void release(int which) {
         if (!running.isEmpty()) {
             Running ended = running.remove(which % running.size());
-            ended.node().offer(new AdmissionAsked.Released(ended.request(), 110));
+            ended.node().offer(new AdmissionRequested.Released(ended.request(), 110));
         }
     }
 
--- a/src/main/java/org/yuccagw/bench/fuzz/FuzzCalls.java
+++ b/src/main/java/org/yuccagw/bench/fuzz/FuzzCalls.java
@@ -9,9 +9,9 @@
 import org.yuccagw.bench.control.BenchNode;
 import org.yuccagw.bench.control.ControlBench;
 import org.yuccagw.core.claim.Claim;
-import org.yuccagw.core.claim.ClaimAsked;
 import org.yuccagw.core.claim.ClaimDecision;
 import org.yuccagw.core.claim.ClaimEnded;
+import org.yuccagw.core.claim.ClaimRequested;
 import org.yuccagw.core.error.ErrorKind.Ran;
 import org.yuccagw.core.id.IdempotencyKey;
 import org.yuccagw.core.id.RequestId;
@@ -70,7 +70,7 @@
     private void call(BenchNode node, String key) {
         RequestId request = RequestId.of("request-" + requests++);
         Claim claim = new Claim(WORKSPACE, IdempotencyKey.of(key), BODY_HASH, request, node.entry());
-        node.offer(new ClaimAsked(claim, decision -> decided(node, claim, decision)));
+        node.offer(new ClaimRequested(claim, decision -> decided(node, claim, decision)));
     }
 
     private void decided(BenchNode node, Claim claim, ClaimDecision decision) {
--- a/src/main/java/org/yuccagw/bench/fuzz/FuzzPromises.java
+++ b/src/main/java/org/yuccagw/bench/fuzz/FuzzPromises.java
@@ -8,7 +8,7 @@
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.id.ShardNumber;
-import org.yuccagw.core.shard.ShardsPart;
+import org.yuccagw.core.shard.ShardsComponent;
 import org.yuccagw.core.swap.OrderEndpoint;
 
 /**
@@ -92,7 +92,7 @@
         return Optional.empty();
     }
 
-    private static boolean holds(ShardsPart shards, ShardNumber shard, long now) {
+    private static boolean holds(ShardsComponent shards, ShardNumber shard, long now) {
         return shards.epochIfHeld(shard, now).isPresent();
     }
 
--- a/src/main/java/org/yuccagw/bench/fuzz/FuzzWorld.java
+++ b/src/main/java/org/yuccagw/bench/fuzz/FuzzWorld.java
@@ -13,20 +13,20 @@
 import org.yuccagw.bench.control.ControlBench;
 import org.yuccagw.bench.control.EnginePool;
 import org.yuccagw.bench.control.SampleCatalogues;
-import org.yuccagw.core.admission.AdmissionPart;
+import org.yuccagw.core.admission.AdmissionComponent;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
-import org.yuccagw.core.catalogue.CataloguePart;
-import org.yuccagw.core.claim.ClaimPart;
+import org.yuccagw.core.catalogue.CatalogueComponent;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
+import org.yuccagw.core.claim.ClaimComponent;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
-import org.yuccagw.core.endpoint.EndpointsPart;
+import org.yuccagw.core.endpoint.EndpointsComponent;
 import org.yuccagw.core.id.WeightVersion;
-import org.yuccagw.core.membership.MembershipPart;
-import org.yuccagw.core.quarantine.QuarantinePart;
-import org.yuccagw.core.shard.ShardsPart;
-import org.yuccagw.core.swap.SwapsPart;
+import org.yuccagw.core.membership.MembershipComponent;
+import org.yuccagw.core.quarantine.QuarantineComponent;
+import org.yuccagw.core.shard.ShardsComponent;
+import org.yuccagw.core.swap.SwapsComponent;
 
 /**
  * Four entries' control cores with everything that they decide together, one pool of engines, callers and operators, in
@@ -45,7 +45,7 @@
 
     private final ControlBench bench;
     private final EnginePool engines;
-    private final Map<BenchNode, ShardsPart> authorities = new LinkedHashMap<>();
+    private final Map<BenchNode, ShardsComponent> authorities = new LinkedHashMap<>();
     private final FuzzCalls calls;
     private final FuzzAdmissions admissions;
     private final List<Long> accepted = new ArrayList<>();
@@ -87,8 +87,8 @@
     }
 
     /** Living entries and the part of each that says whether it may act for a shard. */
-    Map<BenchNode, ShardsPart> authorities() {
-        Map<BenchNode, ShardsPart> living = new HashMap<>(authorities);
+    Map<BenchNode, ShardsComponent> authorities() {
+        Map<BenchNode, ShardsComponent> living = new HashMap<>(authorities);
         living.keySet().removeIf(BenchNode::isDead);
         return living;
     }
@@ -164,19 +164,19 @@
     }
 
     private void startEntry(String name) {
-        CataloguePart catalogue = CataloguePart.of(CatalogueJson.create());
-        ShardsPart shards = ShardsPart.of();
-        List<ControlPart> parts = List.of(
+        CatalogueComponent catalogue = CatalogueComponent.of(CatalogueJson.create());
+        ShardsComponent shards = ShardsComponent.of();
+        List<ControlComponent> components = List.of(
                 catalogue,
-                MembershipPart.of(catalogue),
-                EndpointsPart.of(),
+                MembershipComponent.of(catalogue),
+                EndpointsComponent.of(),
                 shards,
-                SwapsPart.of(shards),
-                ClaimPart.of(shards, shards::known, ClaimLogProtobuf.of()),
-                QuarantinePart.of(shards, shards::known),
-                AdmissionPart.of(shards, shards::known),
+                SwapsComponent.of(shards),
+                ClaimComponent.of(shards, shards::known, ClaimLogProtobuf.of()),
+                QuarantineComponent.of(shards, shards::known),
+                AdmissionComponent.of(shards, shards::known),
                 new TrafficPart());
-        authorities.put(bench.start(name, parts), shards);
+        authorities.put(bench.start(name, components), shards);
     }
 
     private static WeightVersion currentVersion(BenchNode node) {
@@ -194,8 +194,8 @@
                 SampleCatalogues.ofWorkspaces(2 + edits % 5), FuzzAdmissions.WORKSPACE, limit);
         Catalogue wanted = SampleCatalogues.withPool(changed, POOL, version, true, SWAPS_AT_ONCE, 1);
         String editId = "edit-" + edits++;
-        node.offer(new CatalogueEditAsked(base, wanted, editId, "mari", result -> {
-            if (result instanceof CatalogueEditAsked.Result.Accepted taken) {
+        node.offer(new CatalogueEditRequested(base, wanted, editId, "mari", result -> {
+            if (result instanceof CatalogueEditRequested.Result.Accepted taken) {
                 accepted.add(taken.revision());
             }
         }));
@@ -204,7 +204,7 @@
     /** Work of traffic on an entry: it waits while the process is paused, and is lost when it dies. */
     record TrafficWork(Runnable work) implements ControlEvent {}
 
-    private static final class TrafficPart implements ControlPart {
+    private static final class TrafficPart implements ControlComponent {
         @Override
         public void handle(ControlEvent event, ControlContext context) {
             if (event instanceof TrafficWork traffic) {
--- a/src/main/java/org/yuccagw/bench/local/Rehearsal.java
+++ b/src/main/java/org/yuccagw/bench/local/Rehearsal.java
@@ -11,13 +11,13 @@
 import org.yuccagw.adapters.telemetry.DecisionLog;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactCodec;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordCodec;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.daemon.GatewayDaemon;
 import org.yuccagw.platform.GatewaySettingsReader;
-import org.yuccagw.platform.PlatformFacts;
+import org.yuccagw.platform.PlatformRecords;
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
 import org.yuccagw.standins.keyvalue.KeyValueStandIn;
 import org.yuccagw.standins.platform.SmallDeployment;
@@ -93,7 +93,7 @@
                     NetworkAddress.of("127.0.0.1", 1),
                     NetworkAddress.of("127.0.0.1", 1),
                     1);
-            FactCodec.Entry entry = PlatformFacts.create().encode(new Fact.EntryListed(contact));
+            KeyValueRecordCodec.Entry entry = PlatformRecords.create().encode(new KeyValueRecord.EntryListed(contact));
             keyValue.put(entry.key(), entry.value());
         }
     }
--- a/src/main/java/org/yuccagw/bench/requests/AtMostOnce.java
+++ b/src/main/java/org/yuccagw/bench/requests/AtMostOnce.java
@@ -7,8 +7,8 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.bench.requests.KeyedCalls.Told;
+import org.yuccagw.core.claim.ClaimComponent;
 import org.yuccagw.core.claim.ClaimGuards;
-import org.yuccagw.core.claim.ClaimPart;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.port.KeyValueAnswer.Conflict;
 
@@ -103,7 +103,8 @@
         VirtualEntries entries = VirtualEntries.of(
                 seed,
                 FaultyRun.SHARDS,
-                (authority, shards) -> List.of(ClaimPart.withGuards(authority, shards, ClaimLogProtobuf.of(), guards)));
+                (authority, shards) ->
+                        List.of(ClaimComponent.withGuards(authority, shards, ClaimLogProtobuf.of(), guards)));
         FaultyRun run = FaultyRun.of(entries, seed);
         run.run(count);
         return run;
--- a/src/main/java/org/yuccagw/bench/requests/CommitCost.java
+++ b/src/main/java/org/yuccagw/bench/requests/CommitCost.java
@@ -8,7 +8,7 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.bench.requests.KeyedCalls.Attempt;
-import org.yuccagw.core.claim.ClaimPart;
+import org.yuccagw.core.claim.ClaimComponent;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.ShardNumber;
 
@@ -38,7 +38,9 @@
 
     private static void add(ExperimentReport.Builder table, int rate, long seed) {
         VirtualEntries entries = VirtualEntries.of(
-                seed, SHARDS, (authority, shards) -> List.of(ClaimPart.of(authority, shards, ClaimLogProtobuf.of())));
+                seed,
+                SHARDS,
+                (authority, shards) -> List.of(ClaimComponent.of(authority, shards, ClaimLogProtobuf.of())));
         for (int number = 0; number < ENTRIES; number++) {
             entries.start("entry-" + number);
         }
--- a/src/main/java/org/yuccagw/bench/requests/Fairness.java
+++ b/src/main/java/org/yuccagw/bench/requests/Fairness.java
@@ -12,7 +12,7 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 import org.yuccagw.bench.requests.LimitedCalls.Call;
-import org.yuccagw.core.admission.AdmissionPart;
+import org.yuccagw.core.admission.AdmissionComponent;
 import org.yuccagw.core.admission.CapacityChanged;
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.catalogue.CatalogueChanged;
@@ -98,7 +98,7 @@
     /** One run; without fair queues all requests wait as if they were of one workspace. */
     static Result measure(long seed, int seconds, int flood, boolean fair) {
         VirtualEntries entries =
-                VirtualEntries.of(seed, 1, (authority, shards) -> List.of(AdmissionPart.of(authority, shards)));
+                VirtualEntries.of(seed, 1, (authority, shards) -> List.of(AdmissionComponent.of(authority, shards)));
         EntryId entry = entries.start("entry-1");
         entries.tell(entry, new CatalogueChanged(catalogue()));
         entries.tell(entry, new CapacityChanged(SERVICE, PLACES));
--- a/src/main/java/org/yuccagw/bench/requests/KeyedCalls.java
+++ b/src/main/java/org/yuccagw/bench/requests/KeyedCalls.java
@@ -17,11 +17,11 @@
 import org.yuccagw.bench.invariant.ObservedRun;
 import org.yuccagw.bench.invariant.Violation;
 import org.yuccagw.core.claim.Claim;
-import org.yuccagw.core.claim.ClaimAsked;
 import org.yuccagw.core.claim.ClaimDecision;
 import org.yuccagw.core.claim.ClaimDecision.KeptAnswer;
 import org.yuccagw.core.claim.ClaimEnded;
 import org.yuccagw.core.claim.ClaimEnded.Outcome;
+import org.yuccagw.core.claim.ClaimRequested;
 import org.yuccagw.core.error.ErrorKind.Ran;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.IdempotencyKey;
@@ -124,7 +124,7 @@
         Claim claim = new Claim(WORKSPACE, IdempotencyKey.of(key), hash, request, entry);
         Attempt attempt = new Attempt(number, claim, entries.nowNanos());
         attempts.add(attempt);
-        entries.tell(entry, new ClaimAsked(attempt.claim, decision -> decided(attempt, decision)));
+        entries.tell(entry, new ClaimRequested(attempt.claim, decision -> decided(attempt, decision)));
         return attempt;
     }
 
--- a/src/main/java/org/yuccagw/bench/requests/LimitedCalls.java
+++ b/src/main/java/org/yuccagw/bench/requests/LimitedCalls.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.yuccagw.core.admission.AdmissionAsked;
-import org.yuccagw.core.admission.AdmissionAsked.Released;
+import org.yuccagw.core.admission.AdmissionRequested;
+import org.yuccagw.core.admission.AdmissionRequested.Released;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.RequestId;
@@ -86,15 +86,16 @@
         Call call = new Call(workspace, entries.nowNanos());
         RequestId request = RequestId.of("request-" + calls.size());
         calls.add(call);
-        entries.tell(entry, new AdmissionAsked(request, workspace, service, className, PROMPT_TOKENS, 0, refusal -> {
-            call.answeredNanos = entries.nowNanos();
-            call.refusal = refusal;
-            if (refusal.isPresent()) {
-                ended.accept(call);
-            } else {
-                run(entry, request, runs, () -> ended.accept(call));
-            }
-        }));
+        entries.tell(
+                entry, new AdmissionRequested(request, workspace, service, className, PROMPT_TOKENS, 0, refusal -> {
+                    call.answeredNanos = entries.nowNanos();
+                    call.refusal = refusal;
+                    if (refusal.isPresent()) {
+                        ended.accept(call);
+                    } else {
+                        run(entry, request, runs, () -> ended.accept(call));
+                    }
+                }));
         return call;
     }
 
--- a/src/main/java/org/yuccagw/bench/requests/VirtualEntries.java
+++ b/src/main/java/org/yuccagw/bench/requests/VirtualEntries.java
@@ -15,12 +15,12 @@
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlCore;
 import org.yuccagw.core.control.ControlCore.CallAnswered;
 import org.yuccagw.core.control.ControlCore.Effect;
 import org.yuccagw.core.control.ControlCore.Tick;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.id.EntryId;
@@ -60,7 +60,7 @@
     private final VirtualKeyValue keyValue = new VirtualKeyValue();
     private final SplittableRandom random;
     private final int shardCount;
-    private final BiFunction<ShardAuthority, Supplier<ShardsSnapshot>, List<ControlPart>> parts;
+    private final BiFunction<ShardAuthority, Supplier<ShardsSnapshot>, List<ControlComponent>> parts;
     private KeyValueFaults faults = KeyValueFaults.none();
     private long nowNanos;
     private long order;
@@ -68,7 +68,9 @@
     private long nextIncarnation = 1;
 
     private VirtualEntries(
-            long seed, int shardCount, BiFunction<ShardAuthority, Supplier<ShardsSnapshot>, List<ControlPart>> parts) {
+            long seed,
+            int shardCount,
+            BiFunction<ShardAuthority, Supplier<ShardsSnapshot>, List<ControlComponent>> parts) {
         this.random = new SplittableRandom(seed);
         this.shardCount = shardCount;
         this.parts = parts;
@@ -80,7 +82,9 @@
      * @param parts makes the parts of one entry's core
      */
     public static VirtualEntries of(
-            long seed, int shardCount, BiFunction<ShardAuthority, Supplier<ShardsSnapshot>, List<ControlPart>> parts) {
+            long seed,
+            int shardCount,
+            BiFunction<ShardAuthority, Supplier<ShardsSnapshot>, List<ControlComponent>> parts) {
         return new VirtualEntries(seed, shardCount, parts);
     }
 
@@ -129,7 +133,7 @@
 
         private Entry(EntryIdentity identity) {
             this.identity = identity;
-            List<ControlPart> own = parts.apply(this::epoch, this::shards);
+            List<ControlComponent> own = parts.apply(this::epoch, this::shards);
             this.core = ControlCore.of(identity, random.split(), own);
         }
 
--- a/src/main/java/org/yuccagw/bench/routing/StoreModel.java
+++ b/src/main/java/org/yuccagw/bench/routing/StoreModel.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.CacheOrder;
-import org.yuccagw.core.cache.StoreNews;
 import org.yuccagw.core.cache.StoreTier;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 
 /**
@@ -149,12 +149,12 @@
         return moved;
     }
 
-    StoreNews.Usage memory() {
-        return new StoreNews.Usage(memoryUsed, memoryCapacity);
+    StoreUpdate.Usage memory() {
+        return new StoreUpdate.Usage(memoryUsed, memoryCapacity);
     }
 
-    StoreNews.Usage disk() {
-        return new StoreNews.Usage(diskUsed, diskCapacity);
+    StoreUpdate.Usage disk() {
+        return new StoreUpdate.Usage(diskUsed, diskCapacity);
     }
 
     private boolean put(BlockKey key, long length) {
--- a/src/main/java/org/yuccagw/bench/routing/VirtualServing.java
+++ b/src/main/java/org/yuccagw/bench/routing/VirtualServing.java
@@ -13,12 +13,12 @@
 import org.HdrHistogram.Histogram;
 import org.yuccagw.bench.routing.PromptTrace.Arrival;
 import org.yuccagw.core.cache.BlockKey;
+import org.yuccagw.core.cache.CacheComponent;
 import org.yuccagw.core.cache.CacheOrder;
-import org.yuccagw.core.cache.CachePart;
 import org.yuccagw.core.cache.CacheSettings;
 import org.yuccagw.core.cache.CacheState;
-import org.yuccagw.core.cache.ReplicaNews;
-import org.yuccagw.core.cache.StoreNews;
+import org.yuccagw.core.cache.EngineCacheUpdate;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.control.ControlAction;
 import org.yuccagw.core.control.ControlCore;
@@ -33,9 +33,9 @@
 import org.yuccagw.core.id.WorkspaceId;
 import org.yuccagw.core.routing.AttemptReport;
 import org.yuccagw.core.routing.ImportPlan;
-import org.yuccagw.core.routing.RouteAsked;
-import org.yuccagw.core.routing.RoutePart;
+import org.yuccagw.core.routing.RouteComponent;
 import org.yuccagw.core.routing.RoutePolicies;
+import org.yuccagw.core.routing.RouteRequested;
 import org.yuccagw.standins.engine.EngineRequest;
 
 /**
@@ -90,7 +90,7 @@
         this.core = ControlCore.of(
                 self,
                 new SplittableRandom(seed),
-                List.of(CachePart.of(state), RoutePart.of(RoutePolicies.byName(policy), state)));
+                List.of(CacheComponent.of(state), RouteComponent.of(RoutePolicies.byName(policy), state)));
     }
 
     static VirtualServing of(Deployment deployment, PromptTrace trace, Scenario scenario, String policy, long seed) {
@@ -189,7 +189,7 @@
 
     private void ask(Arrival arrival) {
         ImmutableList<BlockKey> blocks = world.keysNow(arrival.blocks());
-        RouteAsked.Question question = new RouteAsked.Question(
+        RouteRequested.Question question = new RouteRequested.Question(
                 RequestId.of("request-" + requests++),
                 WorkspaceId.of("workspace-" + arrival.workspace()),
                 ServiceName.of(deployment.services().get(arrival.service()).name()),
@@ -200,11 +200,11 @@
                 arrival.answerTokens(),
                 ImmutableSet.of(),
                 false);
-        handle(new RouteAsked(question, answer -> at(now, () -> answered(arrival, blocks, answer))));
+        handle(new RouteRequested(question, answer -> at(now, () -> answered(arrival, blocks, answer))));
     }
 
-    private void answered(Arrival arrival, ImmutableList<BlockKey> blocks, RouteAsked.Answer answer) {
-        if (!(answer instanceof RouteAsked.Answer.Chosen chosen)) {
+    private void answered(Arrival arrival, ImmutableList<BlockKey> blocks, RouteRequested.Answer answer) {
+        if (!(answer instanceof RouteRequested.Answer.Chosen chosen)) {
             refused++;
             open--;
             return;
@@ -217,7 +217,7 @@
     }
 
     private void importThenSend(
-            Arrival arrival, ImmutableList<BlockKey> blocks, RouteAsked.Answer.Chosen chosen, ImportPlan plan) {
+            Arrival arrival, ImmutableList<BlockKey> blocks, RouteRequested.Answer.Chosen chosen, ImportPlan plan) {
         long began = now;
         String name = chosen.endpoint().id() + " " + plan.blocks().get(0).key();
         if (plan.joins()) {
@@ -242,7 +242,7 @@
         });
     }
 
-    private void send(Arrival arrival, ImmutableList<BlockKey> blocks, RouteAsked.Answer.Chosen chosen) {
+    private void send(Arrival arrival, ImmutableList<BlockKey> blocks, RouteRequested.Answer.Chosen chosen) {
         handle(new AttemptReport.Sent(chosen.attempt()));
         running.put(chosen.attempt(), new Running(arrival, chosen.attempt(), now));
         EngineRequest request =
@@ -287,7 +287,7 @@
             world.store(delete.store().id()).delete(delete.blocks());
         } else if (action instanceof CacheOrder.MoveBlocks move) {
             List<StoredBlock> moved = world.store(move.store().id()).move(move.tier(), move.blocks());
-            at(now, () -> handle(new StoreNews.BlocksMoved(move.store().id(), move.tier(), moved)));
+            at(now, () -> handle(new StoreUpdate.BlocksMoved(move.store().id(), move.tier(), moved)));
         }
     }
 
@@ -297,7 +297,7 @@
         if (store.isDead()) {
             at(
                     now + LOOKUP_NANOS,
-                    () -> handle(new ReplicaNews.ExportEnded(
+                    () -> handle(new EngineCacheUpdate.ExportEnded(
                             export.number(),
                             export.endpoint().id(),
                             List.of(),
@@ -309,7 +309,7 @@
         long end = store.writeEnd(now, held.size() * length);
         at(end, () -> {
             List<StoredBlock> sealed = store.seal(held, length);
-            handle(new ReplicaNews.ExportEnded(
+            handle(new EngineCacheUpdate.ExportEnded(
                     export.number(), export.endpoint().id(), sealed, sealed.size() < held.size(), Optional.empty()));
         });
     }
--- a/src/main/java/org/yuccagw/bench/routing/World.java
+++ b/src/main/java/org/yuccagw/bench/routing/World.java
@@ -15,11 +15,11 @@
 import java.util.function.Supplier;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.CacheOrder;
+import org.yuccagw.core.cache.EngineCacheUpdate;
+import org.yuccagw.core.cache.EngineCacheUpdate.FailedBlock;
+import org.yuccagw.core.cache.EngineCacheUpdate.ImportFailure;
 import org.yuccagw.core.cache.ReplicaIndex;
-import org.yuccagw.core.cache.ReplicaNews;
-import org.yuccagw.core.cache.ReplicaNews.FailedBlock;
-import org.yuccagw.core.cache.ReplicaNews.ImportFailure;
-import org.yuccagw.core.cache.StoreNews;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.catalogue.CatalogueChanged;
@@ -309,7 +309,7 @@
         return keys.subList(0, count);
     }
 
-    ReplicaNews.EventsRead events(CacheOrder.ReadCacheEvents read, long now) {
+    EngineCacheUpdate.EventsRead events(CacheOrder.ReadCacheEvents read, long now) {
         Replica replica = replicas.get(read.endpoint());
         replica.log.removeIf(logged -> logged.event().sequence() <= read.after());
         List<ReplicaIndex.Event> events = replica.log.stream()
@@ -318,20 +318,20 @@
                 .toList();
         long last =
                 events.isEmpty() ? read.after() : events.get(events.size() - 1).sequence();
-        return new ReplicaNews.EventsRead(read.endpoint(), last, events);
+        return new EngineCacheUpdate.EventsRead(read.endpoint(), last, events);
     }
 
-    ReplicaNews.SnapshotRead snapshot(EndpointId endpoint) {
+    EngineCacheUpdate.SnapshotRead snapshot(EndpointId endpoint) {
         Replica replica = replicas.get(endpoint);
-        return new ReplicaNews.SnapshotRead(
+        return new EngineCacheUpdate.SnapshotRead(
                 endpoint, replica.nextSequence - 1, Optional.of(replica.engine.version()), replica.engine.cached());
     }
 
     ControlEvent status(StoreId id) {
         StoreModel store = stores.get(id);
         return store.isDead()
-                ? new StoreNews.Failed(id, "connection refused")
-                : new StoreNews.StatusRead(id, store.memory(), store.disk(), store.linkBytesPerMilli());
+                ? new StoreUpdate.Failed(id, "connection refused")
+                : new StoreUpdate.StatusRead(id, store.memory(), store.disk(), store.linkBytesPerMilli());
     }
 
     StoreModel store(StoreId id) {
@@ -345,7 +345,7 @@
                 .toList();
     }
 
-    static ReplicaNews.ImportEnded importEnded(
+    static EngineCacheUpdate.ImportEnded importEnded(
             EndpointId endpoint, ImportPlan plan, StoreModel.Fetched fetched, boolean dead, boolean late, long millis) {
         ImportFailure reason = dead ? ImportFailure.STORE : late ? ImportFailure.LATE : ImportFailure.GONE;
         List<FailedBlock> failed = plan
@@ -355,7 +355,7 @@
                 .map(StoredBlock::key)
                 .map(key -> new FailedBlock(key, reason))
                 .toList();
-        return new ReplicaNews.ImportEnded(
+        return new EngineCacheUpdate.ImportEnded(
                 endpoint, plan.store(), plan.blocks(), fetched.blocks(), fetched.bytes(), millis, failed);
     }
 
--- a/src/main/java/org/yuccagw/core/admission/AdmissionPart.java
+++ b/src/main/java/org/yuccagw/core/admission/AdmissionComponent.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.yuccagw.core.admission.AdmissionAsked.Released;
-import org.yuccagw.core.admission.AdmissionAsked.Withdrawn;
+import org.yuccagw.core.admission.AdmissionRequested.Released;
+import org.yuccagw.core.admission.AdmissionRequested.Withdrawn;
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.catalogue.CatalogueChanged;
 import org.yuccagw.core.catalogue.RequestClass;
 import org.yuccagw.core.catalogue.Workspace;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.error.ErrorKind;
@@ -37,9 +37,9 @@
  * requests hold their places. If that passes the class's first-token deadline, it is refused now, with the time after
  * which a request would be let in within the deadline; else it waits, at most until the deadline.
  *
- * <p>{@link ShareDesk} keeps the shares, {@link FairQueue} the order.
+ * <p>{@link LimitShares} keeps the shares, {@link FairQueue} the order.
  */
-public final class AdmissionPart implements ControlPart {
+public final class AdmissionComponent implements ControlComponent {
     private static final Duration USUAL_DEADLINE = Duration.ofSeconds(10);
     private static final Duration LEAST_COME_BACK = Duration.ofMillis(100);
     private static final Duration LIMITED_RECHECK = Duration.ofMillis(10);
@@ -48,7 +48,7 @@
     private static final double NANOS = 1e9;
     private static final double MILLIS = 1e3;
 
-    private final ShareDesk shares;
+    private final LimitShares shares;
     private final Map<ServiceName, ServiceGate> gates = new HashMap<>();
     private final Map<RequestId, Waiting> waiting = new LinkedHashMap<>();
     private final Map<RequestId, Admitted> admitted = new HashMap<>();
@@ -57,7 +57,7 @@
     private boolean recheckSet;
     private long refused;
 
-    private AdmissionPart(ShareDesk shares) {
+    private AdmissionComponent(LimitShares shares) {
         this.shares = shares;
     }
 
@@ -67,13 +67,13 @@
      * @param authority proves the lease right before a share is lent
      * @param shards who owns which shard, as far as this entry knows; asked on the control thread
      */
-    public static AdmissionPart of(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
+    public static AdmissionComponent of(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
         return withWaitOut(authority, shards, ShareLender.WAIT_OUT);
     }
 
     /** For the test that takes the waiting out of old shares away; daemons use {@link #of}. */
-    static AdmissionPart withWaitOut(ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration waitOut) {
-        return new AdmissionPart(new ShareDesk(authority, shards, waitOut));
+    static AdmissionComponent withWaitOut(ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration waitOut) {
+        return new AdmissionComponent(new LimitShares(authority, shards, waitOut));
     }
 
     /** A request that was let in. */
@@ -87,8 +87,8 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof AdmissionAsked asked) {
-            asked(asked);
+        if (event instanceof AdmissionRequested requested) {
+            asked(requested);
         } else if (event instanceof Released released) {
             released(released.request(), released.usedTokens());
         } else if (event instanceof Withdrawn withdrawn) {
@@ -135,20 +135,22 @@
                 .orElse(USUAL_DEADLINE);
     }
 
-    private void asked(AdmissionAsked asked) {
-        Waiting request = new Waiting(asked, context.nowNanos());
-        if (admitted.containsKey(asked.request()) || waiting.containsKey(asked.request())) {
-            reply(request, Optional.of(ErrorKind.INTERNAL.raise("request " + asked.request() + " was let in before")));
+    private void asked(AdmissionRequested requested) {
+        Waiting request = new Waiting(requested, context.nowNanos());
+        if (admitted.containsKey(requested.request()) || waiting.containsKey(requested.request())) {
+            reply(
+                    request,
+                    Optional.of(ErrorKind.INTERNAL.raise("request " + requested.request() + " was let in before")));
             return;
         }
-        ServiceGate gate = gate(asked.service());
+        ServiceGate gate = gate(requested.service());
         if (gate.queue().size() == 0 && gate.hasRoom() && shares.admit(request)) {
             admit(request, gate);
             return;
         }
         Prediction prediction = predict(request);
-        boolean tooMany = gate.queue().size(asked.workspace()) >= MOST_WAITING_PER_WORKSPACE;
-        double deadlineSeconds = (double) deadline(asked.className()).toNanos() / NANOS;
+        boolean tooMany = gate.queue().size(requested.workspace()) >= MOST_WAITING_PER_WORKSPACE;
+        double deadlineSeconds = (double) deadline(requested.className()).toNanos() / NANOS;
         if (tooMany || prediction.seconds() > deadlineSeconds) {
             refuse(request, prediction);
             return;
--- a/src/main/java/org/yuccagw/core/admission/AdmissionAsked.java
+++ b/src/main/java/org/yuccagw/core/admission/AdmissionRequested.java
@@ -17,7 +17,7 @@
  * @param answerTokens most tokens that the answer may have, 0 for a plain call
  * @param reply empty when the request is let in, else WORKSPACE_LIMIT or OVERLOADED with a time to come back
  */
-public record AdmissionAsked(
+public record AdmissionRequested(
         RequestId request,
         WorkspaceId workspace,
         ServiceName service,
--- a/src/main/java/org/yuccagw/core/admission/CapacityPart.java
+++ b/src/main/java/org/yuccagw/core/admission/CapacityComponent.java
@@ -5,9 +5,9 @@
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.catalogue.CatalogueChanged;
 import org.yuccagw.core.catalogue.Service;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.endpoint.EndpointsChanged;
 import org.yuccagw.core.endpoint.EndpointsSnapshot;
 import org.yuccagw.core.id.ServiceName;
@@ -24,7 +24,7 @@
  *
  * <p>Example: 13 replicas, 8 entries: 13 * 48 / 8 * 2 = 156 requests at once.
  */
-public final class CapacityPart implements ControlPart {
+public final class CapacityComponent implements ControlComponent {
     private static final int REQUESTS_FOR_EACH_ENDPOINT = 48;
     private static final int UNEVENNESS_PERCENT = 200;
     private static final int PERCENT = 100;
@@ -34,10 +34,10 @@
     private EndpointsSnapshot endpoints = EndpointsSnapshot.empty();
     private long entries = 1;
 
-    private CapacityPart() {}
+    private CapacityComponent() {}
 
-    public static CapacityPart create() {
-        return new CapacityPart();
+    public static CapacityComponent create() {
+        return new CapacityComponent();
     }
 
     @Override
@@ -48,7 +48,8 @@
             endpoints = changed.endpoints();
         } else if (event instanceof MembersChanged changed) {
             entries = Math.max(
-                    1, changed.entries().stream().filter(CapacityPart::serves).count());
+                    1,
+                    changed.entries().stream().filter(CapacityComponent::serves).count());
         } else {
             return;
         }
--- a/src/main/java/org/yuccagw/core/admission/ShareDesk.java
+++ b/src/main/java/org/yuccagw/core/admission/LimitShares.java
@@ -32,7 +32,7 @@
  * Shares of limits on one entry, both sides: a {@link ShareBorrower} for each limit that its traffic meets, a
  * {@link ShareLender} for each limit of the shards that it owns.
  */
-final class ShareDesk {
+final class LimitShares {
     private static final Duration CHECK = Duration.ofMillis(250);
     private static final long RENEW_NANOS = Duration.ofSeconds(1).toNanos();
     private static final long ASK_SOON_NANOS = Duration.ofMillis(20).toNanos();
@@ -50,7 +50,7 @@
     private ControlContext context;
     private Runnable onChange = () -> {};
 
-    ShareDesk(ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration waitOut) {
+    LimitShares(ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration waitOut) {
         this.waitOut = waitOut;
         this.authority = authority;
         this.shards = shards;
--- a/src/main/java/org/yuccagw/core/admission/Waiting.java
+++ b/src/main/java/org/yuccagw/core/admission/Waiting.java
@@ -8,7 +8,7 @@
  *
  * @param askedNanos when it was asked for
  */
-record Waiting(AdmissionAsked asked, long askedNanos) {
+record Waiting(AdmissionRequested asked, long askedNanos) {
     WorkspaceId workspace() {
         return asked.workspace();
     }
--- a/src/main/java/org/yuccagw/core/cache/BlocksPlaced.java
+++ b/src/main/java/org/yuccagw/core/cache/BlocksPlaced.java
@@ -9,7 +9,7 @@
  *
  * @param startDepth blocks of the prompt before the run
  */
-public record BlocksPlaced(PromptScope scope, int startDepth, StoreId store, List<StoreNews.Found> blocks)
+public record BlocksPlaced(PromptScope scope, int startDepth, StoreId store, List<StoreUpdate.Found> blocks)
         implements PeerMessage {
     public BlocksPlaced {
         blocks = List.copyOf(blocks);
--- a/src/main/java/org/yuccagw/core/cache/CachePart.java
+++ b/src/main/java/org/yuccagw/core/cache/CacheComponent.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.yuccagw.core.catalogue.CatalogueChanged;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.endpoint.EndpointStatus;
 import org.yuccagw.core.endpoint.EndpointsChanged;
@@ -27,33 +27,33 @@
  * before it commits it, and a key of another workspace or weight version can't be named. All that is known here may be
  * wrong, and then costs time only.
  */
-public final class CachePart implements ControlPart {
+public final class CacheComponent implements ControlComponent {
     private final CacheState state;
     private final ReplicaReader replicaReader;
     private final ExportPlanner exports;
-    private final StoreKeeper keeper;
+    private final StoreMaintenance maintenance;
     private final Prefetcher prefetcher;
-    private final PlacementSpread spread;
+    private final PlacementBroadcaster broadcaster;
 
-    private CachePart(CacheState state) {
+    private CacheComponent(CacheState state) {
         this.state = state;
         this.replicaReader = ReplicaReader.of(state);
-        this.keeper = StoreKeeper.of(state);
-        this.spread = PlacementSpread.of(state);
-        this.exports = ExportPlanner.of(state, keeper, spread);
+        this.maintenance = StoreMaintenance.of(state);
+        this.broadcaster = PlacementBroadcaster.of(state);
+        this.exports = ExportPlanner.of(state, maintenance, broadcaster);
         this.prefetcher = Prefetcher.of(state);
     }
 
     /** The part over the state that it shares with the route part. */
-    public static CachePart of(CacheState state) {
-        return new CachePart(state);
+    public static CacheComponent of(CacheState state) {
+        return new CacheComponent(state);
     }
 
     @Override
     public void start(ControlContext context) {
         replicaReader.start(context);
         exports.start(context);
-        keeper.start(context);
+        maintenance.start(context);
     }
 
     @Override
@@ -68,55 +68,55 @@
             if (members.entries().size() > 1) {
                 state.noteOtherEntries();
             }
-            keeper.takeMembers(members);
-            spread.takeMembers(members);
+            maintenance.takeMembers(members);
+            broadcaster.takeMembers(members);
         } else if (event instanceof PromptServed served) {
             state.replicas().learn(served.endpoint().id(), served.blocks());
             exports.served(served, context);
-        } else if (event instanceof PrefetchAsked asked) {
+        } else if (event instanceof PrefetchRequested asked) {
             prefetcher.asked(asked, context);
-        } else if (event instanceof ReplicaNews news) {
+        } else if (event instanceof EngineCacheUpdate news) {
             takeReplicaNews(news, context);
-        } else if (event instanceof StoreNews news) {
+        } else if (event instanceof StoreUpdate news) {
             takeStoreNews(news, context);
-        } else if (event instanceof StoresAsked asked) {
-            ImmutableList<StoresAsked.StoreStatus> status = state.stores().status(context.nowNanos());
+        } else if (event instanceof StoresRequested asked) {
+            ImmutableList<StoresRequested.StoreStatus> status = state.stores().status(context.nowNanos());
             context.reply(() -> asked.reply().accept(status));
         } else if (event instanceof PeerReceived received && received.message() instanceof BlocksPlaced placed) {
-            spread.received(placed, context);
+            broadcaster.received(placed, context);
         }
     }
 
-    private void takeReplicaNews(ReplicaNews news, ControlContext context) {
-        if (news instanceof ReplicaNews.ExportEnded ended) {
+    private void takeReplicaNews(EngineCacheUpdate news, ControlContext context) {
+        if (news instanceof EngineCacheUpdate.ExportEnded ended) {
             exports.ended(ended, context);
-        } else if (news instanceof ReplicaNews.ImportEnded ended) {
+        } else if (news instanceof EngineCacheUpdate.ImportEnded ended) {
             takeImport(ended, context);
         } else {
             replicaReader.handle(news, context);
         }
     }
 
-    private void takeStoreNews(StoreNews news, ControlContext context) {
-        Optional<StoreBook.Store> store = state.stores().find(news.store());
+    private void takeStoreNews(StoreUpdate news, ControlContext context) {
+        Optional<StoreTable.Store> store = state.stores().find(news.store());
         if (store.isEmpty()) {
             return;
         }
-        if (news instanceof StoreNews.Failed) {
+        if (news instanceof StoreUpdate.Failed) {
             store.get().fail(context.nowNanos());
             return;
         }
         store.get().succeed();
-        if (news instanceof StoreNews.BlocksFound found) {
-            PlacementSpread.note(state, found.store(), found.found());
+        if (news instanceof StoreUpdate.BlocksFound found) {
+            PlacementBroadcaster.note(state, found.store(), found.found());
         } else {
-            keeper.handle(news, store.get(), context);
+            maintenance.handle(news, store.get(), context);
         }
     }
 
     /** What an import showed: blocks that are there now, copies that are gone, a store that fails. */
-    private void takeImport(ReplicaNews.ImportEnded ended, ControlContext context) {
-        Map<BlockKey, ReplicaNews.ImportFailure> failed = new HashMap<>();
+    private void takeImport(EngineCacheUpdate.ImportEnded ended, ControlContext context) {
+        Map<BlockKey, EngineCacheUpdate.ImportFailure> failed = new HashMap<>();
         ended.failed().forEach(block -> failed.put(block.key(), block.reason()));
         var keys = ended.asked().stream().map(StoredBlock::key).toList();
         state.replicas()
@@ -124,16 +124,16 @@
                         ended.endpoint(),
                         keys.stream().filter(key -> !failed.containsKey(key)).toList());
         prefetcher.importEnded(ended, context);
-        Optional<StoreBook.Store> store = state.stores().find(ended.store());
-        if (failed.containsValue(ReplicaNews.ImportFailure.STORE)
-                || (ended.imported() == 0 && failed.containsValue(ReplicaNews.ImportFailure.LATE))) {
+        Optional<StoreTable.Store> store = state.stores().find(ended.store());
+        if (failed.containsValue(EngineCacheUpdate.ImportFailure.STORE)
+                || (ended.imported() == 0 && failed.containsValue(EngineCacheUpdate.ImportFailure.LATE))) {
             store.ifPresent(lost -> lost.fail(context.nowNanos()));
         } else if (ended.imported() > 0) {
-            store.ifPresent(StoreBook.Store::succeed);
+            store.ifPresent(StoreTable.Store::succeed);
         }
         Set<BlockKey> gone = failed.entrySet().stream()
-                .filter(entry -> entry.getValue() == ReplicaNews.ImportFailure.GONE
-                        || entry.getValue() == ReplicaNews.ImportFailure.DAMAGED)
+                .filter(entry -> entry.getValue() == EngineCacheUpdate.ImportFailure.GONE
+                        || entry.getValue() == EngineCacheUpdate.ImportFailure.DAMAGED)
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
         if (!gone.isEmpty()) {
@@ -162,7 +162,7 @@
                 .filter(vm -> vm.kind() == VmKind.STORE)
                 .map(vm -> {
                     StoreId id = StoreId.of(vm.name());
-                    keeper.listed(state.stores().list(id, vm.address()), vm.incarnation());
+                    maintenance.listed(state.stores().list(id, vm.address()), vm.incarnation());
                     return id;
                 })
                 .toList();
--- a/src/main/java/org/yuccagw/core/cache/CacheOrder.java
+++ b/src/main/java/org/yuccagw/core/cache/CacheOrder.java
@@ -9,7 +9,9 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.id.WeightVersion;
 
-/** What the cache part asks of engines and stores; outcomes come as {@link ReplicaNews} and {@link StoreNews}. */
+/**
+ * What the cache part asks of engines and stores; outcomes come as {@link EngineCacheUpdate} and {@link StoreUpdate}.
+ */
 public interface CacheOrder extends ControlAction {
 
     /**
--- a/src/main/java/org/yuccagw/core/cache/CacheState.java
+++ b/src/main/java/org/yuccagw/core/cache/CacheState.java
@@ -22,7 +22,7 @@
     private final ReplicaIndex replicas;
     private final ReturnForecast forecast = ReturnForecast.create();
     private final PromptTree prompts;
-    private final StoreBook stores = StoreBook.create();
+    private final StoreTable stores = StoreTable.create();
     private final ImportsInProgress imports = new ImportsInProgress();
     private Catalogue catalogue = Catalogue.none();
     private EndpointsSnapshot endpoints = EndpointsSnapshot.empty();
@@ -60,7 +60,7 @@
         return imports;
     }
 
-    public StoreBook stores() {
+    public StoreTable stores() {
         return stores;
     }
 
@@ -133,7 +133,7 @@
      * Whether the store should have a copy of the run. A run that many prompts share is wanted in every store, since
      * what continues it is spread over all; any other in one, its home.
      */
-    boolean isWantedIn(StoreBook.Store store, PromptNode node, long nowNanos) {
+    boolean isWantedIn(StoreTable.Store store, PromptNode node, long nowNanos) {
         if (node.isShared()) {
             return node.copyIn(store.id()).map(PromptNode.Copy::blocks).orElse(0) < node.blocks();
         }
@@ -145,11 +145,11 @@
      * The store where a prompt's own blocks go: where their beginning or the run before them is, so that one import can
      * bring all, else by rendezvous hashing over the usable stores, so that all entries choose the same.
      */
-    private Optional<StoreBook.Store> homeStore(PromptNode node, long nowNanos) {
+    private Optional<StoreTable.Store> homeStore(PromptNode node, long nowNanos) {
         PromptNode above = node;
         while (above != null && !above.isShared()) {
             for (PromptNode.Copy copy : above.copies()) {
-                Optional<StoreBook.Store> store = stores.find(copy.store());
+                Optional<StoreTable.Store> store = stores.find(copy.store());
                 if (store.isPresent() && store.get().isUsable(nowNanos)) {
                     return store;
                 }
@@ -160,10 +160,10 @@
     }
 
     /** The usable store with the highest hash of itself and the key. */
-    Optional<StoreBook.Store> rendezvous(BlockKey key, long nowNanos) {
-        StoreBook.Store best = null;
+    Optional<StoreTable.Store> rendezvous(BlockKey key, long nowNanos) {
+        StoreTable.Store best = null;
         long bestHash = Long.MIN_VALUE;
-        for (StoreBook.Store store : stores.all()) {
+        for (StoreTable.Store store : stores.all()) {
             long hash = Rendezvous.weight(store.id().value(), key);
             if (store.isUsable(nowNanos) && (best == null || hash > bestHash)) {
                 best = store;
@@ -174,7 +174,7 @@
     }
 
     /** Usable stores, for lookups. */
-    public List<StoreBook.Store> usableStores(long nowNanos) {
+    public List<StoreTable.Store> usableStores(long nowNanos) {
         return stores.all().stream().filter(store -> store.isUsable(nowNanos)).toList();
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/ReplicaNews.java
+++ b/src/main/java/org/yuccagw/core/cache/EngineCacheUpdate.java
@@ -8,24 +8,25 @@
 import org.yuccagw.core.id.WeightVersion;
 
 /** What engines told of their caches, as events. */
-public interface ReplicaNews extends ControlEvent {
+public interface EngineCacheUpdate extends ControlEvent {
     EndpointId endpoint();
 
-    record EventsRead(EndpointId endpoint, long lastSequence, List<ReplicaIndex.Event> events) implements ReplicaNews {
+    record EventsRead(EndpointId endpoint, long lastSequence, List<ReplicaIndex.Event> events)
+            implements EngineCacheUpdate {
         public EventsRead {
             events = List.copyOf(events);
         }
     }
 
     record SnapshotRead(EndpointId endpoint, long sequence, Optional<WeightVersion> version, List<BlockKey> blocks)
-            implements ReplicaNews {
+            implements EngineCacheUpdate {
         public SnapshotRead {
             blocks = List.copyOf(blocks);
         }
     }
 
     /** Events or a snapshot could not be read. */
-    record ReadFailed(EndpointId endpoint) implements ReplicaNews {}
+    record ReadFailed(EndpointId endpoint) implements EngineCacheUpdate {}
 
     /**
      * An export ended.
@@ -36,7 +37,7 @@
      */
     record ExportEnded(
             long number, EndpointId endpoint, List<StoredBlock> exported, boolean full, Optional<String> failure)
-            implements ReplicaNews {
+            implements EngineCacheUpdate {
         public ExportEnded {
             exported = List.copyOf(exported);
         }
@@ -67,7 +68,7 @@
             long bytes,
             long millis,
             List<FailedBlock> failed)
-            implements ReplicaNews {
+            implements EngineCacheUpdate {
         public ImportEnded {
             asked = List.copyOf(asked);
             failed = List.copyOf(failed);
--- a/src/main/java/org/yuccagw/core/cache/ExportPlanner.java
+++ b/src/main/java/org/yuccagw/core/cache/ExportPlanner.java
@@ -38,21 +38,21 @@
     private static final double PIECE_MILLIS = 100;
 
     private final CacheState state;
-    private final StoreKeeper keeper;
-    private final PlacementSpread spread;
+    private final StoreMaintenance maintenance;
+    private final PlacementBroadcaster broadcaster;
     private final LinkedHashMap<PromptNode, EndpointId> waiting = new LinkedHashMap<>();
     private final LinkedHashMap<PromptNode, EndpointId> begun = new LinkedHashMap<>();
     private final Map<Long, Running> running = new HashMap<>();
     private long nextNumber = 1;
 
-    private ExportPlanner(CacheState state, StoreKeeper keeper, PlacementSpread spread) {
+    private ExportPlanner(CacheState state, StoreMaintenance maintenance, PlacementBroadcaster broadcaster) {
         this.state = state;
-        this.keeper = keeper;
-        this.spread = spread;
+        this.maintenance = maintenance;
+        this.broadcaster = broadcaster;
     }
 
-    static ExportPlanner of(CacheState state, StoreKeeper keeper, PlacementSpread spread) {
-        return new ExportPlanner(state, keeper, spread);
+    static ExportPlanner of(CacheState state, StoreMaintenance maintenance, PlacementBroadcaster broadcaster) {
+        return new ExportPlanner(state, maintenance, broadcaster);
     }
 
     private record Running(PromptNode node, int startDepth, StoreId store, long bytes) {}
@@ -86,20 +86,20 @@
         }
     }
 
-    void ended(ReplicaNews.ExportEnded ended, ControlContext context) {
+    void ended(EngineCacheUpdate.ExportEnded ended, ControlContext context) {
         Running done = running.remove(ended.number());
         if (done == null) {
             return;
         }
         done.node().setExporting(false);
-        Optional<StoreBook.Store> store = state.stores().find(done.store());
+        Optional<StoreTable.Store> store = state.stores().find(done.store());
         if (store.isEmpty()) {
             return;
         }
         store.get().endExport(done.bytes());
         if (!ended.exported().isEmpty()) {
             state.prompts().extendCopy(done.node(), done.store(), StoreTier.MEMORY, ended.exported());
-            spread.tell(done.node().scope(), done.startDepth(), done.store(), ended.exported(), context);
+            broadcaster.tell(done.node().scope(), done.startDepth(), done.store(), ended.exported(), context);
             store.get()
                     .addUsed(
                             StoreTier.MEMORY,
@@ -110,7 +110,7 @@
         if (ended.full()) {
             store.get().setFull();
         }
-        keeper.makeRoom(store.get(), context);
+        maintenance.makeRoom(store.get(), context);
         if (!ended.exported().isEmpty() && needsCopy(done.node(), context)) {
             begun.put(done.node(), ended.endpoint());
         }
@@ -136,7 +136,7 @@
         if (state.settings().exports() != CacheSettings.ExportPolicy.BY_VALUE) {
             return;
         }
-        for (StoreBook.Store store : state.stores().all()) {
+        for (StoreTable.Store store : state.stores().all()) {
             boolean free = store.isUsable(context.nowNanos()) && store.foregroundBytes() == 0;
             while (free && store.exports() < state.settings().exportsAtOnce()) {
                 free = exportNext(store, context);
@@ -145,7 +145,7 @@
     }
 
     /** Goes on with a run that was begun, else takes the best of those that wait. */
-    private boolean exportNext(StoreBook.Store store, ControlContext context) {
+    private boolean exportNext(StoreTable.Store store, ControlContext context) {
         double nowSeconds = CacheState.seconds(context.nowNanos());
         for (Iterator<Map.Entry<PromptNode, EndpointId>> entries =
                         begun.entrySet().iterator();
@@ -167,7 +167,7 @@
         return best != null;
     }
 
-    private PromptNode best(StoreBook.Store store, ControlContext context) {
+    private PromptNode best(StoreTable.Store store, ControlContext context) {
         double nowSeconds = CacheState.seconds(context.nowNanos());
         double delay = state.settings().exportDelay().toMillis() / 1e3;
         PromptNode best = null;
@@ -198,7 +198,7 @@
     }
 
     /** Expected milliseconds of prefill saved for each millisecond of the link; not above 0 if it isn't worth it. */
-    private double worth(PromptNode node, StoreBook.Store store, double nowSeconds) {
+    private double worth(PromptNode node, StoreTable.Store store, double nowSeconds) {
         if (store.isFull() || state.index(node, nowSeconds) < store.floorIndex() * FLOOR_MARGIN) {
             return 0;
         }
@@ -209,7 +209,7 @@
         return (expected - linkMillis * state.settings().exportPrice()) / linkMillis;
     }
 
-    private void export(PromptNode node, EndpointId endpoint, StoreBook.Store store, ControlContext context) {
+    private void export(PromptNode node, EndpointId endpoint, StoreTable.Store store, ControlContext context) {
         Optional<EndpointStatus> holder = state.endpoints().find(endpoint);
         if (holder.isEmpty()) {
             return;
@@ -232,7 +232,7 @@
     }
 
     /** What follows the copy there now: a piece that keeps the link for a short time, so that no fetch waits long. */
-    private List<BlockKey> piece(PromptNode node, StoreBook.Store store) {
+    private List<BlockKey> piece(PromptNode node, StoreTable.Store store) {
         int from = node.copyIn(store.id()).map(PromptNode.Copy::blocks).orElse(0);
         List<BlockKey> rest = node.keysFrom(from);
         if (state.settings().exports() == CacheSettings.ExportPolicy.ALWAYS) {
--- a/src/main/java/org/yuccagw/core/cache/ImportsInProgress.java
+++ b/src/main/java/org/yuccagw/core/cache/ImportsInProgress.java
@@ -20,7 +20,7 @@
     /** One import on its way. */
     public static final class Import {
         private final EndpointId endpoint;
-        private final StoreBook.Store store;
+        private final StoreTable.Store store;
         private final StoreTier tier;
         private final long bytes;
         private final long bytesAhead;
@@ -30,7 +30,7 @@
 
         private Import(
                 EndpointId endpoint,
-                StoreBook.Store store,
+                StoreTable.Store store,
                 StoreTier tier,
                 List<StoredBlock> stored,
                 long expectedEndNanos) {
@@ -49,7 +49,7 @@
             return endpoint;
         }
 
-        public StoreBook.Store store() {
+        public StoreTable.Store store() {
             return store;
         }
 
@@ -69,7 +69,7 @@
 
     /** An import begins; its bytes count as waiting on the store's link until {@link #end}. */
     public Import begin(
-            EndpointId endpoint, StoreBook.Store store, StoreTier tier, List<StoredBlock> stored, long nowNanos) {
+            EndpointId endpoint, StoreTable.Store store, StoreTier tier, List<StoredBlock> stored, long nowNanos) {
         long bytes = stored.stream().mapToLong(StoredBlock::length).sum();
         long expectedEnd = nowNanos + (long) (store.fetchMillis(tier, bytes) * 1e6);
         Import begun = new Import(endpoint, store, tier, stored, expectedEnd);
--- a/src/main/java/org/yuccagw/core/cache/PlacementSpread.java
+++ b/src/main/java/org/yuccagw/core/cache/PlacementBroadcaster.java
@@ -14,7 +14,7 @@
  * <p>Nobody depends on it: an entry that doesn't know of a copy asks the stores when the prompt returns. Telling saves
  * that question where there are few entries, and the budget bounds its cost where there are many.
  */
-final class PlacementSpread {
+final class PlacementBroadcaster {
     private static final int BYTES_PER_BLOCK = 56;
     private static final double BYTES_PER_SECOND = 1_000;
     private static final double MOST_CREDIT = 8_000;
@@ -24,16 +24,16 @@
     private double credit = MOST_CREDIT;
     private double creditedSeconds;
 
-    private PlacementSpread(CacheState state) {
+    private PlacementBroadcaster(CacheState state) {
         this.state = state;
     }
 
-    static PlacementSpread of(CacheState state) {
-        return new PlacementSpread(state);
+    static PlacementBroadcaster of(CacheState state) {
+        return new PlacementBroadcaster(state);
     }
 
     /** Takes copies into the tree, tier by tier. */
-    static void note(CacheState state, StoreId store, List<StoreNews.Found> found) {
+    static void note(CacheState state, StoreId store, List<StoreUpdate.Found> found) {
         int from = 0;
         for (int i = 1; i <= found.size(); i++) {
             if (i == found.size() || found.get(i).tier() != found.get(from).tier()) {
@@ -64,8 +64,8 @@
 
     void tell(PromptScope scope, int startDepth, StoreId store, List<StoredBlock> blocks, ControlContext context) {
         earn(CacheState.seconds(context.nowNanos()));
-        List<StoreNews.Found> placed = new ArrayList<>();
-        blocks.forEach(block -> placed.add(new StoreNews.Found(block, StoreTier.MEMORY)));
+        List<StoreUpdate.Found> placed = new ArrayList<>();
+        blocks.forEach(block -> placed.add(new StoreUpdate.Found(block, StoreTier.MEMORY)));
         for (EntryId other : others) {
             double cost = (double) blocks.size() * BYTES_PER_BLOCK;
             if (!other.equals(context.self().entry()) && credit >= cost) {
--- a/src/main/java/org/yuccagw/core/cache/PrefetchAsked.java
+++ b/src/main/java/org/yuccagw/core/cache/PrefetchRequested.java
@@ -10,5 +10,5 @@
  * @param blocks keys of the prompt's whole blocks, as for a request
  * @param reply told how many blocks are being brought to an engine
  */
-public record PrefetchAsked(PromptScope scope, ImmutableList<BlockKey> blocks, Consumer<Integer> reply)
+public record PrefetchRequested(PromptScope scope, ImmutableList<BlockKey> blocks, Consumer<Integer> reply)
         implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/cache/Prefetcher.java
+++ b/src/main/java/org/yuccagw/core/cache/Prefetcher.java
@@ -28,12 +28,12 @@
         return new Prefetcher(state);
     }
 
-    void asked(PrefetchAsked asked, ControlContext context) {
-        int begun = begin(asked.scope(), asked.blocks(), context);
-        context.reply(() -> asked.reply().accept(begun));
+    void asked(PrefetchRequested requested, ControlContext context) {
+        int begun = begin(requested.scope(), requested.blocks(), context);
+        context.reply(() -> requested.reply().accept(begun));
     }
 
-    void importEnded(ReplicaNews.ImportEnded ended, ControlContext context) {
+    void importEnded(EngineCacheUpdate.ImportEnded ended, ControlContext context) {
         List<ImportsInProgress.Import> there = running.getOrDefault(ended.endpoint(), List.of());
         for (ImportsInProgress.Import prefetch : List.copyOf(there)) {
             boolean same = !ended.asked().isEmpty()
@@ -57,7 +57,7 @@
                 .mapToInt(endpoint -> state.replicas().prefix(endpoint.id(), prompt))
                 .max()
                 .orElse(Integer.MAX_VALUE);
-        StoreBook.Store store = stored.get().store();
+        StoreTable.Store store = stored.get().store();
         if (held >= stored.get().blocks().size() || store.foregroundBytes() > 0) {
             return 0;
         }
--- a/src/main/java/org/yuccagw/core/cache/ReplicaReader.java
+++ b/src/main/java/org/yuccagw/core/cache/ReplicaReader.java
@@ -41,19 +41,19 @@
         reading.retainAll(new HashSet<>(known));
     }
 
-    void handle(ReplicaNews news, ControlContext context) {
-        reading.remove(news.endpoint());
-        Optional<EndpointStatus> endpoint = state.endpoints().find(news.endpoint());
+    void handle(EngineCacheUpdate update, ControlContext context) {
+        reading.remove(update.endpoint());
+        Optional<EndpointStatus> endpoint = state.endpoints().find(update.endpoint());
         if (endpoint.isEmpty()) {
             return;
         }
-        if (news instanceof ReplicaNews.EventsRead read) {
+        if (update instanceof EngineCacheUpdate.EventsRead read) {
             boolean gap = state.replicas().apply(read.endpoint(), read.lastSequence(), read.events());
             if (gap && reading.add(read.endpoint())) {
                 context.perform(new CacheOrder.ReadCacheSnapshot(
                         read.endpoint(), endpoint.get().address()));
             }
-        } else if (news instanceof ReplicaNews.SnapshotRead snapshot) {
+        } else if (update instanceof EngineCacheUpdate.SnapshotRead snapshot) {
             // A snapshot of weights that aren't the known ones names keys that no prompt has: harmless, and soon read
             // again.
             state.replicas().replace(snapshot.endpoint(), snapshot.sequence(), snapshot.blocks());
--- a/src/main/java/org/yuccagw/core/cache/StoreKeeper.java
+++ b/src/main/java/org/yuccagw/core/cache/StoreMaintenance.java
@@ -21,7 +21,7 @@
  * <p>The victim is the least valuable of a sample of runs, the deepest first among equals. A run is asked for whenever
  * one that continues it is, so it is worth at least as much: the ends of prompts go before their beginnings.
  */
-final class StoreKeeper {
+final class StoreMaintenance {
     private static final Duration STEP = Duration.ofSeconds(1);
     private static final int STEPS_BETWEEN_COLLECTIONS = 30;
     private static final int STEPS_BETWEEN_OTHERS = 5;
@@ -40,15 +40,15 @@
     private List<EntryId> live = List.of();
     private long steps;
 
-    private StoreKeeper(CacheState state) {
+    private StoreMaintenance(CacheState state) {
         this.state = state;
     }
 
     /** Bytes to free in a tier of blocks that aren't known here. */
     private record Strays(StoreTier tier, long bytes) {}
 
-    static StoreKeeper of(CacheState state) {
-        return new StoreKeeper(state);
+    static StoreMaintenance of(CacheState state) {
+        return new StoreMaintenance(state);
     }
 
     void start(ControlContext context) {
@@ -66,32 +66,32 @@
     }
 
     /** The platform lists the store; a new incarnation of its VM has nothing of the old one. */
-    void listed(StoreBook.Store store, long incarnation) {
+    void listed(StoreTable.Store store, long incarnation) {
         Long before = incarnations.put(store.id(), incarnation);
         if (before != null && before != incarnation) {
             state.prompts().dropStore(store.id());
         }
     }
 
-    void handle(StoreNews news, StoreBook.Store store, ControlContext context) {
-        if (news instanceof StoreNews.StatusRead status) {
+    void handle(StoreUpdate update, StoreTable.Store store, ControlContext context) {
+        if (update instanceof StoreUpdate.StatusRead status) {
             store.setUsage(status.memory(), status.disk());
             store.statedRate(status.linkBytesPerMilli());
             makeRoom(store, context);
-        } else if (news instanceof StoreNews.UnsealedRead unsealed) {
+        } else if (update instanceof StoreUpdate.UnsealedRead unsealed) {
             collect(unsealed, store, context);
-        } else if (news instanceof StoreNews.PageRead page) {
+        } else if (update instanceof StoreUpdate.PageRead page) {
             sweepStrays(page, store, context);
         }
     }
 
     /** Moves and evicts if a tier is over its mark. */
-    void makeRoom(StoreBook.Store store, ControlContext context) {
+    void makeRoom(StoreTable.Store store, ControlContext context) {
         if (!keeps(store.id(), context)) {
             return;
         }
-        StoreNews.Usage memory = store.usage(StoreTier.MEMORY);
-        StoreNews.Usage disk = store.usage(StoreTier.DISK);
+        StoreUpdate.Usage memory = store.usage(StoreTier.MEMORY);
+        StoreUpdate.Usage disk = store.usage(StoreTier.DISK);
         if (disk.over(DISK_HIGH) > 0) {
             evict(store, StoreTier.DISK, disk.over(DISK_LOW), context);
         } else if (disk.share() < DISK_LOW) {
@@ -113,7 +113,7 @@
             // A page that was asked for and never came must not keep the next one from being asked for.
             strays.clear();
         }
-        for (StoreBook.Store store : state.stores().all()) {
+        for (StoreTable.Store store : state.stores().all()) {
             CacheOrder.StoreAddress address = new CacheOrder.StoreAddress(store.id(), store.address());
             boolean keeps = keeps(store.id(), context);
             if (keeps || steps % STEPS_BETWEEN_OTHERS == 0) {
@@ -126,7 +126,7 @@
     }
 
     /** A writer that died leaves blocks that it never seals. Twice the longest export later none can still come. */
-    private void collect(StoreNews.UnsealedRead unsealed, StoreBook.Store store, ControlContext context) {
+    private void collect(StoreUpdate.UnsealedRead unsealed, StoreTable.Store store, ControlContext context) {
         long old = 2 * state.settings().exportDeadline().toMillis();
         List<CacheOrder.Generation> orphans = unsealed.blocks().stream()
                 .filter(block -> block.ageMillis() > old)
@@ -138,7 +138,7 @@
         }
     }
 
-    private void evict(StoreBook.Store store, StoreTier tier, long bytes, ControlContext context) {
+    private void evict(StoreTable.Store store, StoreTier tier, long bytes, ControlContext context) {
         double nowSeconds = CacheState.seconds(context.nowNanos());
         List<CacheOrder.Generation> freed = new ArrayList<>();
         long left = bytes;
@@ -168,7 +168,7 @@
      * entries were replaced. A page from a random place is read, and what it names of the tier goes; one that returns
      * meanwhile was looked up and is known again.
      */
-    private void askForStrays(StoreBook.Store store, StoreTier tier, long bytes, ControlContext context) {
+    private void askForStrays(StoreTable.Store store, StoreTier tier, long bytes, ControlContext context) {
         if (strays.putIfAbsent(store.id(), new Strays(tier, bytes)) == null) {
             BlockKey place =
                     BlockKey.of(context.random().nextLong(), context.random().nextLong());
@@ -177,14 +177,14 @@
         }
     }
 
-    private void sweepStrays(StoreNews.PageRead page, StoreBook.Store store, ControlContext context) {
+    private void sweepStrays(StoreUpdate.PageRead page, StoreTable.Store store, ControlContext context) {
         Strays wanted = strays.remove(store.id());
         if (wanted == null) {
             return;
         }
         List<CacheOrder.Generation> freed = new ArrayList<>();
         long left = wanted.bytes();
-        for (StoreNews.Found found : page.blocks()) {
+        for (StoreUpdate.Found found : page.blocks()) {
             if (left > 0 && found.tier() == wanted.tier()) {
                 freed.add(new CacheOrder.Generation(
                         found.block().key(), found.block().generation()));
@@ -198,7 +198,7 @@
         }
     }
 
-    private void demote(StoreBook.Store store, long bytes, ControlContext context) {
+    private void demote(StoreTable.Store store, long bytes, ControlContext context) {
         List<StoredBlock> moved = new ArrayList<>();
         long left = bytes;
         while (left > 0) {
@@ -220,7 +220,7 @@
     }
 
     /** The least valuable of a sample of the runs with a copy there, null if none was met. */
-    private PromptNode victim(StoreBook.Store store, StoreTier tier, ControlContext context) {
+    private PromptNode victim(StoreTable.Store store, StoreTier tier, ControlContext context) {
         double nowSeconds = CacheState.seconds(context.nowNanos());
         PromptNode least = null;
         double leastValue = Double.MAX_VALUE;
@@ -251,7 +251,7 @@
         return state.index(node, nowSeconds);
     }
 
-    private static boolean isIn(PromptNode node, StoreBook.Store store, StoreTier tier) {
+    private static boolean isIn(PromptNode node, StoreTable.Store store, StoreTier tier) {
         for (PromptNode.Copy copy : node.copies()) {
             if (copy.store().equals(store.id())) {
                 return copy.tier() == tier;
--- a/src/main/java/org/yuccagw/core/cache/StoreBook.java
+++ b/src/main/java/org/yuccagw/core/cache/StoreTable.java
@@ -16,7 +16,7 @@
  * began and its own, over the time that it took. A store that failed is left alone for a time that doubles with each
  * failure in a row, so that a dead one costs few deadlines.
  */
-public final class StoreBook {
+public final class StoreTable {
     private static final double LEARNING_RATE = 0.2;
     private static final double FIRST_BYTES_PER_MILLI = 250_000;
     private static final double FIRST_DISK_SHARE = 0.5;
@@ -26,10 +26,10 @@
 
     private final TreeMap<StoreId, Store> stores = new TreeMap<>();
 
-    private StoreBook() {}
+    private StoreTable() {}
 
-    static StoreBook create() {
-        return new StoreBook();
+    static StoreTable create() {
+        return new StoreTable();
     }
 
     public Collection<Store> all() {
@@ -56,9 +56,9 @@
     }
 
     /** All stores as operators see them. */
-    ImmutableList<StoresAsked.StoreStatus> status(long nowNanos) {
+    ImmutableList<StoresRequested.StoreStatus> status(long nowNanos) {
         return stores.values().stream()
-                .map(store -> new StoresAsked.StoreStatus(
+                .map(store -> new StoresRequested.StoreStatus(
                         store.id,
                         store.address,
                         store.isUsable(nowNanos),
@@ -79,8 +79,8 @@
         private int exports;
         private int failures;
         private long pausedUntilNanos = Long.MIN_VALUE;
-        private StoreNews.Usage memory = StoreNews.Usage.unknown();
-        private StoreNews.Usage disk = StoreNews.Usage.unknown();
+        private StoreUpdate.Usage memory = StoreUpdate.Usage.unknown();
+        private StoreUpdate.Usage disk = StoreUpdate.Usage.unknown();
         private double floorIndex;
         private boolean rateKnown;
         private boolean full;
@@ -184,11 +184,11 @@
             return bytesPerMilli.get(tier);
         }
 
-        StoreNews.Usage usage(StoreTier tier) {
+        StoreUpdate.Usage usage(StoreTier tier) {
             return tier == StoreTier.MEMORY ? memory : disk;
         }
 
-        void setUsage(StoreNews.Usage newMemory, StoreNews.Usage newDisk) {
+        void setUsage(StoreUpdate.Usage newMemory, StoreUpdate.Usage newDisk) {
             memory = newMemory;
             disk = newDisk;
             full = false;
--- a/src/main/java/org/yuccagw/core/cache/StoreNews.java
+++ b/src/main/java/org/yuccagw/core/cache/StoreUpdate.java
@@ -5,7 +5,7 @@
 import org.yuccagw.core.id.StoreId;
 
 /** What the stores told, as events. */
-public interface StoreNews extends ControlEvent {
+public interface StoreUpdate extends ControlEvent {
     StoreId store();
 
     /**
@@ -32,13 +32,13 @@
         }
     }
 
-    record StatusRead(StoreId store, Usage memory, Usage disk, double linkBytesPerMilli) implements StoreNews {}
+    record StatusRead(StoreId store, Usage memory, Usage disk, double linkBytesPerMilli) implements StoreUpdate {}
 
     /** A sealed block and its tier. */
     record Found(StoredBlock block, StoreTier tier) {}
 
     /** Answer to a lookup; empty also when the store didn't answer, which {@link Failed} tells. */
-    record BlocksFound(long number, StoreId store, List<Found> found) implements StoreNews {
+    record BlocksFound(long number, StoreId store, List<Found> found) implements StoreUpdate {
         public BlocksFound {
             found = List.copyOf(found);
         }
@@ -47,26 +47,26 @@
     /** A block that a writer began and hasn't sealed. */
     record Unsealed(BlockKey key, long generation, String writer, long ageMillis) {}
 
-    record UnsealedRead(StoreId store, List<Unsealed> blocks) implements StoreNews {
+    record UnsealedRead(StoreId store, List<Unsealed> blocks) implements StoreUpdate {
         public UnsealedRead {
             blocks = List.copyOf(blocks);
         }
     }
 
     /** A page of the sealed blocks, in the order of their keys. */
-    record PageRead(StoreId store, List<Found> blocks) implements StoreNews {
+    record PageRead(StoreId store, List<Found> blocks) implements StoreUpdate {
         public PageRead {
             blocks = List.copyOf(blocks);
         }
     }
 
     /** Blocks are in another tier now; those that didn't fit are left out. */
-    record BlocksMoved(StoreId store, StoreTier tier, List<StoredBlock> moved) implements StoreNews {
+    record BlocksMoved(StoreId store, StoreTier tier, List<StoredBlock> moved) implements StoreUpdate {
         public BlocksMoved {
             moved = List.copyOf(moved);
         }
     }
 
     /** The store didn't answer, or with an error of its own. */
-    record Failed(StoreId store, String reason) implements StoreNews {}
+    record Failed(StoreId store, String reason) implements StoreUpdate {}
 }
--- a/src/main/java/org/yuccagw/core/cache/StoredPrefix.java
+++ b/src/main/java/org/yuccagw/core/cache/StoredPrefix.java
@@ -12,7 +12,7 @@
  * @param ends depths at which the prefix may be cut with little loss, growing; the last is its whole length
  */
 public record StoredPrefix(
-        StoreBook.Store store, int from, ImmutableList<StoredBlock> blocks, ImmutableList<End> ends) {
+        StoreTable.Store store, int from, ImmutableList<StoredBlock> blocks, ImmutableList<End> ends) {
 
     /**
      * A place to cut.
@@ -32,7 +32,7 @@
     public static Optional<StoredPrefix> find(
             CacheState state, List<BlockKey> prompt, List<PromptNode> path, int from, long nowNanos) {
         StoredPrefix longest = null;
-        for (StoreBook.Store store : state.stores().all()) {
+        for (StoreTable.Store store : state.stores().all()) {
             if (!store.isUsable(nowNanos)) {
                 continue;
             }
@@ -71,7 +71,8 @@
         return fetchMillis(ends.get(ends.size() - 1));
     }
 
-    private static StoredPrefix inStore(StoreBook.Store store, List<BlockKey> prompt, List<PromptNode> path, int from) {
+    private static StoredPrefix inStore(
+            StoreTable.Store store, List<BlockKey> prompt, List<PromptNode> path, int from) {
         ImmutableList.Builder<StoredBlock> blocks = ImmutableList.builder();
         List<End> ends = new ArrayList<>();
         int depth = from;
--- a/src/main/java/org/yuccagw/core/cache/StoresAsked.java
+++ b/src/main/java/org/yuccagw/core/cache/StoresRequested.java
@@ -11,7 +11,7 @@
  *
  * <p>An event and no part of the snapshot, since operators ask rarely and links change with every fetch.
  */
-public record StoresAsked(Consumer<ImmutableList<StoreStatus>> reply) implements ControlEvent {
+public record StoresRequested(Consumer<ImmutableList<StoreStatus>> reply) implements ControlEvent {
     /**
      * One store.
      *
@@ -25,8 +25,8 @@
             StoreId store,
             NetworkAddress address,
             boolean usable,
-            StoreNews.Usage memory,
-            StoreNews.Usage disk,
+            StoreUpdate.Usage memory,
+            StoreUpdate.Usage disk,
             long foregroundBytes,
             long backgroundBytes) {}
 }
--- a/src/main/java/org/yuccagw/core/catalogue/CataloguePart.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueComponent.java
@@ -5,9 +5,9 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Optional;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.error.ErrorKind;
@@ -17,7 +17,7 @@
 import org.yuccagw.core.membership.EntryStatus.State;
 import org.yuccagw.core.membership.MembersChanged;
 import org.yuccagw.core.membership.Readiness;
-import org.yuccagw.core.membership.RevisionHeard;
+import org.yuccagw.core.membership.RevisionReported;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueCall;
 
@@ -36,7 +36,7 @@
  * <p>Readiness: an entry that heard neither the service nor any other entry for the freshness limit may serve an old
  * catalogue without knowing. It takes no new work until it hears one of them again.
  */
-public final class CataloguePart implements ControlPart, Readiness {
+public final class CatalogueComponent implements ControlComponent, Readiness {
     private static final int FAN_OUT = 4;
     private static final Duration ASK_AGAIN = Duration.ofMillis(500);
 
@@ -53,12 +53,12 @@
     private long askedUntilNanos;
     private long unreadable;
 
-    private CataloguePart(CatalogueCodec codec) {
+    private CatalogueComponent(CatalogueCodec codec) {
         this.codec = codec;
     }
 
-    public static CataloguePart of(CatalogueCodec codec) {
-        return new CataloguePart(codec);
+    public static CatalogueComponent of(CatalogueCodec codec) {
+        return new CatalogueComponent(codec);
     }
 
     @Override
@@ -74,18 +74,18 @@
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof PeerReceived received) {
             lastWordNanos = context.nowNanos();
-            if (received.message() instanceof CatalogueNews news) {
-                receive(received.from(), news);
+            if (received.message() instanceof CatalogueUpdate update) {
+                receive(received.from(), update);
             }
         } else if (event instanceof MembersChanged changed) {
             takeMembers(changed);
-        } else if (event instanceof RevisionHeard heard) {
-            ask(heard);
-        } else if (event instanceof CatalogueEditAsked asked) {
+        } else if (event instanceof RevisionReported reported) {
+            ask(reported);
+        } else if (event instanceof CatalogueEditRequested asked) {
             CatalogueEdit.begin(context, codec, asked, this::takeStored);
-        } else if (event instanceof CatalogueHistoryAsked asked) {
+        } else if (event instanceof CatalogueHistoryRequested asked) {
             answerHistory(asked);
-        } else if (event instanceof CatalogueRevisionAsked asked) {
+        } else if (event instanceof CatalogueRevisionRequested asked) {
             answerRevision(asked);
         }
     }
@@ -154,28 +154,28 @@
         }
     }
 
-    private CatalogueNews newsSince(long revision) {
+    private CatalogueUpdate newsSince(long revision) {
         if (revision == previousRevision && revision > 0) {
-            return new CatalogueNews.Delta(
+            return new CatalogueUpdate.Delta(
                     inForce.revision(), previousRevision, DocumentDelta.between(previousDocument, document));
         }
-        return new CatalogueNews.Whole(inForce.revision(), document);
+        return new CatalogueUpdate.Whole(inForce.revision(), document);
     }
 
     // ---- Other entries.
 
-    private void receive(EntryId from, CatalogueNews news) {
-        if (news instanceof CatalogueNews.Whole whole) {
+    private void receive(EntryId from, CatalogueUpdate update) {
+        if (update instanceof CatalogueUpdate.Whole whole) {
             askedUntilNanos = context.nowNanos();
             take(whole.revision(), whole.document());
-        } else if (news instanceof CatalogueNews.Delta delta) {
+        } else if (update instanceof CatalogueUpdate.Delta delta) {
             receiveDelta(from, delta);
-        } else if (news instanceof CatalogueNews.Ask asked && asked.revision() < inForce.revision()) {
+        } else if (update instanceof CatalogueUpdate.Ask asked && asked.revision() < inForce.revision()) {
             context.send(from, newsSince(asked.revision()));
         }
     }
 
-    private void receiveDelta(EntryId from, CatalogueNews.Delta delta) {
+    private void receiveDelta(EntryId from, CatalogueUpdate.Delta delta) {
         if (delta.revision() <= inForce.revision()) {
             return;
         }
@@ -185,16 +185,16 @@
         if (next.isPresent()) {
             take(delta.revision(), next.get());
         } else {
-            ask(new RevisionHeard(from, delta.revision()));
+            ask(new RevisionReported(from, delta.revision()));
         }
     }
 
     /** One question at a time, so that a revision that many members have isn't sent to this entry many times. */
-    private void ask(RevisionHeard heard) {
+    private void ask(RevisionReported reported) {
         boolean waiting = context.nowNanos() - askedUntilNanos < 0;
-        if (heard.revision() > inForce.revision() && !waiting) {
+        if (reported.revision() > inForce.revision() && !waiting) {
             askedUntilNanos = context.nowNanos() + ASK_AGAIN.toNanos();
-            context.send(heard.entry(), new CatalogueNews.Ask(inForce.revision()));
+            context.send(reported.entry(), new CatalogueUpdate.Ask(inForce.revision()));
         }
     }
 
@@ -210,35 +210,35 @@
 
     // ---- Operators' questions.
 
-    private void answerHistory(CatalogueHistoryAsked asked) {
+    private void answerHistory(CatalogueHistoryRequested asked) {
         context.call(new KeyValueCall.Read(CatalogueKeys.CURRENT), answer -> {
-            CatalogueHistoryAsked.Result result;
+            CatalogueHistoryRequested.Result result;
             try {
-                result = new CatalogueHistoryAsked.Result.History(
+                result = new CatalogueHistoryRequested.Result.History(
                         readStored(answer, inForce.revision()).edits());
             } catch (YuccagwException e) {
-                result = new CatalogueHistoryAsked.Result.Refused(e);
+                result = new CatalogueHistoryRequested.Result.Refused(e);
             }
-            CatalogueHistoryAsked.Result replied = result;
+            CatalogueHistoryRequested.Result replied = result;
             context.reply(() -> asked.reply().accept(replied));
         });
     }
 
-    private void answerRevision(CatalogueRevisionAsked asked) {
+    private void answerRevision(CatalogueRevisionRequested asked) {
         if (asked.revision() == inForce.revision()) {
-            context.reply(() -> asked.reply().accept(new CatalogueRevisionAsked.Result.Found(inForce)));
+            context.reply(() -> asked.reply().accept(new CatalogueRevisionRequested.Result.Found(inForce)));
             return;
         }
         context.call(new KeyValueCall.Read(CatalogueKeys.history(asked.revision())), answer -> {
-            CatalogueRevisionAsked.Result result;
+            CatalogueRevisionRequested.Result result;
             try {
                 byte[] found = readStored(answer, asked.revision()).document();
-                result = new CatalogueRevisionAsked.Result.Found(
+                result = new CatalogueRevisionRequested.Result.Found(
                         codec.decode(found).atRevision(asked.revision()));
             } catch (YuccagwException e) {
-                result = new CatalogueRevisionAsked.Result.Refused(e);
+                result = new CatalogueRevisionRequested.Result.Refused(e);
             }
-            CatalogueRevisionAsked.Result replied = result;
+            CatalogueRevisionRequested.Result replied = result;
             context.reply(() -> asked.reply().accept(replied));
         });
     }
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueEdit.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueEdit.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.SortedSet;
-import org.yuccagw.core.catalogue.CatalogueEditAsked.Result;
+import org.yuccagw.core.catalogue.CatalogueEditRequested.Result;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
@@ -37,7 +37,7 @@
 
     private final ControlContext context;
     private final CatalogueCodec codec;
-    private final CatalogueEditAsked asked;
+    private final CatalogueEditRequested requested;
     private final Acceptance acceptance;
     private final long deadlineNanos;
     private boolean swapSent;
@@ -48,16 +48,17 @@
     }
 
     private CatalogueEdit(
-            ControlContext context, CatalogueCodec codec, CatalogueEditAsked asked, Acceptance acceptance) {
+            ControlContext context, CatalogueCodec codec, CatalogueEditRequested requested, Acceptance acceptance) {
         this.context = context;
         this.codec = codec;
-        this.asked = asked;
+        this.requested = requested;
         this.acceptance = acceptance;
         this.deadlineNanos = context.nowNanos() + LONGEST.toNanos();
     }
 
-    static void begin(ControlContext context, CatalogueCodec codec, CatalogueEditAsked asked, Acceptance acceptance) {
-        new CatalogueEdit(context, codec, asked, acceptance).read();
+    static void begin(
+            ControlContext context, CatalogueCodec codec, CatalogueEditRequested requested, Acceptance acceptance) {
+        new CatalogueEdit(context, codec, requested, acceptance).read();
     }
 
     private void read() {
@@ -75,10 +76,10 @@
         try {
             StoredCatalogue stored =
                     item.isPresent() ? StoredCatalogue.decode(item.get().value()) : StoredCatalogue.empty();
-            Optional<AcceptedEdit> earlier = stored.edit(asked.editId());
+            Optional<AcceptedEdit> earlier = stored.edit(requested.editId());
             if (earlier.isPresent()) {
                 accept(stored, earlier.get().revision());
-            } else if (stored.revision() != asked.baseRevision()) {
+            } else if (stored.revision() != requested.baseRevision()) {
                 explainConflict(stored);
             } else {
                 keepPredecessor(stored, item.map(Item::revision).orElse(KeyValueCall.ABSENT));
@@ -90,8 +91,8 @@
 
     private void keepPredecessor(StoredCatalogue stored, long keyRevision) throws YuccagwException {
         // The revision stands beside the document: in it, each delta would reach from there to the changed field.
-        byte[] document = codec.encode(asked.wanted().atRevision(0));
-        byte[] next = stored.successor(asked.editId(), asked.operator(), context.wallMillis(), document)
+        byte[] document = codec.encode(requested.wanted().atRevision(0));
+        byte[] next = stored.successor(requested.editId(), requested.operator(), context.wallMillis(), document)
                 .encode();
         if (next.length > LARGEST_VALUE_BYTES) {
             throw ErrorKind.CATALOGUE_TOO_LARGE.raise(next.length, LARGEST_VALUE_BYTES);
@@ -151,7 +152,7 @@
 
     private void explainConflict(StoredCatalogue stored) throws YuccagwException {
         Catalogue current = codec.decode(stored.document());
-        context.call(new KeyValueCall.Read(CatalogueKeys.history(asked.baseRevision())), answer -> {
+        context.call(new KeyValueCall.Read(CatalogueKeys.history(requested.baseRevision())), answer -> {
             try {
                 refuse(ErrorKind.CATALOGUE_CONFLICT.raise(stored.revision(), fieldsInConflict(answer, current)));
             } catch (YuccagwException e) {
@@ -165,21 +166,22 @@
             byte[] value = found.items().get(0).value();
             Catalogue base = codec.decode(StoredCatalogue.decode(value).document());
             SortedSet<String> theirs = CatalogueDifference.between(base, current);
-            SortedSet<String> both = CatalogueDifference.between(base, asked.wanted());
+            SortedSet<String> both = CatalogueDifference.between(base, requested.wanted());
             both.retainAll(theirs);
             String fields = both.isEmpty() ? "no field" : String.join(", ", both);
-            return fields + " (accepted since revision " + asked.baseRevision() + ": " + String.join(", ", theirs)
+            return fields + " (accepted since revision " + requested.baseRevision() + ": " + String.join(", ", theirs)
                     + ")";
         }
-        SortedSet<String> differing = CatalogueDifference.between(current, asked.wanted());
-        return String.join(", ", differing) + " (revision " + asked.baseRevision() + " isn't in the history any more)";
+        SortedSet<String> differing = CatalogueDifference.between(current, requested.wanted());
+        return String.join(", ", differing) + " (revision " + requested.baseRevision()
+                + " isn't in the history any more)";
     }
 
     private void later(Runnable step, KeyValueAnswer answer) {
         if (context.nowNanos() + PAUSE.toNanos() - deadlineNanos < 0) {
             context.after(PAUSE, step);
         } else if (swapSent) {
-            refuse(ErrorKind.EDIT_UNCONFIRMED.raise(asked.editId()));
+            refuse(ErrorKind.EDIT_UNCONFIRMED.raise(requested.editId()));
         } else {
             refuse(ErrorKind.STATE_UNAVAILABLE.raise(CatalogueKeys.reason(answer)));
         }
@@ -187,10 +189,10 @@
 
     private void accept(StoredCatalogue stored, long revision) {
         acceptance.accepted(stored);
-        context.reply(() -> asked.reply().accept(new Result.Accepted(revision)));
+        context.reply(() -> requested.reply().accept(new Result.Accepted(revision)));
     }
 
     private void refuse(YuccagwException error) {
-        context.reply(() -> asked.reply().accept(new Result.Refused(error)));
+        context.reply(() -> requested.reply().accept(new Result.Refused(error)));
     }
 }
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueEditAsked.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueEditRequested.java
@@ -12,7 +12,7 @@
  * @param editId names this edit for good: asked again under the same id, it is not made twice
  * @param operator who asks, for the history
  */
-public record CatalogueEditAsked(
+public record CatalogueEditRequested(
         long baseRevision, Catalogue wanted, String editId, String operator, Consumer<Result> reply)
         implements ControlEvent {
 
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueHistoryAsked.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueHistoryRequested.java
@@ -6,7 +6,7 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /** An operator wants the list of the latest accepted edits. The reply comes exactly once. */
-public record CatalogueHistoryAsked(Consumer<Result> reply) implements ControlEvent {
+public record CatalogueHistoryRequested(Consumer<Result> reply) implements ControlEvent {
     /** The list, or why it can't be read. */
     public interface Result {
         /** Latest edits, the newest last. */
--- a/src/main/java/org/yuccagw/core/claim/ClaimAsker.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimClient.java
@@ -34,7 +34,7 @@
  * <p>An attempt that is given up before it was decided leaves as an end "not sent", so that the key can be claimed
  * again if the owner recorded the claim all the same.
  */
-final class ClaimAsker {
+final class ClaimClient {
     private static final Duration RESEND = Duration.ofMillis(300);
     private static final Duration LONGEST_WAIT = Duration.ofMillis(2500);
     private static final Duration END_RESEND = Duration.ofSeconds(1);
@@ -53,7 +53,7 @@
     private long forgottenThrough;
     private boolean resendingEnds;
 
-    ClaimAsker(ControlContext context, Directory directory) {
+    ClaimClient(ControlContext context, Directory directory) {
         this.context = context;
         this.directory = directory;
     }
@@ -70,18 +70,18 @@
 
     private record Pending(ShardNumber shard, Claim claim, ClaimRecord wanted, Consumer<ClaimDecision> reply) {}
 
-    void asked(ClaimAsked asked) {
-        Claim claim = asked.claim();
+    void asked(ClaimRequested requested) {
+        Claim claim = requested.claim();
         ClaimKey key = ClaimKey.of(claim);
         Optional<ShardNumber> shard = directory.shardOf(key);
         if (isKnown(claim)) {
-            answer(asked.reply(), new ClaimDecision.Running(claim.entry(), claim.request()));
+            answer(requested.reply(), new ClaimDecision.Running(claim.entry(), claim.request()));
         } else if (shard.isEmpty() || directory.ownerOf(shard.get()).isEmpty()) {
-            answer(asked.reply(), unavailable("the shard of the key has no owner now"));
+            answer(requested.reply(), unavailable("the shard of the key has no owner now"));
         } else {
             long number = nextNumber++;
             ClaimRecord wanted = ClaimRecord.running(claim, attempt(number), context.wallMillis());
-            pending.put(number, new Pending(shard.get(), claim, wanted, asked.reply()));
+            pending.put(number, new Pending(shard.get(), claim, wanted, requested.reply()));
             asking.add(claim);
             send(number);
             context.after(LONGEST_WAIT, () -> giveUp(number, "the owner of the shard did not answer"));
--- a/src/main/java/org/yuccagw/core/claim/ClaimPart.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimComponent.java
@@ -13,9 +13,9 @@
 import org.yuccagw.core.claim.ClaimPeerMessage.EndRecorded;
 import org.yuccagw.core.claim.ClaimPeerMessage.Ended;
 import org.yuccagw.core.claim.ClaimPeerMessage.StillRunning;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.id.EntryId;
@@ -29,13 +29,13 @@
 import org.yuccagw.core.shard.ShardsSnapshot.Ownership;
 
 /**
- * Claims of keyed requests, both sides: {@link ClaimAsker} asks for this entry's traffic, a {@link ClaimShard}
+ * Claims of keyed requests, both sides: {@link ClaimClient} asks for this entry's traffic, a {@link ClaimShard}
  * for each owned shard decides.
  *
  * <p>Promise: for one key, at most one request is ever granted, over all entries, for as long as the record is kept;
  * and a request that is refused as not run is never granted afterwards.
  */
-public final class ClaimPart implements ControlPart {
+public final class ClaimComponent implements ControlComponent {
     private static final Duration MEMBERS_SETTLE = Duration.ofSeconds(10);
 
     private final ShardAuthority authority;
@@ -46,10 +46,10 @@
     private final Map<EntryId, EntryStatus> members = new HashMap<>();
     private SystemLimits limits = SystemLimits.usual();
     private ControlContext context;
-    private ClaimAsker asker;
+    private ClaimClient client;
     private long membersSinceNanos;
 
-    private ClaimPart(
+    private ClaimComponent(
             ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec, ClaimGuards guards) {
         this.authority = authority;
         this.shards = shards;
@@ -63,28 +63,28 @@
      * @param authority proves the lease right before an effect
      * @param shards who owns which shard, as far as this entry knows; asked on the control thread
      */
-    public static ClaimPart of(ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec) {
+    public static ClaimComponent of(ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec) {
         return withGuards(authority, shards, codec, ClaimGuards.usual());
     }
 
     /** For tests and experiments that take a guard away; daemons use {@link #of}. */
-    public static ClaimPart withGuards(
+    public static ClaimComponent withGuards(
             ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec, ClaimGuards guards) {
-        return new ClaimPart(authority, shards, codec, guards);
+        return new ClaimComponent(authority, shards, codec, guards);
     }
 
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        asker = new ClaimAsker(context, new Owners());
+        client = new ClaimClient(context, new Owners());
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof ClaimAsked asked) {
-            asker.asked(asked);
+        if (event instanceof ClaimRequested requested) {
+            client.asked(requested);
         } else if (event instanceof ClaimEnded ended) {
-            asker.ended(ended);
+            client.ended(ended);
         } else if (event instanceof PeerReceived received && received.message() instanceof ClaimPeerMessage message) {
             receive(message);
         } else if (event instanceof ShardGained gained) {
@@ -100,16 +100,16 @@
 
     @Override
     public void contribute(ControlSnapshot.Builder snapshot) {
-        snapshot.put(ClaimsSnapshot.class, new ClaimsSnapshot(owned.size(), asker.running(), asker.endsToRecord()));
+        snapshot.put(ClaimsSnapshot.class, new ClaimsSnapshot(owned.size(), client.running(), client.endsToRecord()));
     }
 
     private void receive(ClaimPeerMessage message) {
         if (message instanceof Decided decided) {
-            asker.decided(decided);
+            client.decided(decided);
         } else if (message instanceof EndRecorded recorded) {
-            asker.endRecorded(recorded);
+            client.endRecorded(recorded);
         } else if (message instanceof StillRunning question) {
-            asker.stillRunning(question);
+            client.stillRunning(question);
         } else if (owned.containsKey(message.shard())) {
             receiveAsOwner(message, owned.get(message.shard()));
         }
@@ -154,7 +154,7 @@
     }
 
     /** What the asking side needs. */
-    private final class Owners implements ClaimAsker.Directory {
+    private final class Owners implements ClaimClient.Directory {
         @Override
         public Optional<ShardNumber> shardOf(ClaimKey key) {
             int count = shards.get().count();
--- a/src/main/java/org/yuccagw/core/claim/ClaimDecision.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimDecision.java
@@ -4,7 +4,7 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.RequestId;
 
-/** The answer to a {@link ClaimAsked}. */
+/** The answer to a {@link ClaimRequested}. */
 public interface ClaimDecision {
     /** The claim is committed: the endpoint may see the request, once. */
     record Granted() implements ClaimDecision {}
--- a/src/main/java/org/yuccagw/core/claim/ClaimShard.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimShard.java
@@ -56,7 +56,7 @@
  *       are taken out by the next commit, and until then nobody is told that they run.
  *   <li>A lost commit lands after the owner lost the shard or died: the next owner finds a record whose entry never
  *       got a grant. When the key is asked for again it asks that entry, which says that it sent nothing; see
- *       {@link ClaimAsker}. If that entry is dead too, the outcome stays unknown and the key never runs.
+ *       {@link ClaimClient}. If that entry is dead too, the outcome stays unknown and the key never runs.
  *   <li>No answer at all within the longest wait: as lost. An answer after that is ignored.
  * </ol>
  *
--- a/src/main/java/org/yuccagw/core/control/ControlContext.java
+++ b/src/main/java/org/yuccagw/core/control/ControlContext.java
@@ -8,7 +8,7 @@
 import org.yuccagw.core.port.KeyValueCall;
 import org.yuccagw.core.port.PeerMessage;
 
-/** What a {@link ControlPart} may use: time, chance and identity passed in, effects passed out. */
+/** What a {@link ControlComponent} may use: time, chance and identity passed in, effects passed out. */
 public interface ControlContext {
     /** Monotonic time in nanoseconds, the same during one event. */
     long nowNanos();
--- a/src/main/java/org/yuccagw/core/control/ControlCore.java
+++ b/src/main/java/org/yuccagw/core/control/ControlCore.java
@@ -32,7 +32,7 @@
 public final class ControlCore {
     private final EntryIdentity self;
     private final RandomGenerator random;
-    private final List<ControlPart> parts;
+    private final List<ControlComponent> components;
     private final Context context = new Context();
     private final PriorityQueue<Waiting> timers = new PriorityQueue<>();
     private final Map<Long, Consumer<KeyValueAnswer>> continuations = new HashMap<>();
@@ -46,14 +46,14 @@
     private long nextTimer = 1;
     private boolean changed;
 
-    private ControlCore(EntryIdentity self, RandomGenerator random, List<ControlPart> parts) {
+    private ControlCore(EntryIdentity self, RandomGenerator random, List<ControlComponent> components) {
         this.self = self;
         this.random = random;
-        this.parts = List.copyOf(parts);
+        this.components = List.copyOf(components);
     }
 
-    public static ControlCore of(EntryIdentity self, RandomGenerator random, List<ControlPart> parts) {
-        return new ControlCore(self, random, parts);
+    public static ControlCore of(EntryIdentity self, RandomGenerator random, List<ControlComponent> components) {
+        return new ControlCore(self, random, components);
     }
 
     /** What the core asks of its surroundings, in order. */
@@ -76,8 +76,8 @@
     /** Starts all parts. */
     public List<Effect> start(long monotonicNanos, long wallClockMillis) {
         advance(monotonicNanos, wallClockMillis);
-        for (ControlPart part : parts) {
-            part.start(context);
+        for (ControlComponent component : components) {
+            component.start(context);
         }
         drainRaised();
         changed = true;
@@ -109,8 +109,8 @@
     public ControlSnapshot snapshot() {
         if (changed) {
             ControlSnapshot.Builder builder = snapshot.toBuilder();
-            for (ControlPart part : parts) {
-                part.contribute(builder);
+            for (ControlComponent component : components) {
+                component.contribute(builder);
             }
             snapshot = builder.build();
             changed = false;
@@ -152,8 +152,8 @@
             }
             return;
         }
-        for (ControlPart part : parts) {
-            part.handle(event, context);
+        for (ControlComponent component : components) {
+            component.handle(event, context);
         }
     }
 
--- a/src/main/java/org/yuccagw/core/duty/DutyPart.java
+++ b/src/main/java/org/yuccagw/core/duty/DutyComponent.java
@@ -6,19 +6,19 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.Decision;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactCodec;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordCodec;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EntryId;
-import org.yuccagw.core.lease.LeaseKeeper;
+import org.yuccagw.core.lease.LeaseRenewer;
 import org.yuccagw.core.lease.LeaseTimes;
 import org.yuccagw.core.lease.PauseWatch;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueCall;
 
@@ -34,7 +34,7 @@
  *
  * <p>Invariant: {@link #mayAct} is true for one entry at most, up to the separation.
  */
-public final class DutyPart implements ControlPart {
+public final class DutyComponent implements ControlComponent {
     /**
      * Short, because a dead holder's lease, the separation and the loading of all engines must fit between the naming
      * of weights and the time when no request may begin on older ones, which is 8 s on the smallest deployments.
@@ -48,15 +48,15 @@
     private static final Duration CLAIM_PATIENCE = Duration.ofMillis(1500);
 
     private final String duty;
-    private final FactCodec codec;
+    private final KeyValueRecordCodec codec;
     private final Supplier<List<EntryId>> candidates;
     private final BooleanSupplier reachable;
     private final Duration separation;
     private final PauseWatch pauses = new PauseWatch();
 
     private ControlContext context;
-    private LeaseKeeper lease;
-    private Optional<Fact.DutyHeld> holder = Optional.empty();
+    private LeaseRenewer lease;
+    private Optional<KeyValueRecord.DutyHeld> holder = Optional.empty();
     private boolean holding;
     private boolean claiming;
     private boolean leaving;
@@ -65,9 +65,9 @@
     private long actsFromNanos;
     private boolean turnPending;
 
-    private DutyPart(
+    private DutyComponent(
             String duty,
-            FactCodec codec,
+            KeyValueRecordCodec codec,
             Supplier<List<EntryId>> candidates,
             BooleanSupplier reachable,
             Duration separation) {
@@ -85,13 +85,13 @@
      * @param reachable whether the key-value service answers this entry at present
      * @param separation time between the last order of one holder and the first of the next
      */
-    public static DutyPart of(
+    public static DutyComponent of(
             String duty,
-            FactCodec codec,
+            KeyValueRecordCodec codec,
             Supplier<List<EntryId>> candidates,
             BooleanSupplier reachable,
             Duration separation) {
-        return new DutyPart(duty, codec, candidates, reachable, separation);
+        return new DutyComponent(duty, codec, candidates, reachable, separation);
     }
 
     /** This entry holds the duty and may act from now on. */
@@ -103,23 +103,25 @@
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        lease = LeaseKeeper.of(context, LEASE, this::claim, () -> stepDown("lease lapsed"));
+        lease = LeaseRenewer.of(context, LEASE, this::claim, () -> stepDown("lease lapsed"));
         context.after(LOOK, this::look);
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof FactSeen seen) {
-            if (seen.fact() instanceof Fact.DutyHeld held && held.duty().equals(duty)) {
-                onHeld(held, seen.revision());
+        if (event instanceof KeyValueRecordUpdated updated) {
+            if (updated.record() instanceof KeyValueRecord.DutyHeld held
+                    && held.duty().equals(duty)) {
+                onHeld(held, updated.revision());
             }
-        } else if (event instanceof FactGone gone && gone.subject().equals(new Fact.Subject.DutySubject(duty))) {
+        } else if (event instanceof KeyValueRecordRemoved removed
+                && removed.subject().equals(new KeyValueRecord.Subject.DutySubject(duty))) {
             holder = Optional.empty();
             if (holding) {
                 stepDown("key removed");
             }
             tryInTurn();
-        } else if (event instanceof StopAsked) {
+        } else if (event instanceof StopRequested) {
             leaving = true;
             if (holding || claiming) {
                 stepDown("stopping");
@@ -188,16 +190,16 @@
         if (handle.isEmpty()) {
             return;
         }
-        Fact.DutyHeld own =
-                new Fact.DutyHeld(duty, context.self().entry(), context.self().incarnation());
-        FactCodec.Entry entry = codec.encode(own);
+        KeyValueRecord.DutyHeld own = new KeyValueRecord.DutyHeld(
+                duty, context.self().entry(), context.self().incarnation());
+        KeyValueRecordCodec.Entry entry = codec.encode(own);
         context.call(
                 new KeyValueCall.CompareAndSwap(entry.key(), KeyValueCall.ABSENT, entry.value(), handle),
                 answer -> onClaimed(own, answer));
     }
 
     /** A lost answer changes nothing here: if the write took effect, the key itself says so a moment later. */
-    private void onClaimed(Fact.DutyHeld own, KeyValueAnswer answer) {
+    private void onClaimed(KeyValueRecord.DutyHeld own, KeyValueAnswer answer) {
         if (answer instanceof KeyValueAnswer.Written written) {
             onHeld(own, written.revision());
         } else if (answer instanceof KeyValueAnswer.Conflict || answer instanceof KeyValueAnswer.Refused) {
@@ -205,7 +207,7 @@
         }
     }
 
-    private void onHeld(Fact.DutyHeld held, long revision) {
+    private void onHeld(KeyValueRecord.DutyHeld held, long revision) {
         holder = Optional.of(held);
         boolean own = held.holder().equals(context.self().entry())
                 && held.incarnation() == context.self().incarnation();
--- a/src/main/java/org/yuccagw/core/duty/WeightOrdersPart.java
+++ b/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
@@ -11,20 +11,20 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.ToIntFunction;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.fleet.ModelWeights;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
-import org.yuccagw.core.follow.NamedWeightsPart;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
+import org.yuccagw.core.follow.NamedWeightsComponent;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.peers.PeerStatus;
-import org.yuccagw.core.ratelimit.OwnCalls;
+import org.yuccagw.core.ratelimit.InternalCalls;
 
 /**
  * Brings every engine to the newest named weights while this entry holds the duty.
@@ -50,7 +50,7 @@
  *   <li>unknown or not sent: ask its state again
  * </ol>
  */
-public final class WeightOrdersPart implements ControlPart {
+public final class WeightOrdersComponent implements ControlComponent {
     /**
      * Part of the engines that load at once. Every prompt is computed anew on the newer weights, which takes all that
      * the engines have; what is missing meanwhile becomes a queue that lasts for ten seconds.
@@ -96,11 +96,11 @@
     /** A state or order whose answer never comes must not keep an engine from being asked again. */
     private static final Duration CALL_PATIENCE = Duration.ofMillis(1500);
 
-    private final DutyPart duty;
-    private final NamedWeightsPart named;
+    private final DutyComponent duty;
+    private final NamedWeightsComponent named;
     private final Runnable announce;
     private final ToIntFunction<EndpointId> load;
-    private final OwnCalls calls;
+    private final InternalCalls calls;
     private final Map<EndpointId, ListedEndpoint> engines = new LinkedHashMap<>();
     private final Map<EndpointId, Loading> inProgress = new LinkedHashMap<>();
     private final Map<EndpointId, Heard> heard = new LinkedHashMap<>();
@@ -122,8 +122,12 @@
         }
     }
 
-    private WeightOrdersPart(
-            DutyPart duty, NamedWeightsPart named, Runnable announce, ToIntFunction<EndpointId> load, OwnCalls calls) {
+    private WeightOrdersComponent(
+            DutyComponent duty,
+            NamedWeightsComponent named,
+            Runnable announce,
+            ToIntFunction<EndpointId> load,
+            InternalCalls calls) {
         this.duty = duty;
         this.named = named;
         this.announce = announce;
@@ -139,9 +143,13 @@
      * @param load how many requests run on an engine; idle ones load first
      * @param calls what engines bear of calls that are no requests
      */
-    public static WeightOrdersPart of(
-            DutyPart duty, NamedWeightsPart named, Runnable announce, ToIntFunction<EndpointId> load, OwnCalls calls) {
-        return new WeightOrdersPart(duty, named, announce, load, calls);
+    public static WeightOrdersComponent of(
+            DutyComponent duty,
+            NamedWeightsComponent named,
+            Runnable announce,
+            ToIntFunction<EndpointId> load,
+            InternalCalls calls) {
+        return new WeightOrdersComponent(duty, named, announce, load, calls);
     }
 
     @Override
@@ -152,13 +160,14 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof FactSeen seen) {
-            take(seen.fact());
-        } else if (event instanceof FactGone gone && gone.subject() instanceof Fact.Subject.EndpointSubject subject) {
+        if (event instanceof KeyValueRecordUpdated updated) {
+            take(updated.record());
+        } else if (event instanceof KeyValueRecordRemoved removed
+                && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
             forget(subject.endpoint());
-        } else if (event instanceof DutyPart.DutyBegun || event instanceof NamedWeightsPart.Named) {
+        } else if (event instanceof DutyComponent.DutyBegun || event instanceof NamedWeightsComponent.Named) {
             proceed();
-        } else if (event instanceof DutyPart.DutyEnded) {
+        } else if (event instanceof DutyComponent.DutyEnded) {
             inProgress.clear();
         } else if (event instanceof EngineAnswer.Told told) {
             onState(told);
@@ -191,8 +200,8 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private void take(Fact fact) {
-        if (fact instanceof Fact.EndpointListed listed) {
+    private void take(KeyValueRecord record) {
+        if (record instanceof KeyValueRecord.EndpointListed listed) {
             ListedEndpoint endpoint = listed.endpoint();
             noteStart(endpoint);
             if (endpoint.leaving() || endpoint.weights().isEmpty()) {
--- a/src/main/java/org/yuccagw/core/endpoint/EndpointsPart.java
+++ b/src/main/java/org/yuccagw/core/endpoint/EndpointsComponent.java
@@ -13,9 +13,9 @@
 import java.util.stream.Collectors;
 import org.yuccagw.core.catalogue.CatalogueChanged;
 import org.yuccagw.core.catalogue.Service;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.endpoint.AttemptObserved.Outcome;
@@ -44,7 +44,7 @@
  * <p>Each endpoint is probed by at most {@link #PROBERS} entries, chosen on a hash ring ({@link
  * ProbeRing}); with as many entries or fewer, by all.
  */
-public final class EndpointsPart implements ControlPart {
+public final class EndpointsComponent implements ControlComponent {
     static final int PROBERS = 16;
 
     private static final Duration LIST_INTERVAL = Duration.ofSeconds(1);
@@ -66,10 +66,10 @@
     private EndpointsSnapshot snapshot = EndpointsSnapshot.empty();
     private EndpointId lastProbed = EndpointId.of("-");
 
-    private EndpointsPart() {}
+    private EndpointsComponent() {}
 
-    public static EndpointsPart of() {
-        return new EndpointsPart();
+    public static EndpointsComponent of() {
+        return new EndpointsComponent();
     }
 
     @Override
--- a/src/main/java/org/yuccagw/core/follow/ConfiguredPart.java
+++ b/src/main/java/org/yuccagw/core/follow/ConfigurationComponent.java
@@ -1,9 +1,9 @@
 package org.yuccagw.core.follow;
 
 import java.util.Optional;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.deployment.Deployment;
@@ -12,13 +12,13 @@
  * The configuration in force on this entry. It never goes back: whatever arrives late, by a slow answer or from a peer
  * that lags, only a higher version replaces the present one.
  */
-public final class ConfiguredPart implements ControlPart {
+public final class ConfigurationComponent implements ControlComponent {
     private Optional<Deployment> present = Optional.empty();
 
-    private ConfiguredPart() {}
+    private ConfigurationComponent() {}
 
-    public static ConfiguredPart create() {
-        return new ConfiguredPart();
+    public static ConfigurationComponent create() {
+        return new ConfigurationComponent();
     }
 
     public Optional<Deployment> present() {
@@ -27,7 +27,8 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext context) {
-        if (event instanceof FactSeen seen && seen.fact() instanceof Fact.Configured configured) {
+        if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.Configured configured) {
             Deployment offered = configured.deployment();
             boolean newer =
                     present.map(known -> offered.version() > known.version()).orElse(true);
@@ -35,7 +36,7 @@
                 context.perform(Decision.of("configuration-applied")
                         .with("version", offered.version())
                         .with("before", present.map(Deployment::version).orElse(0L))
-                        .with("revision", seen.revision())
+                        .with("revision", updated.revision())
                         .with("routes", offered.routeCount()));
                 present = Optional.of(offered);
                 context.raise(new Applied(offered));
--- a/src/main/java/org/yuccagw/core/follow/FollowPart.java
+++ b/src/main/java/org/yuccagw/core/follow/KeyValueFollowComponent.java
@@ -9,9 +9,9 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.TreeMap;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
@@ -48,7 +48,7 @@
  * <p>The waiting time of a watch is short on purpose. A connection that something between the two ends has lost track
  * of shows no error; the watch that comes back empty proves that it still works.
  */
-public final class FollowPart implements ControlPart {
+public final class KeyValueFollowComponent implements ControlComponent {
     /** Bounds how long a silent connection hides a change; the tightest bound on a change is two seconds. */
     static final Duration WATCH_WAIT = Duration.ofMillis(1200);
 
@@ -91,7 +91,7 @@
     private static final int MOST_REMOVALS = 2_000;
     private static final long NOTHING = 0;
 
-    private final FactCodec codec;
+    private final KeyValueRecordCodec codec;
     private final Fleet fleet;
     private final TreeMap<String, Held> held = new TreeMap<>();
     private ControlContext context;
@@ -110,14 +110,14 @@
     private boolean askPending;
     private int removals;
 
-    private FollowPart(FactCodec codec, Fleet fleet) {
+    private KeyValueFollowComponent(KeyValueRecordCodec codec, Fleet fleet) {
         this.codec = codec;
         this.fleet = fleet;
     }
 
     /** The copy of one entry. */
-    public static FollowPart of(FactCodec codec, Fleet fleet) {
-        return new FollowPart(codec, fleet);
+    public static KeyValueFollowComponent of(KeyValueRecordCodec codec, Fleet fleet) {
+        return new KeyValueFollowComponent(codec, fleet);
     }
 
     /** Who watches in this fleet. */
@@ -445,12 +445,12 @@
         held.put(item.key(), new Held(item, context.nowNanos()));
         if (item.deleted()) {
             removals++;
-            context.raise(new FactGone(codec.subject(item.key()), item.revision(), afterOutage));
+            context.raise(new KeyValueRecordRemoved(codec.subject(item.key()), item.revision(), afterOutage));
             return;
         }
         try {
             codec.decode(item.key(), item.value())
-                    .ifPresent(fact -> context.raise(new FactSeen(fact, item.revision(), !everConfirmed)));
+                    .ifPresent(fact -> context.raise(new KeyValueRecordUpdated(fact, item.revision(), !everConfirmed)));
         } catch (YuccagwException unreadable) {
             noteUnreadable(item);
             context.perform(Decision.of("value-unreadable")
@@ -465,9 +465,9 @@
      * all other keys the state before stays in force, since half-read configuration would be worse than an older one.
      */
     private void noteUnreadable(Item item) {
-        Fact.Subject subject = codec.subject(item.key());
-        if (subject instanceof Fact.Subject.EndpointSubject) {
-            context.raise(new FactGone(subject, item.revision(), false));
+        KeyValueRecord.Subject subject = codec.subject(item.key());
+        if (subject instanceof KeyValueRecord.Subject.EndpointSubject) {
+            context.raise(new KeyValueRecordRemoved(subject, item.revision(), false));
         }
     }
 
--- a/src/main/java/org/yuccagw/core/follow/FactCodec.java
+++ b/src/main/java/org/yuccagw/core/follow/KeyValueRecordCodec.java
@@ -4,7 +4,7 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /** From keys and values of the key-value service to facts; the adapter of the platform knows how they are spelled. */
-public interface FactCodec {
+public interface KeyValueRecordCodec {
     /** The prefix under which every key lies that is followed. */
     String followedPrefix();
 
@@ -13,16 +13,16 @@
      *
      * @throws YuccagwException of kind STATE_UNREADABLE when the value isn't as agreed
      */
-    Optional<Fact> decode(String key, byte[] value) throws YuccagwException;
+    Optional<KeyValueRecord> decode(String key, byte[] value) throws YuccagwException;
 
     /** What the removal of the key is about. */
-    Fact.Subject subject(String key);
+    KeyValueRecord.Subject subject(String key);
 
     /** The key and value under which an entry registers or holds a duty. */
-    Entry encode(Fact.EntryListed listed);
+    Entry encode(KeyValueRecord.EntryListed listed);
 
     /** The key and value of a duty. */
-    Entry encode(Fact.DutyHeld held);
+    Entry encode(KeyValueRecord.DutyHeld held);
 
     /** A key and its value. */
     record Entry(String key, byte[] value) {}
--- a/src/main/java/org/yuccagw/core/follow/FactGone.java
+++ b/src/main/java/org/yuccagw/core/follow/KeyValueRecordRemoved.java
@@ -8,4 +8,5 @@
  * @param revision of the removal, or of the list that lacks the key
  * @param afterOutage whether the key-value service has just been away, so that the key may come back in a moment
  */
-public record FactGone(Fact.Subject subject, long revision, boolean afterOutage) implements ControlEvent {}
+public record KeyValueRecordRemoved(KeyValueRecord.Subject subject, long revision, boolean afterOutage)
+        implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/follow/FactSeen.java
+++ b/src/main/java/org/yuccagw/core/follow/KeyValueRecordUpdated.java
@@ -8,4 +8,4 @@
  * @param revision of the write
  * @param ageUnknown whether the key was found at the start of this entry, so that it may have been written long ago
  */
-public record FactSeen(Fact fact, long revision, boolean ageUnknown) implements ControlEvent {}
+public record KeyValueRecordUpdated(KeyValueRecord record, long revision, boolean ageUnknown) implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/follow/NamedWeightsPart.java
+++ b/src/main/java/org/yuccagw/core/follow/NamedWeightsComponent.java
@@ -6,9 +6,9 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.OptionalLong;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.fleet.ModelWeights;
 
@@ -24,7 +24,7 @@
  * <p>An entry that has just started can't know when the weights that it finds were named. It takes that for nearly all
  * of the allowed time ago.
  */
-public final class NamedWeightsPart implements ControlPart {
+public final class NamedWeightsComponent implements ControlComponent {
     /** What a starting entry allows itself; the platform doesn't hold it to the limit before that. */
     private static final Duration LEFT_AT_START = Duration.ofMillis(2500);
 
@@ -33,7 +33,7 @@
 
     private record Naming(long version, long sinceNanos) {}
 
-    private NamedWeightsPart(Duration oldWeightsAllowed) {
+    private NamedWeightsComponent(Duration oldWeightsAllowed) {
         this.oldWeightsAllowed = oldWeightsAllowed;
     }
 
@@ -42,15 +42,16 @@
      *
      * @param oldWeightsAllowed how long after newer weights were named requests may begin on older ones
      */
-    public static NamedWeightsPart of(Duration oldWeightsAllowed) {
-        return new NamedWeightsPart(oldWeightsAllowed);
+    public static NamedWeightsComponent of(Duration oldWeightsAllowed) {
+        return new NamedWeightsComponent(oldWeightsAllowed);
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext context) {
-        if (event instanceof FactSeen seen && seen.fact() instanceof Fact.WeightsNamed named) {
+        if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.WeightsNamed named) {
             long unknownNanos = oldWeightsAllowed.minus(LEFT_AT_START).toNanos();
-            take(named.weights(), context.nowNanos() - (seen.ageUnknown() ? unknownNanos : 0), context);
+            take(named.weights(), context.nowNanos() - (updated.ageUnknown() ? unknownNanos : 0), context);
         }
     }
 
--- a/src/main/java/org/yuccagw/core/forward/ForwardEffects.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardEffects.java
@@ -6,11 +6,11 @@
 import java.util.OptionalLong;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EndpointId;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
-import org.yuccagw.core.placing.PlaceAsked;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest;
 
 /** What {@link ForwardMachine} asks of its surroundings; all on one thread, none of it blocks. */
 public interface ForwardEffects {
@@ -18,7 +18,7 @@
     long nowNanos();
 
     /** Asks for an endpoint; the answer comes by {@link ForwardMachine#onPlaced}. */
-    void askPlace(ImmutableSet<EndpointId> excluded, PlaceAsked.Kind kind, OptionalLong pinned, Duration left);
+    void askPlace(ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left);
 
     /**
      * Sends the request.
@@ -27,7 +27,7 @@
      * @param afterEvent event after which the stream is to go on
      * @param fresh over a connection opened for it
      */
-    void send(long leg, PlaceDecision.Placed placed, Duration left, long afterEvent, boolean fresh);
+    void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh);
 
     /** Closes the leg's connection; nothing more is heard of it. */
     void abandon(long leg);
@@ -62,7 +62,7 @@
     void report(AttemptEnded ended);
 
     /** Tells what the head of an answer says of its endpoint. */
-    void report(NoticeHeard heard);
+    void report(NoticeReceived received);
 
     /** One line about a decision on this request. */
     void explain(String decision, String detail);
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -13,12 +13,12 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
 import org.yuccagw.core.placing.AttemptEnded.End;
-import org.yuccagw.core.placing.PlaceAsked.Kind;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest.Kind;
 
 /**
  * One request: placed, sent, answered. Deterministic: events in by its methods, effects out, all on one thread.
@@ -70,7 +70,7 @@
     private final EventCutter events;
 
     private State state = State.NEW;
-    private PlaceDecision.Placed placed;
+    private PlacementDecision.Placed placed;
     private AnswerStart start;
     private OptionalLong pinned = OptionalLong.empty();
     private long leg;
@@ -125,16 +125,16 @@
         return state == State.OVER;
     }
 
-    public void onPlaced(PlaceDecision decision) {
+    public void onPlaced(PlacementDecision decision) {
         if (state != State.PLACING) {
-            if (decision instanceof PlaceDecision.Placed late) {
+            if (decision instanceof PlacementDecision.Placed late) {
                 effects.report(new AttemptEnded(late.ticket(), End.LEFT));
             }
             return;
         }
-        if (decision instanceof PlaceDecision.Placed chosen) {
+        if (decision instanceof PlacementDecision.Placed chosen) {
             send(chosen);
-        } else if (decision instanceof PlaceDecision.Refused refused) {
+        } else if (decision instanceof PlacementDecision.Refused refused) {
             onRefused(refused.error());
         }
     }
@@ -247,7 +247,7 @@
         effects.askPlace(ImmutableSet.copyOf(excluded), kind, pinned, left());
     }
 
-    private void send(PlaceDecision.Placed chosen) {
+    private void send(PlacementDecision.Placed chosen) {
         Duration time = left();
         if (heldForRetry) {
             // The other endpoint is there: the fault that was kept back is not needed any more.
@@ -281,7 +281,7 @@
         return !route.repeatable() || route.streamed() || sends > 1;
     }
 
-    private Duration headPatience(PlaceDecision.Placed chosen) {
+    private Duration headPatience(PlacementDecision.Placed chosen) {
         Duration byTarget = route.target().multipliedBy(route.streamed() ? TARGETS_TO_STREAM_HEAD : TARGETS_TO_HEAD);
         Duration byPrediction = Duration.ofMillis(chosen.firstByteMillis() * PREDICTIONS_TO_HEAD);
         return Comparators.max(Comparators.max(byTarget, byPrediction), SHORTEST_SILENCE);
@@ -444,7 +444,7 @@
         boolean limitForeseen = placed.rateLimited() && tellsOfLimit;
         if (head.isOfExpectedEndpoint() && (notice.saysSomething() || limitForeseen)) {
             EndpointIncarnation endpoint = placed.endpoint().incarnation();
-            effects.report(new NoticeHeard(endpoint, notice, limitForeseen));
+            effects.report(new NoticeReceived(endpoint, notice, limitForeseen));
         }
     }
 
--- a/src/main/java/org/yuccagw/core/lease/LeaseKeeper.java
+++ b/src/main/java/org/yuccagw/core/lease/LeaseRenewer.java
@@ -18,7 +18,7 @@
  * <p>Example: a time to live of 10 s, a renewal sent at 100 s and confirmed at 104 s: held here up to 109 s, there at
  * least up to 110 s.
  */
-public final class LeaseKeeper {
+public final class LeaseRenewer {
     private final ControlContext context;
     private final LeaseTimes times;
     private final Runnable granted;
@@ -28,7 +28,7 @@
     private boolean wanted;
     private boolean granting;
 
-    private LeaseKeeper(ControlContext context, LeaseTimes times, Runnable granted, Runnable lost) {
+    private LeaseRenewer(ControlContext context, LeaseTimes times, Runnable granted, Runnable lost) {
         this.context = context;
         this.times = times;
         this.granted = granted;
@@ -41,8 +41,8 @@
      * @param granted run when a lease is held from now on
      * @param lost run when the lease that was held is not held any more
      */
-    public static LeaseKeeper of(ControlContext context, LeaseTimes times, Runnable granted, Runnable lost) {
-        return new LeaseKeeper(context, times, granted, lost);
+    public static LeaseRenewer of(ControlContext context, LeaseTimes times, Runnable granted, Runnable lost) {
+        return new LeaseRenewer(context, times, granted, lost);
     }
 
     /** The lease, if it still holds now. */
--- a/src/main/java/org/yuccagw/core/membership/MembershipPart.java
+++ b/src/main/java/org/yuccagw/core/membership/MembershipComponent.java
@@ -13,9 +13,9 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.yuccagw.core.catalogue.CatalogueChanged;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.control.PeerReceived;
@@ -42,7 +42,7 @@
  * <p>Example of a restart: {@code entry-2} comes back with a higher incarnation. Its probes carry the new record, which
  * wins over everything said of the old one, a death included.
  */
-public final class MembershipPart implements ControlPart {
+public final class MembershipComponent implements ControlComponent {
     static final Duration PERIOD = Duration.ofSeconds(1);
     static final int HELPERS = 3;
 
@@ -77,12 +77,12 @@
     private boolean tableAsked;
     private String reason = "";
 
-    private MembershipPart(Readiness readiness) {
+    private MembershipComponent(Readiness readiness) {
         this.readiness = readiness;
     }
 
-    public static MembershipPart of(Readiness readiness) {
-        return new MembershipPart(readiness);
+    public static MembershipComponent of(Readiness readiness) {
+        return new MembershipComponent(readiness);
     }
 
     /** One probe under way: who began it and whether an answer came. */
@@ -132,9 +132,9 @@
         } else if (event instanceof CatalogueChanged changed) {
             catalogueRevision = changed.catalogue().revision();
             tellOwnNews();
-        } else if (event instanceof OwnLoadTold told) {
-            load = told.runningRequests();
-        } else if (event instanceof StopAsked) {
+        } else if (event instanceof OwnLoadReported reported) {
+            load = reported.runningRequests();
+        } else if (event instanceof StopRequested) {
             leave();
         }
     }
@@ -302,7 +302,7 @@
         }
         tableDirty = true;
         if (heard.catalogueRevision() > catalogueRevision && heard.state() != State.DEAD) {
-            context.raise(new RevisionHeard(heard.entry(), heard.catalogueRevision()));
+            context.raise(new RevisionReported(heard.entry(), heard.catalogueRevision()));
         }
         if (taken == MemberTable.Taken.CHANGE) {
             if (heard.state() == State.SUSPECT) {
--- a/src/main/java/org/yuccagw/core/membership/StopAsked.java
+++ b/src/main/java/org/yuccagw/core/membership/StopRequested.java
@@ -3,4 +3,4 @@
 import org.yuccagw.core.control.ControlEvent;
 
 /** This entry shall stop gracefully: leave the directory, hand over shards, finish what runs. */
-public record StopAsked() implements ControlEvent {}
+public record StopRequested() implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/notice/BackOff.java
+++ b/src/main/java/org/yuccagw/core/notice/EndpointBackOff.java
@@ -21,7 +21,7 @@
  * <p>Example: an engine turns this entry away for three seconds, and a second later, by a request that was on its way,
  * for one. After three seconds one prompt is sent there. Its answer begins, and all others may follow.
  */
-final class BackOff {
+final class EndpointBackOff {
     /** A request whose answer takes longer says nothing about the others. */
     private static final Duration PROBE_PATIENCE = Duration.ofSeconds(1);
 
@@ -40,13 +40,13 @@
     private int otherCalls;
     private int callsInPresentTime;
 
-    private BackOff(EntryId self) {
+    private EndpointBackOff(EntryId self) {
         this.self = self;
     }
 
     /** Nobody was turned away yet. */
-    static BackOff knownTo(EntryId self) {
-        return new BackOff(self);
+    static EndpointBackOff knownTo(EntryId self) {
+        return new EndpointBackOff(self);
     }
 
     /** It wants nothing from that entry for so long. A shorter time doesn't end a longer one. */
--- a/src/main/java/org/yuccagw/core/notice/EndpointNews.java
+++ b/src/main/java/org/yuccagw/core/notice/EndpointUpdate.java
@@ -11,5 +11,5 @@
  * @param leaving whether it leaves
  * @param backOff how long it wants nothing from the sending entry
  */
-public record EndpointNews(EndpointIncarnation endpoint, boolean leaving, Optional<Duration> backOff)
+public record EndpointUpdate(EndpointIncarnation endpoint, boolean leaving, Optional<Duration> backOff)
         implements PeerMessage {}
--- a/src/main/java/org/yuccagw/core/notice/NoticeHeard.java
+++ b/src/main/java/org/yuccagw/core/notice/NoticeReceived.java
@@ -10,5 +10,5 @@
  * @param limitForeseen whether a rate limit was known where the request was placed, so that an answer without one ends
  *     it
  */
-public record NoticeHeard(EndpointIncarnation endpoint, EndpointNotice notice, boolean limitForeseen)
+public record NoticeReceived(EndpointIncarnation endpoint, EndpointNotice notice, boolean limitForeseen)
         implements ControlEvent {}
