--- a/src/main/java/org/yuccagw/core/notice/NoticesPart.java
+++ b/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
@@ -7,27 +7,27 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactSeen;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
-import org.yuccagw.core.peers.NewsSpread;
+import org.yuccagw.core.peers.UpdateBroadcaster;
 
 /**
  * What endpoints said of themselves in answers to this entry: that they leave, and for how long they want nothing from
- * it. Rate limits, which bind all entries together, are {@code RateLimitsPart}'s.
+ * it. Rate limits, which bind all entries together, are {@code RateLimitsComponent}'s.
  *
  * <p>Leaving is final for an incarnation. It is remembered longer than the endpoint is listed, since a registration
  * that lapsed with the key-value service comes back as it was. Whoever hears it first tells all that place requests;
  * an entry that misses this is told by the next answer that it passes on itself.
  */
-public final class NoticesPart implements ControlPart {
+public final class NoticesComponent implements ControlComponent {
     private static final Duration SWEEP = Duration.ofSeconds(1);
 
     /** Longer than any endpoint takes to end. */
@@ -39,24 +39,24 @@
     /** Names of headers come from outside. */
     private static final int MOST_UNKNOWN_NAMES = 50;
 
-    private final NewsSpread spread;
+    private final UpdateBroadcaster broadcaster;
     private final Map<EndpointIncarnation, Long> leavingNanos = new HashMap<>();
-    private final Map<EndpointIncarnation, BackOff> backOffs = new HashMap<>();
+    private final Map<EndpointIncarnation, EndpointBackOff> backOffs = new HashMap<>();
     private final Set<String> unknownNames = new HashSet<>();
     private ControlContext context;
     private boolean sweepScheduled;
 
-    private NoticesPart(NewsSpread spread) {
-        this.spread = spread;
+    private NoticesComponent(UpdateBroadcaster broadcaster) {
+        this.broadcaster = broadcaster;
     }
 
     /**
      * What one entry was told.
      *
-     * @param spread tells the others
+     * @param broadcaster tells the others
      */
-    public static NoticesPart of(NewsSpread spread) {
-        return new NoticesPart(spread);
+    public static NoticesComponent of(UpdateBroadcaster broadcaster) {
+        return new NoticesComponent(broadcaster);
     }
 
     @Override
@@ -66,12 +66,12 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof NoticeHeard heard) {
+        if (event instanceof NoticeReceived heard) {
             hear(heard);
-        } else if (event instanceof PeerReceived received && received.message() instanceof EndpointNews news) {
-            learn(received.from(), news);
-        } else if (event instanceof FactSeen seen
-                && seen.fact() instanceof Fact.EndpointListed listed
+        } else if (event instanceof PeerReceived received && received.message() instanceof EndpointUpdate update) {
+            learn(received.from(), update);
+        } else if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.EndpointListed listed
                 && listed.endpoint().leaving()) {
             remember(listed.endpoint().incarnation());
         }
@@ -96,7 +96,7 @@
 
     /** How much longer the endpoint wants nothing from this entry; zero if it said nothing like that. */
     public Duration backOffLeft(EndpointIncarnation endpoint) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         return known == null ? Duration.ZERO : known.left(context.nowNanos());
     }
 
@@ -106,7 +106,7 @@
      * @param own whether this entry sends it itself
      */
     public boolean mayPlace(EndpointIncarnation endpoint, boolean own) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         if (known == null) {
             return true;
         }
@@ -117,7 +117,7 @@
 
     /** Whether the endpoint turned several entries away, so that it has no room for others either. */
     public boolean isFull(EndpointIncarnation endpoint) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         return known != null && known.isFull(context.nowNanos());
     }
 
@@ -132,7 +132,7 @@
      * @param own whether this entry sends them itself
      */
     public Duration turnsAwayFor(EndpointIncarnation endpoint, boolean own) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         if (known == null) {
             return Duration.ZERO;
         }
@@ -143,7 +143,7 @@
 
     /** Notes that a request is placed there now, by this entry for itself or for another one. */
     public void places(EndpointIncarnation endpoint) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.placed(context.nowNanos());
         }
@@ -151,7 +151,7 @@
 
     /** Notes that a request that was placed there then is answered. */
     public void answered(EndpointIncarnation endpoint, long placedNanos) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         if (known != null && known.answered(placedNanos, context.nowNanos())) {
             end(endpoint, backOffs.remove(endpoint));
         }
@@ -159,7 +159,7 @@
 
     /** Notes that a request that was placed there ended without an answer. */
     public void unanswered(EndpointIncarnation endpoint) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.unanswered();
         }
@@ -167,7 +167,7 @@
 
     /** Notes that a request of a caller of this entry is sent there now. */
     public void sendsRequest(EndpointIncarnation endpoint) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.countRequest(context.nowNanos());
         }
@@ -175,13 +175,13 @@
 
     /** Whether the endpoint bears one more call of this entry that is no request, and that can't wait. */
     public boolean bearsCall(EndpointIncarnation endpoint) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         return known == null || known.bearsCall(context.nowNanos());
     }
 
     /** Notes a call that is no caller's request, such as one for cache events or for the state of an engine. */
     public void sendsCall(EndpointIncarnation endpoint) {
-        BackOff known = backOffs.get(endpoint);
+        EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.countOtherCall(context.nowNanos());
         }
@@ -189,7 +189,7 @@
 
     // ---- What endpoints say.
 
-    private void hear(NoticeHeard heard) {
+    private void hear(NoticeReceived heard) {
         EndpointNotice notice = heard.notice();
         if (notice.leaving()) {
             leave(heard.endpoint(), context.self().entry());
@@ -198,11 +198,11 @@
         notice.unknown().forEach(name -> logUnknown(heard.endpoint(), name));
     }
 
-    private void learn(EntryId from, EndpointNews news) {
-        if (news.leaving()) {
-            leave(news.endpoint(), from);
+    private void learn(EntryId from, EndpointUpdate update) {
+        if (update.leaving()) {
+            leave(update.endpoint(), from);
         }
-        news.backOff().ifPresent(time -> backOffOf(news.endpoint()).asked(from, time, context.nowNanos()));
+        update.backOff().ifPresent(time -> backOffOf(update.endpoint()).asked(from, time, context.nowNanos()));
     }
 
     private void leave(EndpointIncarnation endpoint, EntryId from) {
@@ -212,11 +212,11 @@
         context.perform(
                 Decision.of("endpoint-said-leaving").with("endpoint", endpoint).with("from", from));
         context.raise(new EndpointLeaves(endpoint));
-        EndpointNews news = new EndpointNews(endpoint, true, Optional.empty());
-        if (from.equals(context.self().entry()) || spread.speaksFor(from)) {
-            spread.tell(news);
+        EndpointUpdate update = new EndpointUpdate(endpoint, true, Optional.empty());
+        if (from.equals(context.self().entry()) || broadcaster.speaksFor(from)) {
+            broadcaster.tell(update);
         }
-        spread.tellFollowers(news);
+        broadcaster.tellFollowers(update);
     }
 
     /** Whether that is new. */
@@ -235,14 +235,14 @@
         if (first) {
             context.perform(
                     Decision.of("back-off-asked").with("endpoint", endpoint).with("millis", time.toMillis()));
-            spread.tell(new EndpointNews(endpoint, false, Optional.of(time)));
+            broadcaster.tell(new EndpointUpdate(endpoint, false, Optional.of(time)));
         }
     }
 
-    private BackOff backOffOf(EndpointIncarnation endpoint) {
+    private EndpointBackOff backOffOf(EndpointIncarnation endpoint) {
         sweepLater();
         return backOffs.computeIfAbsent(
-                endpoint, first -> BackOff.knownTo(context.self().entry()));
+                endpoint, first -> EndpointBackOff.knownTo(context.self().entry()));
     }
 
     private void logUnknown(EndpointIncarnation endpoint, String name) {
@@ -271,7 +271,7 @@
         }
     }
 
-    private boolean endIfSilent(EndpointIncarnation endpoint, BackOff known, long now) {
+    private boolean endIfSilent(EndpointIncarnation endpoint, EndpointBackOff known, long now) {
         boolean silent = known.isSilentFor(UNPROVEN_KEPT, now);
         if (silent) {
             end(endpoint, known);
@@ -279,7 +279,7 @@
         return silent;
     }
 
-    private void end(EndpointIncarnation endpoint, BackOff known) {
+    private void end(EndpointIncarnation endpoint, EndpointBackOff known) {
         context.perform(Decision.of("back-off-over")
                 .with("endpoint", endpoint)
                 .with("requests", known.requests())
--- a/src/main/java/org/yuccagw/core/peers/DigestDesk.java
+++ b/src/main/java/org/yuccagw/core/peers/DigestSender.java
@@ -23,7 +23,7 @@
  * <p>Invariant: followers get the rosters of all domains, leads of other domains that of this one only, so that bytes
  * between domains don't grow with the square of the domains.
  */
-final class DigestDesk {
+final class DigestSender {
     /** Entries of domains of which nobody is heard are tried at each third beat. */
     private static final int UNHEARD_EVERY = 3;
 
@@ -42,7 +42,7 @@
      * @param confirmedNanos when what it knows was last confirmed
      * @param followed how long an entry that sent a heartbeat counts as follower
      */
-    DigestDesk(
+    DigestSender(
             PeerTable peers,
             PeerRosters rosters,
             Supplier<FleetView> view,
--- a/src/main/java/org/yuccagw/core/peers/PeerTable.java
+++ b/src/main/java/org/yuccagw/core/peers/PeerTable.java
@@ -138,7 +138,7 @@
     private void lose(EntryId entry, Peer peer) {
         peer.die();
         onChange.run();
-        context.raise(new PeersPart.PeerLost(entry));
+        context.raise(new PeersComponent.PeerLost(entry));
     }
 
     void unlist(EntryId entry) {
--- a/src/main/java/org/yuccagw/core/peers/PeersPart.java
+++ b/src/main/java/org/yuccagw/core/peers/PeersComponent.java
@@ -11,22 +11,22 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.fleet.EntryContact;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
-import org.yuccagw.core.follow.FollowPart;
+import org.yuccagw.core.follow.KeyValueFollowComponent;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.port.PeerMessage;
 
 /**
@@ -56,7 +56,7 @@
  * <p>Example with 95 entries in five domains: an ordinary entry sends 3 and receives 3 messages a second, a first
  * lead some 45 each, where a mesh at the same interval sends and receives 190 at every entry.
  */
-public final class PeersPart implements ControlPart {
+public final class PeersComponent implements ControlComponent {
     /** How many entries lead one failure domain at most. */
     public static final int LEADS_OF_DOMAIN = LeadOrder.LEADS;
 
@@ -107,7 +107,7 @@
     private final PeerRosters rosters = new PeerRosters();
     private final RosterIntake intake = new RosterIntake(peers, rosters, this::isFirstLead, FOLLOWED, ROSTER_LIFE);
     private final LeadSearch search = new LeadSearch(peers, intake, FOLLOWED);
-    private final DigestDesk digests;
+    private final DigestSender digests;
     private ControlContext context;
     private FailureDomain ownDomain;
     private boolean meshed = true;
@@ -143,10 +143,10 @@
     /** Another entry hasn't been heard for too long, or started anew. */
     public record PeerLost(EntryId entry) implements ControlEvent {}
 
-    private PeersPart(Knowledge knowledge, List<NetworkAddress> seeds) {
+    private PeersComponent(Knowledge knowledge, List<NetworkAddress> seeds) {
         this.knowledge = knowledge;
         this.seeds = List.copyOf(seeds);
-        this.digests = new DigestDesk(peers, rosters, this::view, this::status, knowledge::confirmedNanos, FOLLOWED);
+        this.digests = new DigestSender(peers, rosters, this::view, this::status, knowledge::confirmedNanos, FOLLOWED);
     }
 
     /**
@@ -154,8 +154,8 @@
      *
      * @param seeds where other entries may listen for peers; may be stale
      */
-    public static PeersPart of(Knowledge knowledge, List<NetworkAddress> seeds) {
-        return new PeersPart(knowledge, seeds);
+    public static PeersComponent of(Knowledge knowledge, List<NetworkAddress> seeds) {
+        return new PeersComponent(knowledge, seeds);
     }
 
     @Override
@@ -178,13 +178,15 @@
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof PeerReceived received) {
             receive(received);
-        } else if (event instanceof FactSeen seen && seen.fact() instanceof Fact.EntryListed listed) {
+        } else if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.EntryListed listed) {
             list(listed.contact());
-        } else if (event instanceof FactGone gone && gone.subject() instanceof Fact.Subject.EntrySubject subject) {
+        } else if (event instanceof KeyValueRecordRemoved removed
+                && removed.subject() instanceof KeyValueRecord.Subject.EntrySubject subject) {
             peers.unlist(subject.entry());
         } else if (event instanceof PeerLost lost) {
             rosters.forgetTold(lost.entry());
-        } else if (event instanceof StopAsked && !leaving) {
+        } else if (event instanceof StopRequested && !leaving) {
             leaving = true;
         }
         noteReadiness();
@@ -537,8 +539,8 @@
             hear(status).ifPresent(peer -> onStatus(status.contact().entry(), peer));
         } else if (received.message() instanceof DomainDigest digest) {
             hear(digest.status()).ifPresent(peer -> onDigest(digest, peer));
-        } else if (received.message() instanceof RosterAsk ask) {
-            rosters.forgetTold(received.from(), ask.domain());
+        } else if (received.message() instanceof RosterRequest request) {
+            rosters.forgetTold(received.from(), request.domain());
             pushSoon();
         }
     }
@@ -559,7 +561,8 @@
         if (digest.confirmedAgeMillis().isPresent()) {
             long age =
                     Duration.ofMillis(digest.confirmedAgeMillis().getAsLong()).toNanos();
-            context.raise(new FollowPart.PeerConfirmed(digest.status().revision(), context.nowNanos() - age));
+            context.raise(
+                    new KeyValueFollowComponent.PeerConfirmed(digest.status().revision(), context.nowNanos() - age));
         }
         boolean news = false;
         for (Roster roster : digest.rosters()) {
@@ -583,7 +586,7 @@
                         .with("address", peer.contact().peers()));
             }
             context.raise(new PeerHeard(entry, status));
-            context.raise(new FollowPart.PeerRevisionHeard(entry, status.revision()));
+            context.raise(new KeyValueFollowComponent.PeerRevisionHeard(entry, status.revision()));
         });
         return heard;
     }
--- a/src/main/java/org/yuccagw/core/peers/RegistrationPart.java
+++ b/src/main/java/org/yuccagw/core/peers/RegistrationComponent.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 import java.util.Optional;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.fleet.EntryContact;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactCodec;
-import org.yuccagw.core.follow.FactSeen;
-import org.yuccagw.core.lease.LeaseKeeper;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordCodec;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
+import org.yuccagw.core.lease.LeaseRenewer;
 import org.yuccagw.core.lease.LeaseTimes;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueCall;
 
@@ -22,38 +22,39 @@
  * long and its renewals are rare. After a restart the key of the earlier process may still lie there: the write expects
  * the revision that was read, and repeats with the one that a conflict names.
  */
-public final class RegistrationPart implements ControlPart {
+public final class RegistrationComponent implements ControlComponent {
     private static final LeaseTimes LEASE =
             new LeaseTimes(Duration.ofSeconds(15), Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(2));
     private static final Duration REPEAT = Duration.ofSeconds(1);
 
-    private final FactCodec codec;
+    private final KeyValueRecordCodec codec;
     private ControlContext context;
-    private LeaseKeeper lease;
+    private LeaseRenewer lease;
     private long knownRevision = KeyValueCall.ABSENT;
 
-    private RegistrationPart(FactCodec codec) {
+    private RegistrationComponent(KeyValueRecordCodec codec) {
         this.codec = codec;
     }
 
-    public static RegistrationPart of(FactCodec codec) {
-        return new RegistrationPart(codec);
+    public static RegistrationComponent of(KeyValueRecordCodec codec) {
+        return new RegistrationComponent(codec);
     }
 
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        lease = LeaseKeeper.of(context, LEASE, this::register, () -> {});
+        lease = LeaseRenewer.of(context, LEASE, this::register, () -> {});
         lease.want();
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof StopAsked) {
+        if (event instanceof StopRequested) {
             lease.giveBack();
-        } else if (event instanceof FactSeen seen && seen.fact() instanceof Fact.EntryListed listed) {
+        } else if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.EntryListed listed) {
             if (listed.contact().entry().equals(context.self().entry())) {
-                knownRevision = seen.revision();
+                knownRevision = updated.revision();
             }
         }
     }
@@ -64,7 +65,7 @@
             return;
         }
         EntryContact contact = EntryContact.of(context.self());
-        FactCodec.Entry entry = codec.encode(new Fact.EntryListed(contact));
+        KeyValueRecordCodec.Entry entry = codec.encode(new KeyValueRecord.EntryListed(contact));
         context.call(new KeyValueCall.CompareAndSwap(entry.key(), knownRevision, entry.value(), handle), answer -> {
             if (answer instanceof KeyValueAnswer.Written written) {
                 knownRevision = written.revision();
--- a/src/main/java/org/yuccagw/core/peers/RosterIntake.java
+++ b/src/main/java/org/yuccagw/core/peers/RosterIntake.java
@@ -81,7 +81,7 @@
         }
         boolean known = roster.members().isEmpty();
         if (known && !rosters.isTaken(roster)) {
-            context.send(sender.entry(), new RosterAsk(roster.domain()));
+            context.send(sender.entry(), new RosterRequest(roster.domain()));
             return false;
         }
         long asOfNanos =
--- a/src/main/java/org/yuccagw/core/peers/NewsSpread.java
+++ b/src/main/java/org/yuccagw/core/peers/UpdateBroadcaster.java
@@ -4,7 +4,7 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /** How news of endpoints reaches whoever places requests. */
-public interface NewsSpread {
+public interface UpdateBroadcaster {
     /** Sends to all that place requests or pass news on to these. */
     void tell(PeerMessage news);
 
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -16,31 +16,31 @@
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.Homes;
 import org.yuccagw.core.deployment.Regions;
-import org.yuccagw.core.duty.WeightOrdersPart;
+import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
-import org.yuccagw.core.follow.NamedWeightsPart;
+import org.yuccagw.core.follow.NamedWeightsComponent;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.ServiceName;
-import org.yuccagw.core.notice.NoticesPart;
-import org.yuccagw.core.peers.PeersPart;
-import org.yuccagw.core.ratelimit.EndpointAsks;
-import org.yuccagw.core.ratelimit.RateLimitsPart;
+import org.yuccagw.core.notice.NoticesComponent;
+import org.yuccagw.core.peers.PeersComponent;
+import org.yuccagw.core.ratelimit.EndpointConstraints;
+import org.yuccagw.core.ratelimit.RateLimitsComponent;
 
 /** Which endpoints may take a request at present, whatever it would cost there. */
 final class Candidates {
     /** No request may begin on older weights this long before the time at which that is forbidden. */
-    private static final Duration OLD_WEIGHTS_MARGIN = WeightOrdersPart.READY_BEFORE_THE_LIMIT;
+    private static final Duration OLD_WEIGHTS_MARGIN = WeightOrdersComponent.READY_BEFORE_THE_LIMIT;
 
     private final EndpointTable endpoints;
     private final ColdLimit cold;
     private final Regions regions;
-    private final NamedWeightsPart weights;
-    private final RateLimitsPart rateLimits;
-    private final NoticesPart notices;
-    private final PlacingPart.Fleet fleet;
-    private final Predicate<PlaceAsked> own;
+    private final NamedWeightsComponent weights;
+    private final RateLimitsComponent rateLimits;
+    private final NoticesComponent notices;
+    private final PlacementComponent.Fleet fleet;
+    private final Predicate<PlacementRequest> own;
     private Optional<Deployment> deployment = Optional.empty();
     private ControlContext context;
     private long startedNanos;
@@ -49,7 +49,7 @@
      * The candidates as one entry knows them.
      *
      * @param cold bounds what is sent to cold endpoints
-     * @param asks what endpoints ask of this entry
+     * @param constraints what endpoints ask of this entry
      * @param fleet the other entries that place requests
      * @param own which requests this entry sends itself
      */
@@ -57,16 +57,16 @@
             EndpointTable endpoints,
             ColdLimit cold,
             Regions regions,
-            NamedWeightsPart weights,
-            EndpointAsks asks,
-            PlacingPart.Fleet fleet,
-            Predicate<PlaceAsked> own) {
+            NamedWeightsComponent weights,
+            EndpointConstraints constraints,
+            PlacementComponent.Fleet fleet,
+            Predicate<PlacementRequest> own) {
         this.endpoints = endpoints;
         this.cold = cold;
         this.regions = regions;
         this.weights = weights;
-        this.rateLimits = asks.rateLimits();
-        this.notices = asks.notices();
+        this.rateLimits = constraints.rateLimits();
+        this.notices = constraints.notices();
         this.fleet = fleet;
         this.own = own;
     }
@@ -97,18 +97,18 @@
      * are there. If all are like that, those that turned other entries away are tried; if there are none, those
      * that couldn't be reached.
      */
-    List<EndpointState> of(PlaceAsked asked) {
+    List<EndpointState> of(PlacementRequest request) {
         long now = context.nowNanos();
-        Homes homes = asked.homes();
+        Homes homes = request.homes();
         List<EndpointState> ready = new ArrayList<>();
         List<EndpointState> full = new ArrayList<>();
         List<EndpointState> unreached = new ArrayList<>();
         boolean soon = false;
         for (EndpointState endpoint : endpoints.all()) {
-            if (!mayTake(endpoint, asked, homes)) {
+            if (!mayTake(endpoint, request, homes)) {
                 continue;
             }
-            if (!bearsAnother(endpoint, asked)) {
+            if (!bearsAnother(endpoint, request)) {
                 soon = true;
             } else if (endpoint.isAvoided(now)) {
                 unreached.add(endpoint);
@@ -128,27 +128,28 @@
      * Whether every endpoint that is there has failed this request already or lies outside of its homes, so that
      * waiting can't help.
      */
-    boolean isHopeless(PlaceAsked asked) {
-        Homes homes = asked.homes();
+    boolean isHopeless(PlacementRequest request) {
+        Homes homes = request.homes();
         if (homes.isBinding()
-                && usable(asked.service())
+                && usable(request.service())
                         .noneMatch(each -> isIn(homes, each.listed().domain()))) {
             return true;
         }
-        if (asked.excluded().isEmpty()) {
+        if (request.excluded().isEmpty()) {
             return false;
         }
-        List<EndpointId> usable =
-                usable(asked.service()).map(endpoint -> endpoint.listed().id()).toList();
-        return !usable.isEmpty() && asked.excluded().containsAll(usable);
+        List<EndpointId> usable = usable(request.service())
+                .map(endpoint -> endpoint.listed().id())
+                .toList();
+        return !usable.isEmpty() && request.excluded().containsAll(usable);
     }
 
     /**
      * Requests a second that this entry may still send, if all endpoints that may take the request have rate limits;
      * empty otherwise.
      */
-    OptionalDouble rateWithinLimits(PlaceAsked asked) {
-        List<ListedEndpoint> able = ableIfAllLimited(asked);
+    OptionalDouble rateWithinLimits(PlacementRequest request) {
+        List<ListedEndpoint> able = ableIfAllLimited(request);
         return able.isEmpty()
                 ? OptionalDouble.empty()
                 : OptionalDouble.of(able.stream().mapToDouble(rateLimits::part).sum());
@@ -158,8 +159,8 @@
      * The entries that may serve the request where all endpoints for it have rate limits and this entry has no part in
      * any of them, in another order for each request; empty if this one may serve it.
      */
-    List<EntryId> othersWithinLimits(PlaceAsked asked) {
-        List<ListedEndpoint> able = ableIfAllLimited(asked);
+    List<EntryId> othersWithinLimits(PlacementRequest request) {
+        List<ListedEndpoint> able = ableIfAllLimited(request);
         if (able.stream().anyMatch(endpoint -> rateLimits.part(endpoint) > 0)) {
             return List.of();
         }
@@ -167,29 +168,29 @@
                 .flatMap(endpoint -> rateLimits.owners(endpoint).stream())
                 .distinct()
                 .toList());
-        Collections.rotate(owners, asked.request().hashCode());
+        Collections.rotate(owners, request.request().hashCode());
         return owners;
     }
 
     /** Until the first endpoint takes requests again, if all that may take this one turn requests away; else zero. */
-    Duration turnedAwayFor(PlaceAsked asked) {
+    Duration turnedAwayFor(PlacementRequest request) {
         if (!notices.isAnyBackingOff()) {
             return Duration.ZERO;
         }
-        boolean isOwn = own.test(asked);
+        boolean isOwn = own.test(request);
         return endpoints.all().stream()
-                .filter(endpoint -> mayTake(endpoint, asked, asked.homes()))
+                .filter(endpoint -> mayTake(endpoint, request, request.homes()))
                 .map(endpoint -> notices.turnsAwayFor(endpoint.listed().incarnation(), isOwn))
                 .min(Comparator.naturalOrder())
                 .orElse(Duration.ZERO);
     }
 
-    private List<ListedEndpoint> ableIfAllLimited(PlaceAsked asked) {
+    private List<ListedEndpoint> ableIfAllLimited(PlacementRequest request) {
         if (rateLimits.isEmpty()) {
             return List.of();
         }
         List<ListedEndpoint> able = endpoints.all().stream()
-                .filter(endpoint -> mayTake(endpoint, asked, asked.homes()))
+                .filter(endpoint -> mayTake(endpoint, request, request.homes()))
                 .map(EndpointState::listed)
                 .toList();
         boolean allLimited = able.stream().allMatch(endpoint -> rateLimits.isLimited(endpoint.incarnation()));
@@ -205,9 +206,9 @@
     }
 
     /** Whether this entry may send one more request there now, by all that the endpoint asks for. */
-    private boolean bearsAnother(EndpointState endpoint, PlaceAsked asked) {
+    private boolean bearsAnother(EndpointState endpoint, PlacementRequest request) {
         ListedEndpoint listed = endpoint.listed();
-        boolean wanted = notices.mayPlace(listed.incarnation(), own.test(asked));
+        boolean wanted = notices.mayPlace(listed.incarnation(), own.test(request));
         return wanted && bearsAnotherWhileCold(endpoint) && rateLimits.allows(listed);
     }
 
@@ -216,30 +217,30 @@
         if (!endpoint.isCold(now)) {
             return true;
         }
-        boolean knowsFleet = now - startedNanos >= PeersPart.FLEET_UNKNOWN.toNanos();
+        boolean knowsFleet = now - startedNanos >= PeersComponent.FLEET_UNKNOWN.toNanos();
         int shares = knowsFleet ? fleet.coldShares(endpoint.listed().domain()) : 0;
         return cold.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
 
-    private boolean mayTake(EndpointState endpoint, PlaceAsked asked, Homes homes) {
-        return endpoint.listed().service().equals(asked.service())
+    private boolean mayTake(EndpointState endpoint, PlacementRequest request, Homes homes) {
+        return endpoint.listed().service().equals(request.service())
                 && endpoint.isUsable(context.nowNanos())
                 && isIn(homes, endpoint.listed().domain())
-                && !asked.excluded().contains(endpoint.listed().id())
-                && versionFits(endpoint, asked);
+                && !request.excluded().contains(endpoint.listed().id())
+                && versionFits(endpoint, request);
     }
 
-    private boolean versionFits(EndpointState endpoint, PlaceAsked asked) {
-        if (asked.prompt().isEmpty()) {
+    private boolean versionFits(EndpointState endpoint, PlacementRequest request) {
+        if (request.prompt().isEmpty()) {
             return true;
         }
-        String model = asked.prompt().get().model();
+        String model = request.prompt().get().model();
         OptionalLong runs = endpoint.versionOf(model);
         if (runs.isEmpty()) {
             return false;
         }
-        if (asked.pinned().isPresent()) {
-            return runs.equals(asked.pinned());
+        if (request.pinned().isPresent()) {
+            return runs.equals(request.pinned());
         }
         Duration behind = weights.behindFor(model, runs.getAsLong(), context.nowNanos());
         return behind.compareTo(weights.oldWeightsAllowed().minus(OLD_WEIGHTS_MARGIN)) < 0;
--- a/src/main/java/org/yuccagw/core/placing/EndpointChoice.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointChoice.java
@@ -61,27 +61,27 @@
 
     /** The best candidate for a prompt that has room for it; empty if none has. */
     Optional<Chosen> forPrompt(
-            PlaceAsked asked,
+            PlacementRequest request,
             EngineTraits engine,
             List<EndpointState> candidates,
             OptionalLong newest,
             boolean late,
             long nowNanos) {
-        PromptShape prompt = asked.prompt().orElseThrow();
+        PromptShape prompt = request.prompt().orElseThrow();
         Optional<EndpointState> home = home(prompt, candidates);
-        Duration shortest = shortestTarget.apply(asked.service());
+        Duration shortest = shortestTarget.apply(request.service());
         UsualFaults faults = UsualFaults.of(candidates);
         List<Chosen> scored = new ArrayList<>();
         for (EndpointState candidate : candidates) {
             boolean expected = home.isPresent() && home.get() == candidate;
-            PromptNeed need = needs.of(asked, candidate, engine, expected);
+            PromptNeed need = needs.of(request, candidate, engine, expected);
             FirstToken first = FirstToken.of(candidate, need, engine.memoryTokens(), speed);
-            boolean room = EngineRoom.hasRoom(
+            boolean room = EngineCapacity.hasRoom(
                     candidate.work(),
                     need,
                     engine.memoryTokens(),
                     first.queueMillis(),
-                    asked.route().target(),
+                    request.route().target(),
                     shortest,
                     late);
             if (room) {
--- a/src/main/java/org/yuccagw/core/placing/EndpointState.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointState.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.OptionalLong;
-import org.yuccagw.core.duty.WeightOrdersPart;
+import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.fleet.ModelWeights;
 import org.yuccagw.core.peers.PeerStatus;
@@ -63,7 +63,7 @@
         listed = newer;
         heardVersions
                 .values()
-                .removeIf(heard -> nowNanos - heard.sinceNanos() > WeightOrdersPart.REGISTRATION_LAG.toNanos());
+                .removeIf(heard -> nowNanos - heard.sinceNanos() > WeightOrdersComponent.REGISTRATION_LAG.toNanos());
         leaving |= newer.leaving();
         usableUntilNanos = Long.MAX_VALUE;
         coldFor(Duration.ofMillis(newer.coldMillis()), nowNanos);
--- a/src/main/java/org/yuccagw/core/placing/EndpointTable.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointTable.java
@@ -16,20 +16,20 @@
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.deployment.ColdTraits;
-import org.yuccagw.core.duty.WeightOrdersPart;
+import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.fleet.ModelWeights;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
-import org.yuccagw.core.follow.FollowPart;
+import org.yuccagw.core.follow.KeyValueFollowComponent;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.notice.EndpointLeaves;
 import org.yuccagw.core.peers.PeerStatus;
-import org.yuccagw.core.peers.PeersPart;
+import org.yuccagw.core.peers.PeersComponent;
 
 /**
  * What is known of all endpoints: registrations, what other entries have running there, which load, what they run.
@@ -67,28 +67,30 @@
 
     void handle(ControlEvent event) {
         evacuations.handle(event, context);
-        if (event instanceof FactSeen seen && seen.fact() instanceof Fact.EndpointListed listed) {
+        if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.EndpointListed listed) {
             list(listed.endpoint());
-        } else if (event instanceof FactGone gone && gone.subject() instanceof Fact.Subject.EndpointSubject subject) {
-            unlist(subject.endpoint(), gone.afterOutage());
-        } else if (event instanceof PeersPart.PeerHeard heard) {
+        } else if (event instanceof KeyValueRecordRemoved removed
+                && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
+            unlist(subject.endpoint(), removed.afterOutage());
+        } else if (event instanceof PeersComponent.PeerHeard heard) {
             hear(heard);
-        } else if (event instanceof PeerReceived received && received.message() instanceof LoadNews news) {
+        } else if (event instanceof PeerReceived received && received.message() instanceof LoadUpdate news) {
             replaceLoad(received.from(), news.load());
-        } else if (event instanceof PeersPart.PeerLost lost) {
+        } else if (event instanceof PeersComponent.PeerLost lost) {
             replaceLoads(lost.entry(), ImmutableList.of());
         } else if (event instanceof EndpointLeaves leaves) {
             present(leaves.endpoint()).ifPresent(EndpointState::leave);
-        } else if (event instanceof WorkMoved moved) {
-            present(moved.endpoint()).ifPresent(endpoint -> move(endpoint, moved));
-        } else if (event instanceof WeightOrdersPart.WeightsRun runs) {
+        } else if (event instanceof WorkTransferred transferred) {
+            present(transferred.endpoint()).ifPresent(endpoint -> move(endpoint, transferred));
+        } else if (event instanceof WeightOrdersComponent.WeightsRun runs) {
             hearWeights(runs.endpoint(), runs.weights());
         }
     }
 
-    private static void move(EndpointState endpoint, WorkMoved moved) {
-        endpoint.add(moved.added());
-        endpoint.remove(moved.removed());
+    private static void move(EndpointState endpoint, WorkTransferred transferred) {
+        endpoint.add(transferred.added());
+        endpoint.remove(transferred.removed());
     }
 
     Collection<EndpointState> all() {
@@ -168,7 +170,7 @@
             return;
         }
         long now = context.nowNanos();
-        known.unlist(afterOutage ? now + FollowPart.RETURN_GRACE.toNanos() : now);
+        known.unlist(afterOutage ? now + KeyValueFollowComponent.RETURN_GRACE.toNanos() : now);
         context.perform(Decision.of("endpoint-unlisted")
                 .with("endpoint", known.listed().incarnation())
                 .with("after_outage", afterOutage));
@@ -181,7 +183,7 @@
 
     // ---- Other entries.
 
-    private void hear(PeersPart.PeerHeard heard) {
+    private void hear(PeersComponent.PeerHeard heard) {
         replaceLoads(heard.entry(), heard.status().loads());
         replaceLoading(heard.entry(), heard.status().loading());
         for (PeerStatus.Weights heardWeights : heard.status().weights()) {
--- a/src/main/java/org/yuccagw/core/placing/EngineRoom.java
+++ b/src/main/java/org/yuccagw/core/placing/EngineCapacity.java
@@ -13,7 +13,7 @@
  *
  * <p>What waits at an entry keeps its order by urgency and can still go to any engine.
  */
-final class EngineRoom {
+final class EngineCapacity {
     /**
      * Most of the engine's unread work before a prompt that isn't the most urgent of its service, as a share of the
      * shortest target there: a more urgent one that comes right after still begins in time.
@@ -38,7 +38,7 @@
      */
     private static final double MEMORY_FOR_PATIENT = 0.85;
 
-    private EngineRoom() {}
+    private EngineCapacity() {}
 
     /**
      * Whether the engine has room.
--- a/src/main/java/org/yuccagw/core/placing/Evacuations.java
+++ b/src/main/java/org/yuccagw/core/placing/Evacuations.java
@@ -11,9 +11,9 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.deployment.ColdTraits;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.ServiceName;
 
@@ -43,9 +43,11 @@
     }
 
     void handle(ControlEvent event, ControlContext context) {
-        if (event instanceof FactSeen seen && seen.fact() instanceof Fact.DomainEvacuated fact) {
-            begin(fact.domain(), context);
-        } else if (event instanceof FactGone gone && gone.subject() instanceof Fact.Subject.EvacuationSubject subject) {
+        if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.DomainEvacuated record) {
+            begin(record.domain(), context);
+        } else if (event instanceof KeyValueRecordRemoved removed
+                && removed.subject() instanceof KeyValueRecord.Subject.EvacuationSubject subject) {
             end(subject.domain(), context);
         }
     }
--- a/src/main/java/org/yuccagw/core/placing/PlacingBounds.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementBounds.java
@@ -6,4 +6,4 @@
  * @param retries repeats to a service
  * @param cold requests to a cold endpoint
  */
-public record PlacingBounds(RetryBounds retries, ColdBounds cold) {}
+public record PlacementBounds(RetryBounds retries, ColdBounds cold) {}
--- a/src/main/java/org/yuccagw/core/placing/PlacingRelay.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementClient.java
@@ -9,9 +9,9 @@
 import java.util.OptionalLong;
 import java.util.function.Function;
 import java.util.function.Supplier;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.error.YuccagwException;
@@ -19,8 +19,8 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
-import org.yuccagw.core.notice.NoticesPart;
-import org.yuccagw.core.peers.PeersPart;
+import org.yuccagw.core.notice.NoticesComponent;
+import org.yuccagw.core.peers.PeersComponent;
 
 /**
  * Has the lead of the failure domain place this entry's requests, in a large fleet.
@@ -46,7 +46,7 @@
  *
  * <p>Invariant: every place that a lead gave is given back exactly once, or ends with this process or with the lead.
  */
-public final class PlacingRelay implements ControlPart {
+public final class PlacementClient implements ControlComponent {
     /**
      * Within a failure domain an answer takes 1 to 3 ms. A lead on a shared processor that has used up its slice pauses
      * for some tens of milliseconds; a request with a target of 200 ms bears that once.
@@ -61,10 +61,10 @@
     /** Leads don't share what one entry couldn't reach; so it names the endpoint as excluded for so long. */
     private static final Duration UNREACHED_AVOIDED = Duration.ofMillis(800);
 
-    private final Function<PlaceAsked, List<EntryId>> placers;
+    private final Function<PlacementRequest, List<EntryId>> placers;
     private final Function<EndpointIncarnation, Optional<ListedEndpoint>> usable;
     private final Supplier<List<EndpointId>> spared;
-    private final NoticesPart notices;
+    private final NoticesComponent notices;
     private final Map<Long, Asked> pending = new HashMap<>();
     private final Map<Long, Elsewhere> elsewhere = new HashMap<>();
     private final Map<EntryId, Long> distrustedUntil = new HashMap<>();
@@ -74,13 +74,13 @@
 
     /** A request that a lead was asked to place. */
     private static final class Asked {
-        private final PlaceAsked asked;
+        private final PlacementRequest request;
         private final EntryId lead;
         private final long sinceNanos;
         private ControlContext.Timer timer;
 
-        private Asked(PlaceAsked asked, EntryId lead, long sinceNanos) {
-            this.asked = asked;
+        private Asked(PlacementRequest request, EntryId lead, long sinceNanos) {
+            this.request = request;
             this.lead = lead;
             this.sinceNanos = sinceNanos;
         }
@@ -100,11 +100,11 @@
         }
     }
 
-    private PlacingRelay(
-            Function<PlaceAsked, List<EntryId>> placers,
+    private PlacementClient(
+            Function<PlacementRequest, List<EntryId>> placers,
             Function<EndpointIncarnation, Optional<ListedEndpoint>> usable,
             Supplier<List<EndpointId>> spared,
-            NoticesPart notices) {
+            NoticesComponent notices) {
         this.placers = placers;
         this.usable = usable;
         this.spared = spared;
@@ -119,12 +119,12 @@
      * @param spared endpoints to which this entry sends nothing, whatever others know of them
      * @param notices hears of what this entry sends
      */
-    public static PlacingRelay of(
-            Function<PlaceAsked, List<EntryId>> placers,
+    public static PlacementClient of(
+            Function<PlacementRequest, List<EntryId>> placers,
             Function<EndpointIncarnation, Optional<ListedEndpoint>> usable,
             Supplier<List<EndpointId>> spared,
-            NoticesPart notices) {
-        return new PlacingRelay(placers, usable, spared, notices);
+            NoticesComponent notices) {
+        return new PlacementClient(placers, usable, spared, notices);
     }
 
     @Override
@@ -134,37 +134,37 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof PlaceAsked asked) {
-            onAsked(asked);
+        if (event instanceof PlacementRequest request) {
+            onAsked(request);
         } else if (event instanceof PeerReceived received && received.message() instanceof PlacementMessage message) {
             receive(received.from(), message);
         } else if (event instanceof AttemptBegun begun) {
             onBegun(begun);
         } else if (event instanceof AttemptEnded ended) {
             onEnded(ended);
-        } else if (event instanceof PeersPart.PeerLost lost) {
+        } else if (event instanceof PeersComponent.PeerLost lost) {
             onLost(lost.entry());
         }
     }
 
     // ---- Asking.
 
-    private void onAsked(PlaceAsked asked) {
-        Optional<EntryId> lead = trustedLead(asked);
+    private void onAsked(PlacementRequest request) {
+        Optional<EntryId> lead = trustedLead(request);
         if (lead.isEmpty()) {
-            context.raise(new PlaceHere(asked));
+            context.raise(new LocalPlacementRequested(request));
             return;
         }
         long number = nextNumber++;
-        Asked question = new Asked(asked, lead.get(), context.nowNanos());
+        Asked question = new Asked(request, lead.get(), context.nowNanos());
         pending.put(number, question);
-        context.send(lead.get(), messageOf(number, asked));
+        context.send(lead.get(), messageOf(number, request));
         question.timer = context.after(PATIENCE, () -> giveUp(number, "silent"));
     }
 
     /** The first lead that may be asked; empty if this entry comes before it or there is none. */
-    private Optional<EntryId> trustedLead(PlaceAsked asked) {
-        for (EntryId lead : placers.apply(asked)) {
+    private Optional<EntryId> trustedLead(PlacementRequest request) {
+        for (EntryId lead : placers.apply(request)) {
             if (lead.equals(context.self().entry())) {
                 return Optional.empty();
             }
@@ -176,25 +176,25 @@
         return Optional.empty();
     }
 
-    private PlacementMessage.Ask messageOf(long number, PlaceAsked asked) {
+    private PlacementMessage.Ask messageOf(long number, PlacementRequest request) {
         return new PlacementMessage.Ask(
                 number,
-                asked.request(),
-                asked.route().name(),
-                asked.service(),
-                asked.workspace().map(workspace -> workspace.id()),
-                asked.prompt(),
-                asked.fingerprint(),
-                excluded(asked),
-                asked.kind(),
-                asked.pinned(),
-                asked.leftMillis());
+                request.request(),
+                request.route().name(),
+                request.service(),
+                request.workspace().map(workspace -> workspace.id()),
+                request.prompt(),
+                request.fingerprint(),
+                excluded(request),
+                request.kind(),
+                request.pinned(),
+                request.leftMillis());
     }
 
-    private ImmutableSet<EndpointId> excluded(PlaceAsked asked) {
+    private ImmutableSet<EndpointId> excluded(PlacementRequest request) {
         unreachedUntil.values().removeIf(until -> context.nowNanos() - until >= 0);
         return ImmutableSet.<EndpointId>builder()
-                .addAll(asked.excluded())
+                .addAll(request.excluded())
                 .addAll(unreachedUntil.keySet())
                 .addAll(spared.get())
                 .build();
@@ -213,11 +213,11 @@
     private void decideHere(Asked question, String reason) {
         long waitedMillis = waitedMillis(question);
         context.perform(Decision.of("lead-passed-over")
-                .with("request", question.asked.request())
+                .with("request", question.request.request())
                 .with("lead", question.lead)
                 .with("reason", reason)
                 .with("waited_ms", waitedMillis));
-        context.raise(new PlaceHere(question.asked.after(waitedMillis)));
+        context.raise(new LocalPlacementRequested(question.request.after(waitedMillis)));
     }
 
     private long waitedMillis(Asked question) {
@@ -250,7 +250,7 @@
             return;
         }
         question.timer.cancel();
-        Duration patience = Duration.ofMillis((long) (question.asked.leftMillis() * SHARE_OF_LEFT));
+        Duration patience = Duration.ofMillis((long) (question.request.leftMillis() * SHARE_OF_LEFT));
         question.timer = context.after(patience, () -> giveUp(number, "waited too long"));
     }
 
@@ -258,12 +258,12 @@
         YuccagwException error = refused.kind().received(refused.message());
         YuccagwException timed = refused.retryAfter().map(error::comeBackAfter).orElse(error);
         context.perform(Decision.of("refused")
-                .with("request", question.asked.request())
-                .with("route", question.asked.route().name())
+                .with("request", question.request.request())
+                .with("route", question.request.route().name())
                 .with("lead", question.lead)
                 .with("reason", refused.kind())
                 .with("waited_ms", waitedMillis(question)));
-        context.reply(() -> question.asked.reply().accept(new PlaceDecision.Refused(timed)));
+        context.reply(() -> question.request.reply().accept(new PlacementDecision.Refused(timed)));
     }
 
     private void onPlaced(EntryId from, PlacementMessage.Placed placed) {
@@ -278,11 +278,11 @@
         Work work = Work.ofOne(placed.tokens(), placed.unreadTokens());
         elsewhere.put(ticket, new Elsewhere(from, placed.endpoint(), work));
         context.perform(Decision.of("placed-by-lead")
-                .with("request", question.get().asked.request())
+                .with("request", question.get().request.request())
                 .with("lead", from)
                 .with("endpoint", placed.endpoint())
                 .with("waited_ms", waitedMillis(question.get())));
-        PlaceDecision decision = new PlaceDecision.Placed(
+        PlacementDecision decision = new PlacementDecision.Placed(
                 ticket,
                 endpoint.get(),
                 placed.version(),
@@ -292,7 +292,7 @@
                 placed.firstByteMillis(),
                 placed.rateLimited());
         notices.sendsRequest(placed.endpoint());
-        context.reply(() -> question.get().asked.reply().accept(decision));
+        context.reply(() -> question.get().request.reply().accept(decision));
     }
 
     private void giveBack(EntryId lead, long number) {
@@ -314,7 +314,7 @@
         Work before = attempt.work;
         attempt.work = before.begun();
         if (attempt.countsHere) {
-            context.raise(new WorkMoved(attempt.endpoint, attempt.work, before));
+            context.raise(new WorkTransferred(attempt.endpoint, attempt.work, before));
         } else {
             context.send(attempt.lead, new PlacementMessage.Begun(-begun.ticket()));
         }
@@ -329,7 +329,7 @@
             unreachedUntil.put(attempt.endpoint.endpoint(), context.nowNanos() + UNREACHED_AVOIDED.toNanos());
         }
         if (attempt.countsHere) {
-            context.raise(new WorkMoved(attempt.endpoint, Work.NONE, attempt.work));
+            context.raise(new WorkTransferred(attempt.endpoint, Work.NONE, attempt.work));
         } else {
             context.send(attempt.lead, new PlacementMessage.Ended(-ended.ticket(), ended.end(), ended.version()));
         }
@@ -344,7 +344,7 @@
         for (Elsewhere attempt : elsewhere.values()) {
             if (attempt.lead.equals(entry) && !attempt.countsHere) {
                 attempt.countsHere = true;
-                context.raise(new WorkMoved(attempt.endpoint, attempt.work, Work.NONE));
+                context.raise(new WorkTransferred(attempt.endpoint, attempt.work, Work.NONE));
             }
         }
     }
--- a/src/main/java/org/yuccagw/core/placing/PlacingPart.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.OptionalLong;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.deployment.BackEndService;
@@ -23,27 +23,27 @@
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.fleet.ModelWeights;
-import org.yuccagw.core.follow.ConfiguredPart;
-import org.yuccagw.core.follow.NamedWeightsPart;
+import org.yuccagw.core.follow.ConfigurationComponent;
+import org.yuccagw.core.follow.NamedWeightsComponent;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.ServiceName;
-import org.yuccagw.core.notice.NoticesPart;
+import org.yuccagw.core.notice.NoticesComponent;
 import org.yuccagw.core.peers.PeerStatus;
 import org.yuccagw.core.placing.AttemptEnded.End;
 import org.yuccagw.core.placing.WaitingRequests.Waiting;
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
-import org.yuccagw.core.ratelimit.EndpointAsks;
-import org.yuccagw.core.ratelimit.RateLimitsPart;
+import org.yuccagw.core.ratelimit.EndpointConstraints;
+import org.yuccagw.core.ratelimit.RateLimitsComponent;
 import org.yuccagw.core.stores.CachePlan;
 import org.yuccagw.core.stores.CacheSalt;
-import org.yuccagw.core.stores.EngineCachesPart;
-import org.yuccagw.core.stores.RetiredPartsPart;
-import org.yuccagw.core.stores.StoresPart;
+import org.yuccagw.core.stores.EngineCachesComponent;
+import org.yuccagw.core.stores.RetiredPartsComponent;
+import org.yuccagw.core.stores.StoresComponent;
 
 /**
  * Places requests on endpoints, lets them wait here while no endpoint has room, and refuses what can't be served.
@@ -56,7 +56,7 @@
  *   <li>No request is placed on an endpoint that said that it leaves.
  * </ul>
  */
-public final class PlacingPart implements ControlPart {
+public final class PlacementComponent implements ControlComponent {
     private static final Duration LOOK_AT_WAITING = Duration.ofMillis(10);
 
     /** A prompt with more to read holds up others by 30 ms and more. */
@@ -74,10 +74,10 @@
     private final RetryBounds retries;
     private final Candidates candidates;
     private final Regions regions;
-    private final NamedWeightsPart weights;
-    private final StoresPart stores;
-    private final RateLimitsPart rateLimits;
-    private final NoticesPart notices;
+    private final NamedWeightsComponent weights;
+    private final StoresComponent stores;
+    private final RateLimitsComponent rateLimits;
+    private final NoticesComponent notices;
     private final PromptNeeds needs;
     private final Fleet fleet;
     private final Answers answers;
@@ -96,13 +96,14 @@
     /** An attempt on its way. */
     private static final class Running {
         private final EndpointState endpoint;
-        private final PlaceAsked asked;
+        private final PlacementRequest asked;
         private final Optional<PromptNeed> need;
         private final boolean alone;
         private final long sinceNanos;
         private Work work;
 
-        private Running(EndpointChoice.Chosen chosen, PlaceAsked asked, Work work, boolean alone, long sinceNanos) {
+        private Running(
+                EndpointChoice.Chosen chosen, PlacementRequest asked, Work work, boolean alone, long sinceNanos) {
             this.endpoint = chosen.endpoint();
             this.asked = asked;
             this.need = chosen.need();
@@ -116,18 +117,18 @@
         }
     }
 
-    private PlacingPart(
-            PlacingBounds bounds,
+    private PlacementComponent(
+            PlacementBounds bounds,
             Regions regions,
-            NamedWeightsPart weights,
-            StoresPart stores,
-            EngineCachesPart caches,
-            EndpointAsks asks,
+            NamedWeightsComponent weights,
+            StoresComponent stores,
+            EngineCachesComponent caches,
+            EndpointConstraints constraints,
             Fleet fleet,
             Answers answers) {
-        this.endpoints = new EndpointTable(this::coldTraits, asks.notices()::isLeaving);
-        this.rateLimits = asks.rateLimits();
-        this.notices = asks.notices();
+        this.endpoints = new EndpointTable(this::coldTraits, constraints.notices()::isLeaving);
+        this.rateLimits = constraints.rateLimits();
+        this.notices = constraints.notices();
         this.regions = regions;
         this.retries = bounds.retries();
         this.stores = stores;
@@ -135,8 +136,8 @@
         this.weights = weights;
         this.fleet = fleet;
         this.answers = answers;
-        this.candidates =
-                new Candidates(endpoints, new ColdLimit(bounds.cold()), regions, weights, asks, fleet, answers::isOwn);
+        this.candidates = new Candidates(
+                endpoints, new ColdLimit(bounds.cold()), regions, weights, constraints, fleet, answers::isOwn);
     }
 
     /**
@@ -147,20 +148,20 @@
      * @param weights which weights are named
      * @param stores plans what is fetched from and saved to cache stores
      * @param caches what engines hold themselves
-     * @param asks what endpoints ask of this entry
+     * @param constraints what endpoints ask of this entry
      * @param fleet the other entries that place requests
      * @param answers takes what is decided
      */
-    public static PlacingPart of(
-            PlacingBounds bounds,
+    public static PlacementComponent of(
+            PlacementBounds bounds,
             Regions regions,
-            NamedWeightsPart weights,
-            StoresPart stores,
-            EngineCachesPart caches,
-            EndpointAsks asks,
+            NamedWeightsComponent weights,
+            StoresComponent stores,
+            EngineCachesComponent caches,
+            EndpointConstraints constraints,
             Fleet fleet,
             Answers answers) {
-        return new PlacingPart(bounds, regions, weights, stores, caches, asks, fleet, answers);
+        return new PlacementComponent(bounds, regions, weights, stores, caches, constraints, fleet, answers);
     }
 
     /** The entries that place requests. */
@@ -186,13 +187,13 @@
 
     /** Takes decisions. */
     public interface Answers {
-        void decided(PlaceAsked asked, PlaceDecision decision);
+        void decided(PlacementRequest asked, PlacementDecision decision);
 
         /** Whether the caller of the request is one of this entry. */
-        boolean isOwn(PlaceAsked asked);
+        boolean isOwn(PlacementRequest asked);
 
         /** No endpoint has room, and the decision comes later. */
-        void waits(PlaceAsked asked);
+        void waits(PlacementRequest asked);
     }
 
     @Override
@@ -211,17 +212,17 @@
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         endpoints.handle(event);
-        if (event instanceof PlaceHere here) {
-            onAsked(here.asked());
+        if (event instanceof LocalPlacementRequested requested) {
+            onAsked(requested.asked());
         } else if (event instanceof AttemptBegun begun) {
             onBegun(begun);
         } else if (event instanceof AttemptEnded ended) {
             onEnded(ended);
-        } else if (event instanceof ConfiguredPart.Applied applied) {
+        } else if (event instanceof ConfigurationComponent.Applied applied) {
             deployment = Optional.of(applied.deployment());
             candidates.configure(applied.deployment());
-        } else if (event instanceof PeerReceived received && received.message() instanceof BreakSeen seen) {
-            suspects.add(seen.fingerprint(), seen.endpoint(), context.nowNanos());
+        } else if (event instanceof PeerReceived received && received.message() instanceof BreakReported reported) {
+            suspects.add(reported.fingerprint(), reported.endpoint(), context.nowNanos());
         }
     }
 
@@ -253,7 +254,7 @@
     }
 
     /** Whether all endpoints for the request turn requests away, so that no other entry needs to be asked. */
-    public boolean isTurnedAway(PlaceAsked asked) {
+    public boolean isTurnedAway(PlacementRequest asked) {
         return !candidates.turnedAwayFor(asked).isZero();
     }
 
@@ -271,7 +272,7 @@
     }
 
     /** Entries that may serve the request where this one may send nothing; empty if this one may. */
-    public List<EntryId> othersWithinLimits(PlaceAsked asked) {
+    public List<EntryId> othersWithinLimits(PlacementRequest asked) {
         return candidates.othersWithinLimits(asked);
     }
 
@@ -282,9 +283,9 @@
 
     // ---- Placing.
 
-    private void onAsked(PlaceAsked asked) {
+    private void onAsked(PlacementRequest asked) {
         RetryAllowance allowance = allowanceOf(asked.service());
-        if (asked.kind() == PlaceAsked.Kind.FIRST) {
+        if (asked.kind() == PlacementRequest.Kind.FIRST) {
             allowance.countRequest(context.nowNanos());
         }
         int breaks = suspects.count(asked.fingerprint(), context.nowNanos());
@@ -371,7 +372,7 @@
     }
 
     private void refuseExpired(Waiting request) {
-        PlaceAsked asked = request.asked();
+        PlacementRequest asked = request.asked();
         if (candidates.usableCount(asked.service()) == 0 || asked.prompt().isEmpty()) {
             refuse(asked, ErrorKind.NO_ENDPOINT.raise(asked.service()), "none usable");
         } else {
@@ -379,14 +380,14 @@
         }
     }
 
-    private void refuseOverloaded(PlaceAsked asked, long waitMillis, String reason) {
+    private void refuseOverloaded(PlacementRequest asked, long waitMillis, String reason) {
         YuccagwException error = ErrorKind.OVERLOADED.raise(waitMillis);
         refuse(asked, error.comeBackAfter(retryAfter(waitMillis)), reason);
     }
 
     /** Places or refuses the request; false if no endpoint can take it now. */
     private boolean tryPlace(Waiting request) {
-        PlaceAsked asked = request.asked();
+        PlacementRequest asked = request.asked();
         List<EndpointState> able = candidates.of(asked);
         if (able.isEmpty()) {
             return refuseIfTurnedAwayForTooLong(request);
@@ -415,7 +416,7 @@
     }
 
     private Optional<EndpointChoice.Chosen> choose(Waiting request, List<EndpointState> candidates) {
-        PlaceAsked asked = request.asked();
+        PlacementRequest asked = request.asked();
         long now = context.nowNanos();
         Optional<EngineTraits> engine =
                 deployment.flatMap(known -> known.service(asked.service())).flatMap(BackEndService::engine);
@@ -427,7 +428,7 @@
     }
 
     private void place(Waiting request, EndpointChoice.Chosen chosen) {
-        PlaceAsked asked = request.asked();
+        PlacementRequest asked = request.asked();
         EndpointState endpoint = chosen.endpoint();
         long ticket = nextTicket++;
         long tokens = asked.prompt().map(prompt -> (long) prompt.tokens()).orElse(0L);
@@ -474,7 +475,7 @@
                 .with("fetch_tokens", chosen.need().map(PromptNeed::fetchTokens).orElse(0))
                 .with("read_tokens", chosen.need().map(PromptNeed::readTokens).orElse(0))
                 .with("salt", salt.orElse("")));
-        PlaceDecision.Placed placed = new PlaceDecision.Placed(
+        PlacementDecision.Placed placed = new PlacementDecision.Placed(
                 ticket,
                 endpoint.listed(),
                 version,
@@ -496,7 +497,7 @@
      */
     private void tellIfLong(EndpointState endpoint, Work changed) {
         if (changed.unreadTokens() >= LONG_READ_TOKENS && fleet.placing() <= MOST_ENTRIES_TOLD) {
-            fleet.tellOfEndpoint(endpoint.listed().domain(), new LoadNews(endpoint.load()));
+            fleet.tellOfEndpoint(endpoint.listed().domain(), new LoadUpdate(endpoint.load()));
         }
     }
 
@@ -505,14 +506,14 @@
      * after a while nothing is fetched either, since the parts are about to be freed.
      */
     private Optional<CachePlan> cachePlan(
-            PlaceAsked asked, EndpointState endpoint, OptionalLong version, Optional<String> salt) {
+            PlacementRequest asked, EndpointState endpoint, OptionalLong version, Optional<String> salt) {
         if (asked.prompt().isEmpty() || version.isEmpty()) {
             return Optional.empty();
         }
         String model = asked.prompt().get().model();
         boolean old = weights.isBehind(model, version.getAsLong());
         Duration behind = weights.behindFor(model, version.getAsLong(), context.nowNanos());
-        if (behind.compareTo(RetiredPartsPart.OLD_FETCHES) >= 0) {
+        if (behind.compareTo(RetiredPartsComponent.OLD_FETCHES) >= 0) {
             return Optional.empty();
         }
         int held = needs.heldParts(asked, endpoint);
@@ -522,7 +523,7 @@
                 asked.prompt().get(), salt.get(), domain, held, kept -> !old && homes.allow(regions.of(kept)));
     }
 
-    private void refuse(PlaceAsked asked, YuccagwException error, String reason) {
+    private void refuse(PlacementRequest asked, YuccagwException error, String reason) {
         YuccagwException timed =
                 error.retryAfter().isPresent() ? error : error.comeBackAfter(retryAfter(SHORTEST_RETRY_AFTER_MILLIS));
         context.perform(Decision.of("refused")
@@ -533,7 +534,7 @@
                 .with("usable", candidates.usableCount(asked.service()))
                 .with("waiting", waiting.size())
                 .with("left_ms", asked.leftMillis()));
-        answers.decided(asked, new PlaceDecision.Refused(timed));
+        answers.decided(asked, new PlacementDecision.Refused(timed));
     }
 
     /** Spread over twice the wait, so that callers who were refused together don't come back together. */
@@ -605,7 +606,7 @@
             suspects.clear(attempt.asked.fingerprint());
         } else if (ended.end() == End.BROKEN) {
             suspects.add(attempt.asked.fingerprint(), incarnation, context.nowNanos());
-            fleet.tellAll(new BreakSeen(attempt.asked.fingerprint(), incarnation));
+            fleet.tellAll(new BreakReported(attempt.asked.fingerprint(), incarnation));
         }
         lookIfWaiting();
     }
--- a/src/main/java/org/yuccagw/core/placing/PlaceDecision.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementDecision.java
@@ -6,8 +6,8 @@
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.stores.CachePlan;
 
-/** The answer to {@link PlaceAsked}. */
-public sealed interface PlaceDecision {
+/** The answer to {@link PlacementRequest}. */
+public sealed interface PlacementDecision {
     /**
      * Send it there, and report the end of the attempt under the ticket.
      *
@@ -27,8 +27,8 @@
             int urgency,
             long firstByteMillis,
             boolean rateLimited)
-            implements PlaceDecision {}
+            implements PlacementDecision {}
 
     /** Refuse it; the error says when to come back. */
-    record Refused(YuccagwException error) implements PlaceDecision {}
+    record Refused(YuccagwException error) implements PlacementDecision {}
 }
--- a/src/main/java/org/yuccagw/core/placing/PlacementMessage.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementMessage.java
@@ -20,7 +20,7 @@
     long number();
 
     /**
-     * Where should it go? The fields are those of {@link PlaceAsked}.
+     * Where should it go? The fields are those of {@link PlacementRequest}.
      *
      * @param route its name; the lead knows what it asks for
      */
@@ -33,7 +33,7 @@
             Optional<PromptShape> prompt,
             String fingerprint,
             ImmutableSet<EndpointId> excluded,
-            PlaceAsked.Kind kind,
+            PlacementRequest.Kind kind,
             OptionalLong pinned,
             long leftMillis)
             implements PlacementMessage {}
@@ -42,7 +42,7 @@
     record Waiting(long number) implements PlacementMessage {}
 
     /**
-     * It goes there. The fields are those of {@link PlaceDecision.Placed}.
+     * It goes there. The fields are those of {@link PlacementDecision.Placed}.
      *
      * @param tokens of the prompt and the expected answer
      * @param unreadTokens of the prompt that the endpoint has to compute
--- a/src/main/java/org/yuccagw/core/placing/PlaceAsked.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementRequest.java
@@ -24,7 +24,7 @@
  * @param leftMillis time left for the whole answer, in milliseconds
  * @param reply called once, on the control thread
  */
-public record PlaceAsked(
+public record PlacementRequest(
         RequestId request,
         Route route,
         ServiceName service,
@@ -35,7 +35,7 @@
         Kind kind,
         OptionalLong pinned,
         long leftMillis,
-        Consumer<PlaceDecision> reply)
+        Consumer<PlacementDecision> reply)
         implements ControlEvent {
 
     /** What came before this attempt. */
@@ -49,8 +49,8 @@
     }
 
     /** The same after some time has passed. */
-    PlaceAsked after(long passedMillis) {
-        return new PlaceAsked(
+    PlacementRequest after(long passedMillis) {
+        return new PlacementRequest(
                 request,
                 route,
                 service,
--- a/src/main/java/org/yuccagw/core/placing/PlacingDesk.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementResponder.java
@@ -8,19 +8,19 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.LongFunction;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.YuccagwException;
-import org.yuccagw.core.follow.ConfiguredPart;
+import org.yuccagw.core.follow.ConfigurationComponent;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
-import org.yuccagw.core.notice.NoticesPart;
-import org.yuccagw.core.peers.PeersPart;
+import org.yuccagw.core.notice.NoticesComponent;
+import org.yuccagw.core.peers.PeersComponent;
 import org.yuccagw.core.placing.AttemptEnded.End;
 
 /**
@@ -34,7 +34,7 @@
  * never for more than {@link #AFTER_DEADLINE} beyond the request's time. The last one guards against the loss of the
  * message that gives it back, which would make the endpoint look busier for good.
  */
-public final class PlacingDesk implements ControlPart, PlacingPart.Answers {
+public final class PlacementResponder implements ControlComponent, PlacementComponent.Answers {
     private static final Duration AFTER_DEADLINE = Duration.ofSeconds(1);
     private static final Duration SWEEP = Duration.ofSeconds(1);
 
@@ -42,14 +42,14 @@
     private static final Duration UNREACHED_BY_TWO = Duration.ofSeconds(3);
 
     private final LongFunction<Work> workOf;
-    private final NoticesPart notices;
-    private final IdentityHashMap<PlaceAsked, Asker> asking = new IdentityHashMap<>();
+    private final NoticesComponent notices;
+    private final IdentityHashMap<PlacementRequest, Asker> asking = new IdentityHashMap<>();
     private final Map<EntryId, Map<Long, Given>> given = new HashMap<>();
     private final Map<EndpointIncarnation, Unreached> unreached = new HashMap<>();
     private Optional<Deployment> deployment = Optional.empty();
     private ControlContext context;
 
-    private PlacingDesk(LongFunction<Work> workOf, NoticesPart notices) {
+    private PlacementResponder(LongFunction<Work> workOf, NoticesComponent notices) {
         this.workOf = workOf;
         this.notices = notices;
     }
@@ -60,8 +60,8 @@
      * @param workOf what a ticket of the placing counts
      * @param notices hears of what this entry sends itself
      */
-    public static PlacingDesk of(LongFunction<Work> workOf, NoticesPart notices) {
-        return new PlacingDesk(workOf, notices);
+    public static PlacementResponder of(LongFunction<Work> workOf, NoticesComponent notices) {
+        return new PlacementResponder(workOf, notices);
     }
 
     private record Asker(EntryId entry, long number) {}
@@ -80,9 +80,9 @@
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof PeerReceived received && received.message() instanceof PlacementMessage message) {
             receive(received.from(), message);
-        } else if (event instanceof ConfiguredPart.Applied applied) {
+        } else if (event instanceof ConfigurationComponent.Applied applied) {
             deployment = Optional.of(applied.deployment());
-        } else if (event instanceof PeersPart.PeerLost lost) {
+        } else if (event instanceof PeersComponent.PeerLost lost) {
             endAll(lost.entry());
         }
     }
@@ -116,7 +116,7 @@
             context.send(from, new PlacementMessage.Undecided(ask.number()));
             return;
         }
-        PlaceAsked asked = new PlaceAsked(
+        PlacementRequest request = new PlacementRequest(
                 ask.request(),
                 route.get(),
                 ask.service(),
@@ -128,23 +128,23 @@
                 ask.pinned(),
                 ask.leftMillis(),
                 decision -> {});
-        asking.put(asked, new Asker(from, ask.number()));
-        context.raise(new PlaceHere(asked));
+        asking.put(request, new Asker(from, ask.number()));
+        context.raise(new LocalPlacementRequested(request));
     }
 
     // ---- Decisions of the placing.
 
     @Override
-    public void decided(PlaceAsked asked, PlaceDecision decision) {
-        Asker asker = asking.remove(asked);
+    public void decided(PlacementRequest request, PlacementDecision decision) {
+        Asker asker = asking.remove(request);
         if (asker == null) {
-            if (decision instanceof PlaceDecision.Placed placed) {
+            if (decision instanceof PlacementDecision.Placed placed) {
                 notices.sendsRequest(placed.endpoint().incarnation());
             }
-            context.reply(() -> asked.reply().accept(decision));
-        } else if (decision instanceof PlaceDecision.Placed placed) {
-            give(asker, asked, placed);
-        } else if (decision instanceof PlaceDecision.Refused refused) {
+            context.reply(() -> request.reply().accept(decision));
+        } else if (decision instanceof PlacementDecision.Placed placed) {
+            give(asker, request, placed);
+        } else if (decision instanceof PlacementDecision.Refused refused) {
             YuccagwException error = refused.error();
             context.send(
                     asker.entry(),
@@ -153,21 +153,21 @@
     }
 
     @Override
-    public boolean isOwn(PlaceAsked asked) {
-        return !asking.containsKey(asked);
+    public boolean isOwn(PlacementRequest request) {
+        return !asking.containsKey(request);
     }
 
     @Override
-    public void waits(PlaceAsked asked) {
-        Asker asker = asking.get(asked);
+    public void waits(PlacementRequest request) {
+        Asker asker = asking.get(request);
         if (asker != null) {
             context.send(asker.entry(), new PlacementMessage.Waiting(asker.number()));
         }
     }
 
-    private void give(Asker asker, PlaceAsked asked, PlaceDecision.Placed placed) {
+    private void give(Asker asker, PlacementRequest request, PlacementDecision.Placed placed) {
         long until = context.nowNanos()
-                + Duration.ofMillis(asked.leftMillis()).plus(AFTER_DEADLINE).toNanos();
+                + Duration.ofMillis(request.leftMillis()).plus(AFTER_DEADLINE).toNanos();
         EndpointIncarnation endpoint = placed.endpoint().incarnation();
         placesOf(asker.entry()).put(asker.number(), new Given(placed.ticket(), endpoint, until));
         Work work = workOf.apply(placed.ticket());
--- a/src/main/java/org/yuccagw/core/placing/PromptNeeds.java
+++ b/src/main/java/org/yuccagw/core/placing/PromptNeeds.java
@@ -6,8 +6,8 @@
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
 import org.yuccagw.core.stores.CacheSalt;
-import org.yuccagw.core.stores.EngineCachesPart;
-import org.yuccagw.core.stores.StoresPart;
+import org.yuccagw.core.stores.EngineCachesComponent;
+import org.yuccagw.core.stores.StoresComponent;
 
 /**
  * Works out what an engine would have to do for a prompt: which parts it holds, which it could fetch, what is left.
@@ -21,10 +21,10 @@
  * the second: 8,000 tokens are fetched and 3,000 read.
  */
 final class PromptNeeds {
-    private final StoresPart stores;
-    private final EngineCachesPart caches;
+    private final StoresComponent stores;
+    private final EngineCachesComponent caches;
 
-    PromptNeeds(StoresPart stores, EngineCachesPart caches) {
+    PromptNeeds(StoresComponent stores, EngineCachesComponent caches) {
         this.stores = stores;
         this.caches = caches;
     }
@@ -35,16 +35,16 @@
      * @param expected whether it is where the prompt's session is usually sent; it counts as holding the shared parts
      *     if nothing better is known of it
      */
-    PromptNeed of(PlaceAsked asked, EndpointState endpoint, EngineTraits engine, boolean expected) {
-        PromptShape prompt = asked.prompt().orElseThrow();
-        String salt = saltFor(asked, endpoint);
+    PromptNeed of(PlacementRequest request, EndpointState endpoint, EngineTraits engine, boolean expected) {
+        PromptShape prompt = request.prompt().orElseThrow();
+        String salt = saltFor(request, endpoint);
         List<PromptPart> shared = prompt.sharedParts();
         int index = heldParts(prompt, salt, endpoint, expected);
         int held = tokensOf(shared.subList(0, index));
         int fetched = 0;
         double millis = 0;
         while (index < shared.size()) {
-            Optional<StoresPart.Transfer> transfer =
+            Optional<StoresComponent.Transfer> transfer =
                     stores.transfer(salt, shared.get(index), endpoint.listed().domain(), engine);
             if (transfer.isEmpty()) {
                 break;
@@ -59,8 +59,8 @@
     }
 
     /** How many shared parts at the beginning of the prompt the endpoint holds, as far as known. */
-    int heldParts(PlaceAsked asked, EndpointState endpoint) {
-        return heldParts(asked.prompt().orElseThrow(), saltFor(asked, endpoint), endpoint, false);
+    int heldParts(PlacementRequest request, EndpointState endpoint) {
+        return heldParts(request.prompt().orElseThrow(), saltFor(request, endpoint), endpoint, false);
     }
 
     private int heldParts(PromptShape prompt, String salt, EndpointState endpoint, boolean expected) {
@@ -68,10 +68,10 @@
                 .orElse(expected ? prompt.sharedParts().size() : 0);
     }
 
-    private static String saltFor(PlaceAsked asked, EndpointState endpoint) {
-        String model = asked.prompt().orElseThrow().model();
+    private static String saltFor(PlacementRequest request, EndpointState endpoint) {
+        String model = request.prompt().orElseThrow().model();
         return CacheSalt.of(
-                asked.workspace(), asked.homes(), endpoint.versionOf(model).orElse(0));
+                request.workspace(), request.homes(), endpoint.versionOf(model).orElse(0));
     }
 
     private static int tokensOf(List<PromptPart> parts) {
--- a/src/main/java/org/yuccagw/core/placing/Rank.java
+++ b/src/main/java/org/yuccagw/core/placing/Rank.java
@@ -21,9 +21,9 @@
 
     private static final int LEAST_URGENT = 9;
 
-    static Rank of(PlaceAsked asked) {
-        int ofRoute = asked.route().priority();
-        int ofWorkspace = asked.workspace()
+    static Rank of(PlacementRequest request) {
+        int ofRoute = request.route().priority();
+        int ofWorkspace = request.workspace()
                 .map(workspace -> workspace.priority().orElse(ofRoute))
                 .orElse(ofRoute);
         return new Rank(ofWorkspace, ofRoute);
--- a/src/main/java/org/yuccagw/core/placing/WaitingRequests.java
+++ b/src/main/java/org/yuccagw/core/placing/WaitingRequests.java
@@ -43,7 +43,7 @@
     private final List<Waiting> waiting = new ArrayList<>();
 
     /** A request and when it began to wait. */
-    record Waiting(PlaceAsked asked, Rank rank, long sinceNanos, long untilNanos) {
+    record Waiting(PlacementRequest asked, Rank rank, long sinceNanos, long untilNanos) {
         long waitedMillis(long nowNanos) {
             return (nowNanos - sinceNanos) / 1_000_000;
         }
@@ -58,12 +58,12 @@
         }
     }
 
-    static Waiting of(PlaceAsked asked, long nowNanos) {
+    static Waiting of(PlacementRequest asked, long nowNanos) {
         return new Waiting(
                 asked, Rank.of(asked), nowNanos, nowNanos + longestWait(asked).toNanos());
     }
 
-    private static Duration longestWait(PlaceAsked asked) {
+    private static Duration longestWait(PlacementRequest asked) {
         if (asked.prompt().isEmpty()) {
             Duration share = Duration.ofMillis((long) (asked.leftMillis() * PLAIN_SHARE_OF_LEFT));
             return Comparators.min(LONGEST_PLAIN_WAIT, share);
--- a/src/main/java/org/yuccagw/core/placing/WorkMoved.java
+++ b/src/main/java/org/yuccagw/core/placing/WorkTransferred.java
@@ -9,4 +9,4 @@
  * @param added counted from now on
  * @param removed not counted any more
  */
-public record WorkMoved(EndpointIncarnation endpoint, Work added, Work removed) implements ControlEvent {}
+public record WorkTransferred(EndpointIncarnation endpoint, Work added, Work removed) implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/quarantine/PermitDesk.java
+++ b/src/main/java/org/yuccagw/core/quarantine/PermitIssuer.java
@@ -14,7 +14,7 @@
  * endpoints a prompt can end, not correctness: a holder that is cut off longer than a permit's life finishes the
  * attempt it began.
  */
-final class PermitDesk {
+final class PermitIssuer {
     /** Life of a permit since its last renewal; holders renew three times within it. */
     static final Duration LIFE = Duration.ofSeconds(6);
 
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantinePart.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 import org.yuccagw.core.catalogue.CatalogueChanged;
 import org.yuccagw.core.catalogue.SystemLimits;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.error.ErrorKind;
@@ -19,13 +19,13 @@
 import org.yuccagw.core.id.ShardNumber;
 import org.yuccagw.core.membership.EntryStatus;
 import org.yuccagw.core.membership.MembersChanged;
-import org.yuccagw.core.quarantine.QuarantineAsked.PermitReturned;
-import org.yuccagw.core.quarantine.QuarantineAsked.Verdict;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Death;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Deaths;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitAsked;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitDecided;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitGivenBack;
+import org.yuccagw.core.quarantine.QuarantineRequested.PermitReturned;
+import org.yuccagw.core.quarantine.QuarantineRequested.Verdict;
 import org.yuccagw.core.shard.ShardAuthority;
 import org.yuccagw.core.shard.ShardGained;
 import org.yuccagw.core.shard.ShardLost;
@@ -44,7 +44,7 @@
  * entry that saw the death. A prompt that shared an endpoint with the one that killed it is counted too: nobody can
  * tell them apart, and running alone then clears the innocent of a second death.
  */
-public final class QuarantinePart implements ControlPart {
+public final class QuarantineComponent implements ControlComponent {
     private static final Duration REPEAT = Duration.ofSeconds(2);
     private static final Duration RENEW = Duration.ofSeconds(2);
     private static final Duration ASK_AGAIN = Duration.ofMillis(250);
@@ -56,7 +56,7 @@
     private final Supplier<ShardsSnapshot> shards;
     private final ShardAuthority authority;
     private final DeathRecords deaths = new DeathRecords();
-    private final PermitDesk desk = new PermitDesk();
+    private final PermitIssuer issuer = new PermitIssuer();
     private final Map<Long, Waiting> waiting = new HashMap<>();
     private final Map<Long, PromptFingerprint> held = new HashMap<>();
     private List<EntryId> peers = List.of();
@@ -64,9 +64,9 @@
     private ControlContext context;
     private long nextPermit;
 
-    private record Waiting(QuarantineAsked asked, int asks) {}
+    private record Waiting(QuarantineRequested asked, int asks) {}
 
-    private QuarantinePart(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
+    private QuarantineComponent(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
         this.authority = authority;
         this.shards = shards;
     }
@@ -77,8 +77,8 @@
      * @param authority proves the lease right before a permit is granted
      * @param shards who owns which shard, as far as this entry knows; asked on the control thread
      */
-    public static QuarantinePart of(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
-        return new QuarantinePart(authority, shards);
+    public static QuarantineComponent of(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
+        return new QuarantineComponent(authority, shards);
     }
 
     @Override
@@ -92,7 +92,7 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof QuarantineAsked asked) {
+        if (event instanceof QuarantineRequested asked) {
             asked(asked);
         } else if (event instanceof EndpointDied died) {
             died(died);
@@ -104,9 +104,9 @@
         } else if (event instanceof MembersChanged changed) {
             learnMembers(changed);
         } else if (event instanceof ShardGained gained) {
-            desk.gained(gained.shard(), context.nowNanos());
+            issuer.gained(gained.shard(), context.nowNanos());
         } else if (event instanceof ShardLost lost) {
-            desk.lost(lost.shard());
+            issuer.lost(lost.shard());
         } else if (event instanceof CatalogueChanged changed) {
             limits = changed.catalogue().system();
         }
@@ -117,7 +117,7 @@
         snapshot.put(QuarantineSnapshot.class, new QuarantineSnapshot(deaths.size(), held.size()));
     }
 
-    private void asked(QuarantineAsked asked) {
+    private void asked(QuarantineRequested asked) {
         deaths.expire(limits.quarantine(), context.nowNanos());
         int count = deaths.count(asked.fingerprint());
         if (count == 0) {
@@ -129,7 +129,7 @@
         }
     }
 
-    private void refuse(QuarantineAsked asked) {
+    private void refuse(QuarantineRequested asked) {
         Duration since = deaths.sinceLast(asked.fingerprint(), context.nowNanos());
         Duration left = limits.quarantine().minus(since);
         int count = deaths.count(asked.fingerprint());
@@ -140,7 +140,7 @@
                         .comeBackAfter(left)));
     }
 
-    private void reply(QuarantineAsked asked, Verdict verdict) {
+    private void reply(QuarantineRequested asked, Verdict verdict) {
         context.reply(() -> asked.reply().accept(verdict));
     }
 
@@ -204,18 +204,18 @@
         } else if (message instanceof PermitDecided decided) {
             takePermit(decided);
         } else if (message instanceof PermitGivenBack back) {
-            desk.giveBack(back.fingerprint(), from, back.number());
+            issuer.giveBack(back.fingerprint(), from, back.number());
         }
     }
 
     private void decidePermit(EntryId from, PermitAsked asked) {
         Optional<ShardNumber> shard = shardOf(asked.fingerprint());
-        boolean serves = shard.isPresent() && desk.serves(shard.get());
+        boolean serves = shard.isPresent() && issuer.serves(shard.get());
         boolean holdsLease =
                 serves && authority.epochIfHeld(shard.get(), context.nowNanos()).isPresent();
         boolean granted = holdsLease
                 && deaths.count(asked.fingerprint()) < DeathRecords.MOST_DEATHS
-                && desk.ask(shard.get(), asked.fingerprint(), from, asked.number(), asked.held(), context.nowNanos());
+                && issuer.ask(shard.get(), asked.fingerprint(), from, asked.number(), asked.held(), context.nowNanos());
         send(from, new PermitDecided(asked.fingerprint(), asked.number(), granted));
     }
 
@@ -232,7 +232,7 @@
 
     private void renew() {
         held.forEach((permit, fingerprint) -> deliver(fingerprint, new PermitAsked(fingerprint, permit, true)));
-        desk.expire(context.nowNanos());
+        issuer.expire(context.nowNanos());
         context.after(RENEW, this::renew);
     }
 
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineAsked.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineRequested.java
@@ -5,7 +5,7 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /** Traffic asks, before each attempt, whether this prompt may run. */
-public record QuarantineAsked(PromptFingerprint fingerprint, Consumer<Verdict> reply) implements ControlEvent {
+public record QuarantineRequested(PromptFingerprint fingerprint, Consumer<Verdict> reply) implements ControlEvent {
     /** How a prompt may run. */
     public interface Verdict {
         record Free() implements Verdict {}
--- a/src/main/java/org/yuccagw/core/ratelimit/EndpointAsks.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/EndpointConstraints.java
@@ -1,6 +1,6 @@
 package org.yuccagw.core.ratelimit;
 
-import org.yuccagw.core.notice.NoticesPart;
+import org.yuccagw.core.notice.NoticesComponent;
 
 /**
  * What endpoints ask of those that call them.
@@ -8,4 +8,4 @@
  * @param rateLimits of all entries together
  * @param notices of this entry, and whether they leave
  */
-public record EndpointAsks(RateLimitsPart rateLimits, NoticesPart notices) {}
+public record EndpointConstraints(RateLimitsComponent rateLimits, NoticesComponent notices) {}
--- a/src/main/java/org/yuccagw/core/ratelimit/OwnCalls.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/InternalCalls.java
@@ -3,21 +3,21 @@
 import com.google.common.collect.Comparators;
 import java.time.Duration;
 import org.yuccagw.core.id.EndpointIncarnation;
-import org.yuccagw.core.notice.NoticesPart;
+import org.yuccagw.core.notice.NoticesComponent;
 
 /** Calls of this entry to endpoints that are no caller's requests, such as for cache events or the state of engines. */
-public final class OwnCalls {
-    private final RateLimitsPart rateLimits;
-    private final NoticesPart notices;
+public final class InternalCalls {
+    private final RateLimitsComponent rateLimits;
+    private final NoticesComponent notices;
 
-    private OwnCalls(EndpointAsks asks) {
-        this.rateLimits = asks.rateLimits();
-        this.notices = asks.notices();
+    private InternalCalls(EndpointConstraints constraints) {
+        this.rateLimits = constraints.rateLimits();
+        this.notices = constraints.notices();
     }
 
     /** Calls within what endpoints ask for. */
-    public static OwnCalls of(EndpointAsks asks) {
-        return new OwnCalls(asks);
+    public static InternalCalls of(EndpointConstraints constraints) {
+        return new InternalCalls(constraints);
     }
 
     /** Whether the endpoint asks for so few calls that all are needed for requests. */
--- a/src/main/java/org/yuccagw/core/ratelimit/Senders.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitShares.java
@@ -32,7 +32,7 @@
  *
  * <p>Example: of a limit of 1.4 one of three entries has 1.26 requests a second; of one of 12, each has 3.6.
  */
-public final class Senders {
+public final class RateLimitShares {
     /** The rest is for calls that don't wait for a part: state and orders of engines. */
     static final double SHARE_OF_LIMIT = 0.9;
 
@@ -44,24 +44,24 @@
     private final ImmutableList<EntryContact> mesh;
     private final ImmutableList<EntryId> leads;
 
-    private Senders(List<EntryContact> mesh, List<EntryId> leads) {
+    private RateLimitShares(List<EntryContact> mesh, List<EntryId> leads) {
         this.mesh = ImmutableList.copyOf(mesh);
         this.leads = ImmutableList.copyOf(leads);
     }
 
     /** Every entry places, and each of these may have a part. */
-    public static Senders ofMesh(List<EntryContact> entries) {
-        return new Senders(entries, List.of());
+    public static RateLimitShares ofMesh(List<EntryContact> entries) {
+        return new RateLimitShares(entries, List.of());
     }
 
     /** The leads of the endpoint's failure domain place, the first one first. */
-    public static Senders ofLeads(List<EntryId> leads) {
-        return new Senders(List.of(), leads);
+    public static RateLimitShares ofLeads(List<EntryId> leads) {
+        return new RateLimitShares(List.of(), leads);
     }
 
     /** It isn't known who places. */
-    public static Senders nobody() {
-        return new Senders(List.of(), List.of());
+    public static RateLimitShares nobody() {
+        return new RateLimitShares(List.of(), List.of());
     }
 
     /** Requests a second that an entry may send to the endpoint, 0 if it has no part. */
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitNews.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitUpdate.java
@@ -11,5 +11,5 @@
  * @param limit empty if it has none any more
  * @param ageMillis since the answer, in milliseconds
  */
-public record RateLimitNews(EndpointIncarnation endpoint, Optional<RateLimit> limit, long ageMillis)
+public record RateLimitUpdate(EndpointIncarnation endpoint, Optional<RateLimit> limit, long ageMillis)
         implements PeerMessage {}
--- a/src/main/java/org/yuccagw/core/ratelimit/Pace.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimiter.java
@@ -6,20 +6,20 @@
  * A token bucket that begins empty. It holds what comes in within {@link #BURST}, one token at least, so that in any
  * time an entry sends its rate times that time and no more than that besides.
  */
-final class Pace {
+final class RateLimiter {
     /** Requests come in no order; without this an entry would miss its part whenever two come close together. */
     private static final Duration BURST = Duration.ofMillis(500);
 
     private double tokens;
     private long filledNanos;
 
-    private Pace(long nowNanos) {
+    private RateLimiter(long nowNanos) {
         filledNanos = nowNanos;
     }
 
     /** An empty one. */
-    static Pace from(long nowNanos) {
-        return new Pace(nowNanos);
+    static RateLimiter from(long nowNanos) {
+        return new RateLimiter(nowNanos);
     }
 
     /** Whether a request may be sent now at so many a second. */
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitsPart.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
@@ -6,24 +6,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.fleet.ListedEndpoint;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.notice.RateLimit;
-import org.yuccagw.core.peers.NewsSpread;
-import org.yuccagw.core.peers.PeersPart;
+import org.yuccagw.core.peers.PeersComponent;
+import org.yuccagw.core.peers.UpdateBroadcaster;
 
 /**
  * Which endpoints ask for fewer requests, and whether this entry may send one more there.
@@ -44,10 +44,10 @@
  *   <li>What was known ends with the incarnation of the endpoint.
  * </ol>
  *
- * <p>Invariant: this entry sends its part of a known limit at most, as {@link Senders} divides it. Some part is always
- * somebody's, so that there are answers that can tell of the end.
+ * <p>Invariant: this entry sends its part of a known limit at most, as {@link RateLimitShares} divides it. Some part is
+ * always somebody's, so that there are answers that can tell of the end.
  */
-public final class RateLimitsPart implements ControlPart {
+public final class RateLimitsComponent implements ControlComponent {
     private static final Duration INTERVAL = Duration.ofSeconds(2);
 
     /** An endpoint that is called once a second or less often is still heard. */
@@ -81,7 +81,7 @@
     private boolean tickScheduled;
     private long startedNanos;
 
-    private RateLimitsPart(Fleet fleet) {
+    private RateLimitsComponent(Fleet fleet) {
         this.fleet = fleet;
     }
 
@@ -90,21 +90,21 @@
      *
      * @param fleet the other entries
      */
-    public static RateLimitsPart of(Fleet fleet) {
-        return new RateLimitsPart(fleet);
+    public static RateLimitsComponent of(Fleet fleet) {
+        return new RateLimitsComponent(fleet);
     }
 
     /** The other entries. */
-    public interface Fleet extends NewsSpread {
+    public interface Fleet extends UpdateBroadcaster {
         /** Who places requests on the endpoint. */
-        Senders sendersTo(ListedEndpoint endpoint);
+        RateLimitShares sendersTo(ListedEndpoint endpoint);
     }
 
     /** An endpoint with a limit. */
     private static final class Limited {
         private final RecentCalls requests = new RecentCalls();
         private final RecentCalls calls = new RecentCalls();
-        private final Pace pace;
+        private final RateLimiter limiter;
         private RateLimit limit;
         private long namedNanos;
         private long toldFollowersNanos;
@@ -114,7 +114,7 @@
         private Limited(RateLimit limit, long nowNanos, long namedNanos) {
             this.limit = limit;
             this.namedNanos = namedNanos;
-            this.pace = Pace.from(nowNanos);
+            this.limiter = RateLimiter.from(nowNanos);
         }
     }
 
@@ -126,13 +126,15 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof NoticeHeard heard) {
+        if (event instanceof NoticeReceived heard) {
             hear(heard);
-        } else if (event instanceof PeerReceived received && received.message() instanceof RateLimitNews news) {
+        } else if (event instanceof PeerReceived received && received.message() instanceof RateLimitUpdate news) {
             learn(received.from(), news);
-        } else if (event instanceof FactSeen seen && seen.fact() instanceof Fact.EndpointListed listed) {
+        } else if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.EndpointListed listed) {
             list(listed.endpoint());
-        } else if (event instanceof FactGone gone && gone.subject() instanceof Fact.Subject.EndpointSubject subject) {
+        } else if (event instanceof KeyValueRecordRemoved removed
+                && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
             unlist(subject.endpoint());
         }
     }
@@ -168,7 +170,7 @@
     /** Whether this entry may send one more request there now. */
     public boolean allows(ListedEndpoint endpoint) {
         Limited known = limited.get(endpoint.incarnation());
-        return known == null || known.pace.allows(partOf(endpoint, known), context.nowNanos());
+        return known == null || known.limiter.allows(partOf(endpoint, known), context.nowNanos());
     }
 
     /** Notes that a request is sent there now. */
@@ -176,7 +178,7 @@
         Limited known = limited.get(endpoint);
         if (known != null) {
             known.requests.add(context.nowNanos());
-            known.pace.take();
+            known.limiter.take();
         }
     }
 
@@ -195,12 +197,12 @@
         Limited known = limited.get(endpoint);
         if (known != null) {
             known.calls.add(context.nowNanos());
-            known.pace.take();
+            known.limiter.take();
         }
     }
 
     private double partOf(ListedEndpoint endpoint, Limited known) {
-        if (context.nowNanos() - startedNanos < PeersPart.FLEET_UNKNOWN.toNanos()) {
+        if (context.nowNanos() - startedNanos < PeersComponent.FLEET_UNKNOWN.toNanos()) {
             return 0;
         }
         return fleet.sendersTo(endpoint).partOf(context.self().entry(), endpoint, known.limit);
@@ -208,7 +210,7 @@
 
     // ---- What endpoints and other entries tell.
 
-    private void hear(NoticeHeard heard) {
+    private void hear(NoticeReceived heard) {
         Optional<RateLimit> limit = heard.notice().rateLimit();
         if (limit.isPresent()) {
             hearOf(limit.get(), heard);
@@ -217,7 +219,7 @@
         }
     }
 
-    private void hearOf(RateLimit limit, NoticeHeard heard) {
+    private void hearOf(RateLimit limit, NoticeReceived heard) {
         long now = context.nowNanos();
         boolean news = name(heard.endpoint(), limit, now, context.self().entry());
         Limited known = limited.get(heard.endpoint());
@@ -231,11 +233,11 @@
         boolean knownToOthersOnly = !limited.containsKey(endpoint);
         if (knownToOthersOnly
                 || endAsOf(endpoint, context.nowNanos(), context.self().entry())) {
-            fleet.tell(new RateLimitNews(endpoint, Optional.empty(), 0));
+            fleet.tell(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
     }
 
-    private void learn(EntryId from, RateLimitNews news) {
+    private void learn(EntryId from, RateLimitUpdate news) {
         long asOf = context.nowNanos() - news.ageMillis() * 1_000_000;
         boolean changed = news.limit().isPresent()
                 ? isAfterEnd(news.endpoint(), asOf)
@@ -295,7 +297,7 @@
         Limited known = limited.remove(endpoint);
         endedNanos.put(endpoint, context.nowNanos());
         if (isNear(endpoint)) {
-            fleet.tellFollowers(new RateLimitNews(endpoint, Optional.empty(), 0));
+            fleet.tellFollowers(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
         tickLater();
         context.perform(Decision.of("rate-limit-ended")
@@ -382,9 +384,9 @@
         return context.self().domain().equals(domains.get(endpoint.endpoint()));
     }
 
-    private RateLimitNews newsOf(EndpointIncarnation endpoint, Limited known) {
+    private RateLimitUpdate newsOf(EndpointIncarnation endpoint, Limited known) {
         long ageMillis = (context.nowNanos() - known.namedNanos) / 1_000_000;
-        return new RateLimitNews(endpoint, Optional.of(known.limit), ageMillis);
+        return new RateLimitUpdate(endpoint, Optional.of(known.limit), ageMillis);
     }
 
     private void logUse(EndpointIncarnation endpoint, Limited known) {
--- a/src/main/java/org/yuccagw/core/request/RequestMachine.java
+++ b/src/main/java/org/yuccagw/core/request/RequestMachine.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.Optional;
 import java.util.Set;
-import org.yuccagw.core.admission.AdmissionAsked;
+import org.yuccagw.core.admission.AdmissionRequested;
 import org.yuccagw.core.claim.ClaimDecision;
 import org.yuccagw.core.claim.ClaimEnded;
 import org.yuccagw.core.endpoint.AttemptObserved;
@@ -16,10 +16,10 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.quarantine.EndpointDied;
-import org.yuccagw.core.quarantine.QuarantineAsked;
+import org.yuccagw.core.quarantine.QuarantineRequested;
 import org.yuccagw.core.retry.RetryDecision;
 import org.yuccagw.core.routing.AttemptReport;
-import org.yuccagw.core.routing.RouteAsked;
+import org.yuccagw.core.routing.RouteRequested;
 
 /**
  * One request from arrival to its last byte. Deterministic: events in by its methods, effects out by
@@ -138,7 +138,7 @@
     public void onAdmitted(Optional<YuccagwException> refusal) {
         if (state != State.ADMITTING) {
             if (refusal.isEmpty()) {
-                effects.report(new AdmissionAsked.Released(profile.request(), 0));
+                effects.report(new AdmissionRequested.Released(profile.request(), 0));
             }
             return;
         }
@@ -177,14 +177,14 @@
         }
     }
 
-    public void onVerdict(QuarantineAsked.Verdict verdict) {
+    public void onVerdict(QuarantineRequested.Verdict verdict) {
         if (state != State.JUDGING) {
-            if (verdict instanceof QuarantineAsked.Verdict.Alone alone) {
+            if (verdict instanceof QuarantineRequested.Verdict.Alone alone) {
                 returnPermit(alone.permit());
             }
             return;
         }
-        if (verdict instanceof QuarantineAsked.Verdict.Refused refused) {
+        if (verdict instanceof QuarantineRequested.Verdict.Refused refused) {
             if (waitsForPermit(refused.error())) {
                 return;
             }
@@ -192,27 +192,27 @@
             finish(mayHaveRun ? lostError() : refused.error());
             return;
         }
-        if (verdict instanceof QuarantineAsked.Verdict.Alone alone) {
+        if (verdict instanceof QuarantineRequested.Verdict.Alone alone) {
             permit = alone.permit();
         }
         state = State.ROUTING;
         effects.askRoute(version, ImmutableSet.copyOf(excluded), permit != NO_PERMIT);
     }
 
-    public void onRoute(RouteAsked.Answer answer) {
+    public void onRoute(RouteRequested.Answer answer) {
         if (state != State.ROUTING) {
-            if (answer instanceof RouteAsked.Answer.Chosen late) {
+            if (answer instanceof RouteRequested.Answer.Chosen late) {
                 effects.report(new AttemptReport.Ended(late.attempt(), false, -1, 0));
             }
             return;
         }
-        if (answer instanceof RouteAsked.Answer.Refused refused) {
+        if (answer instanceof RouteRequested.Answer.Refused refused) {
             if (!waitsForEndpoint(refused.error())) {
                 finish(routeError(refused.error()));
             }
             return;
         }
-        RouteAsked.Answer.Chosen chosen = (RouteAsked.Answer.Chosen) answer;
+        RouteRequested.Answer.Chosen chosen = (RouteRequested.Answer.Chosen) answer;
         attempt = chosen.attempt();
         endpoint = chosen.endpoint();
         if (chosen.importFirst().isPresent()) {
@@ -384,7 +384,7 @@
             return;
         }
         if (state == State.ADMITTING) {
-            effects.report(new AdmissionAsked.Withdrawn(profile.request()));
+            effects.report(new AdmissionRequested.Withdrawn(profile.request()));
         }
         leaveEndpoint(profile.streamed() ? profile.resumeGrace() : Duration.ZERO);
         over();
@@ -510,7 +510,7 @@
     private void giveUpAtDeadline() {
         long millis = profile.answerDeadline().toMillis();
         if (state == State.ADMITTING) {
-            effects.report(new AdmissionAsked.Withdrawn(profile.request()));
+            effects.report(new AdmissionRequested.Withdrawn(profile.request()));
         }
         mayHaveRun |= state == State.SENDING;
         YuccagwException error =
@@ -580,7 +580,7 @@
     }
 
     private void returnPermit(long number) {
-        effects.report(new QuarantineAsked.PermitReturned(profile.fingerprint(), number));
+        effects.report(new QuarantineRequested.PermitReturned(profile.fingerprint(), number));
     }
 
     private void over() {
@@ -588,7 +588,7 @@
         if (admitted) {
             admitted = false;
             long used = usage == null ? emitted : usage.promptTokens() + usage.answerTokens();
-            effects.report(new AdmissionAsked.Released(profile.request(), used));
+            effects.report(new AdmissionRequested.Released(profile.request(), used));
         }
         if (permit != NO_PERMIT) {
             returnPermit(permit);
--- a/src/main/java/org/yuccagw/core/routing/LoadBook.java
+++ b/src/main/java/org/yuccagw/core/routing/LoadTable.java
@@ -6,14 +6,14 @@
 import org.yuccagw.core.id.EndpointId;
 
 /** The loads of all endpoints; a new incarnation starts anew. */
-final class LoadBook {
+final class LoadTable {
     private final Map<EndpointId, Entry> byId = new HashMap<>();
     private final PrefillSpeed usual = PrefillSpeed.usual();
 
-    private LoadBook() {}
+    private LoadTable() {}
 
-    static LoadBook create() {
-        return new LoadBook();
+    static LoadTable create() {
+        return new LoadTable();
     }
 
     private record Entry(long incarnation, EndpointLoad load) {}
--- a/src/main/java/org/yuccagw/core/routing/RoutePart.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteComponent.java
@@ -13,14 +13,14 @@
 import org.yuccagw.core.cache.PromptNode;
 import org.yuccagw.core.cache.PromptScope;
 import org.yuccagw.core.cache.PromptServed;
-import org.yuccagw.core.cache.StoreNews;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.catalogue.CatalogueChanged;
 import org.yuccagw.core.catalogue.RequestClass;
 import org.yuccagw.core.catalogue.Service;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.endpoint.EndpointReported;
 import org.yuccagw.core.endpoint.EndpointStatus;
 import org.yuccagw.core.endpoint.EndpointsChanged;
@@ -28,8 +28,8 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.WeightVersion;
-import org.yuccagw.core.routing.RouteAsked.Answer;
-import org.yuccagw.core.routing.RouteAsked.Question;
+import org.yuccagw.core.routing.RouteRequested.Answer;
+import org.yuccagw.core.routing.RouteRequested.Question;
 
 /**
  * Says where attempts go, and learns from how they went.
@@ -38,7 +38,7 @@
  * version: the one of the catalogue for a new run, its own for a run that goes on elsewhere. Each question is answered
  * exactly once.
  */
-public final class RoutePart implements ControlPart {
+public final class RouteComponent implements ControlComponent {
     private static final Duration SWEEP = Duration.ofMinutes(1);
     private static final long LONGEST_ATTEMPT_NANOS = Duration.ofHours(2).toNanos();
     private static final long LEAST_TOKENS_TO_LEARN_SPEED = 256;
@@ -50,21 +50,21 @@
 
     private final RoutingPolicy policy;
     private final CacheState cache;
-    private final LoadBook loads = LoadBook.create();
+    private final LoadTable loads = LoadTable.create();
     private final StoreQuestions storeQuestions;
     private final Map<SetName, CandidateSet> candidateSets = new HashMap<>();
     private final Map<Long, Attempt> attempts = new HashMap<>();
     private long nextAttempt = 1;
 
-    private RoutePart(RoutingPolicy policy, CacheState cache) {
+    private RouteComponent(RoutingPolicy policy, CacheState cache) {
         this.policy = policy;
         this.cache = cache;
         this.storeQuestions = StoreQuestions.of(cache);
     }
 
     /** The part over the state that it shares with the cache part, which comes before it in the list of parts. */
-    public static RoutePart of(RoutingPolicy policy, CacheState cache) {
-        return new RoutePart(policy, cache);
+    public static RouteComponent of(RoutingPolicy policy, CacheState cache) {
+        return new RouteComponent(policy, cache);
     }
 
     /**
@@ -114,7 +114,7 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext context) {
-        if (event instanceof RouteAsked asked) {
+        if (event instanceof RouteRequested asked) {
             take(asked, context);
         } else if (event instanceof AttemptReport report) {
             takeReport(report, context);
@@ -125,12 +125,12 @@
             takeEndpoints(changed.endpoints());
         } else if (event instanceof CatalogueChanged) {
             candidateSets.clear();
-        } else if (event instanceof StoreNews.BlocksFound found) {
+        } else if (event instanceof StoreUpdate.BlocksFound found) {
             storeQuestions.found(found);
         }
     }
 
-    private void take(RouteAsked asked, ControlContext context) {
+    private void take(RouteRequested asked, ControlContext context) {
         Question question = asked.question();
         Optional<Service> service = cache.catalogue().service(question.service());
         if (service.isEmpty()) {
@@ -158,7 +158,7 @@
         return cache.prompts().arrive(question.blocks(), scope(question, service), nowSeconds, context.random());
     }
 
-    private void decide(RouteAsked asked, ControlContext context) {
+    private void decide(RouteRequested asked, ControlContext context) {
         Question question = asked.question();
         Optional<Service> service = cache.catalogue().service(question.service());
         if (service.isEmpty()) {
@@ -166,7 +166,7 @@
             return;
         }
         boolean onOtherVersion = takesOtherVersion(question, service.get(), context);
-        RouteAsked placed = onOtherVersion ? new RouteAsked(withoutBlocks(question), asked.reply()) : asked;
+        RouteRequested placed = onOtherVersion ? new RouteRequested(withoutBlocks(question), asked.reply()) : asked;
         RoutingView view = view(placed.question(), service.get(), onOtherVersion, context);
         Optional<Placement> placement = view.candidates().size() == 0 ? Optional.empty() : policy.place(view);
         if (placement.isEmpty()) {
@@ -241,7 +241,7 @@
                 : ErrorKind.NO_ENDPOINT.raise(question.service());
     }
 
-    private void choose(RouteAsked asked, Placement placement, ControlContext context) {
+    private void choose(RouteRequested asked, Placement placement, ControlContext context) {
         long number = nextAttempt++;
         Question question = asked.question();
         EndpointLoad load = loads.of(placement.endpoint());
@@ -290,7 +290,7 @@
                 Math.min(millis, cache.settings().importDeadline().toMillis()));
     }
 
-    private void refuse(RouteAsked asked, YuccagwException error, ControlContext context) {
+    private void refuse(RouteRequested asked, YuccagwException error, ControlContext context) {
         context.reply(() -> asked.reply().accept(new Answer.Refused(error)));
     }
 
--- a/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
@@ -8,7 +8,7 @@
 import org.yuccagw.core.cache.ReplicaIndex;
 import org.yuccagw.core.cache.StoredPrefix;
 import org.yuccagw.core.endpoint.EndpointStatus;
-import org.yuccagw.core.routing.RouteAsked.Question;
+import org.yuccagw.core.routing.RouteRequested.Question;
 
 /**
  * The policies by name: the one of the product, and the plain ones that it is measured against.
--- a/src/main/java/org/yuccagw/core/routing/RouteAsked.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteRequested.java
@@ -14,7 +14,7 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /** Traffic asks where an attempt shall go. The reply comes exactly once. */
-public record RouteAsked(Question question, Consumer<Answer> reply) implements ControlEvent {
+public record RouteRequested(Question question, Consumer<Answer> reply) implements ControlEvent {
 
     /**
      * One attempt that needs an endpoint.
--- a/src/main/java/org/yuccagw/core/routing/RoutingView.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutingView.java
@@ -9,7 +9,7 @@
 import org.yuccagw.core.catalogue.Service.ModelSettings;
 import org.yuccagw.core.endpoint.EndpointStatus;
 import org.yuccagw.core.id.FailureDomain;
-import org.yuccagw.core.routing.RouteAsked.Question;
+import org.yuccagw.core.routing.RouteRequested.Question;
 
 /**
  * What a {@link RoutingPolicy} decides upon.
@@ -29,7 +29,7 @@
         Optional<ModelSettings> model,
         RequestClass requestClass,
         List<PromptNode> path,
-        LoadBook loads,
+        LoadTable loads,
         CacheState cache,
         FailureDomain ownDomain,
         RandomGenerator random,
--- a/src/main/java/org/yuccagw/core/routing/StoreQuestions.java
+++ b/src/main/java/org/yuccagw/core/routing/StoreQuestions.java
@@ -7,8 +7,8 @@
 import org.yuccagw.core.cache.CacheOrder;
 import org.yuccagw.core.cache.CacheState;
 import org.yuccagw.core.cache.PromptNode;
-import org.yuccagw.core.cache.StoreBook;
-import org.yuccagw.core.cache.StoreNews;
+import org.yuccagw.core.cache.StoreTable;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.control.ControlContext;
 
 /**
@@ -65,7 +65,7 @@
 
     /** Asks all usable stores and runs the decision once, when they answered or the deadline passed. */
     void ask(List<BlockKey> blocks, ControlContext context, Runnable decision) {
-        List<StoreBook.Store> stores = cache.usableStores(context.nowNanos());
+        List<StoreTable.Store> stores = cache.usableStores(context.nowNanos());
         if (stores.isEmpty()) {
             decision.run();
             return;
@@ -74,13 +74,13 @@
         Open asked = new Open(decision, stores.size());
         open.put(number, asked);
         asked.timer = context.after(cache.settings().lookUpDeadline(), () -> close(number));
-        for (StoreBook.Store store : stores) {
+        for (StoreTable.Store store : stores) {
             context.perform(new CacheOrder.LookUpBlocks(
                     number, new CacheOrder.StoreAddress(store.id(), store.address()), blocks));
         }
     }
 
-    void found(StoreNews.BlocksFound found) {
+    void found(StoreUpdate.BlocksFound found) {
         Open asked = open.get(found.number());
         if (asked != null) {
             asked.missing--;
--- a/src/main/java/org/yuccagw/core/shard/ShardsPart.java
+++ b/src/main/java/org/yuccagw/core/shard/ShardsComponent.java
@@ -12,20 +12,20 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.yuccagw.core.catalogue.CatalogueChanged;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.ShardNumber;
-import org.yuccagw.core.lease.LeaseKeeper;
+import org.yuccagw.core.lease.LeaseRenewer;
 import org.yuccagw.core.lease.LeaseTimes;
 import org.yuccagw.core.membership.EntryStatus;
 import org.yuccagw.core.membership.EntryStatus.State;
 import org.yuccagw.core.membership.MembersChanged;
 import org.yuccagw.core.membership.Rendezvous;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueAnswer.Item;
 import org.yuccagw.core.port.KeyValueCall;
@@ -52,7 +52,7 @@
  * <p>A shard that this entry owns and shall not own is handed over: authority ends here first, then the key is deleted,
  * then the next owner is told. At rest the only calls are the renewals of those entries that own something.
  */
-public final class ShardsPart implements ControlPart, ShardAuthority {
+public final class ShardsComponent implements ControlComponent, ShardAuthority {
     static final LeaseTimes LEASE = new LeaseTimes(
             Duration.ofSeconds(10), Duration.ofSeconds(1), Duration.ofMillis(2500), Duration.ofSeconds(2));
 
@@ -71,7 +71,7 @@
     private final Map<ShardNumber, EntryId> shallOwn = new HashMap<>();
     private final Set<EntryId> everyone = new HashSet<>();
     private ControlContext context;
-    private LeaseKeeper lease;
+    private LeaseRenewer lease;
     private List<EntryId> candidates = List.of();
     private int count;
     private boolean assigning;
@@ -79,10 +79,10 @@
     private boolean stopping;
     private ShardsSnapshot snapshot = new ShardsSnapshot(0, ImmutableMap.of());
 
-    private ShardsPart() {}
+    private ShardsComponent() {}
 
-    public static ShardsPart of() {
-        return new ShardsPart();
+    public static ShardsComponent of() {
+        return new ShardsComponent();
     }
 
     /** Time after which no order of an earlier owner can be given any more: its lease and the margin of clocks. */
@@ -93,7 +93,7 @@
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        lease = LeaseKeeper.of(context, LEASE, this::review, this::loseAll);
+        lease = LeaseRenewer.of(context, LEASE, this::review, this::loseAll);
         candidates = List.of(context.self().entry());
         context.after(SETTLING, () -> {
             settled = true;
@@ -113,7 +113,7 @@
             takeMembers(changed);
         } else if (event instanceof PeerReceived received) {
             receive(received);
-        } else if (event instanceof StopAsked) {
+        } else if (event instanceof StopRequested) {
             stopping = true;
             review();
         }
--- a/src/main/java/org/yuccagw/core/stores/HolderEvents.java
+++ b/src/main/java/org/yuccagw/core/stores/CacheHolderEvents.java
@@ -30,7 +30,7 @@
  * <p>Events may be lost. What happens then is given by who follows: a store is asked for its list; an engine isn't,
  * since a list stalls its work, and counts as holding nothing until it tells of something again.
  */
-final class HolderEvents {
+final class CacheHolderEvents {
     private static final Duration WAIT = Duration.ofMillis(900);
     private static final Duration AFTER_CHANGES = Duration.ofMillis(150);
     private static final Duration AFTER_SILENCE = Duration.ofMillis(300);
@@ -42,15 +42,15 @@
     private static final Duration LOOK_AT_TURN = Duration.ofMillis(500);
 
     private final Supplier<List<EntryId>> entries;
-    private final Consumer<HeldParts> afterGap;
+    private final Consumer<StoredParts> afterGap;
     private final Calls calls;
-    private final Map<StoreId, HeldParts> holders = new LinkedHashMap<>();
+    private final Map<StoreId, StoredParts> holders = new LinkedHashMap<>();
     private final Map<StoreId, Long> sentNanos = new LinkedHashMap<>();
     private final Map<StoreId, Long> backOffUntilNanos = new HashMap<>();
-    private List<HeldParts> leftToOthers = new ArrayList<>();
+    private List<StoredParts> leftToOthers = new ArrayList<>();
     private ControlContext context;
 
-    private HolderEvents(Supplier<List<EntryId>> entries, Consumer<HeldParts> afterGap, Calls calls) {
+    private CacheHolderEvents(Supplier<List<EntryId>> entries, Consumer<StoredParts> afterGap, Calls calls) {
         this.entries = entries;
         this.afterGap = afterGap;
         this.calls = calls;
@@ -63,8 +63,8 @@
      * @param afterGap called when events of a holder were lost
      * @param calls which holders take calls
      */
-    static HolderEvents of(Supplier<List<EntryId>> entries, Consumer<HeldParts> afterGap, Calls calls) {
-        return new HolderEvents(entries, afterGap, calls);
+    static CacheHolderEvents of(Supplier<List<EntryId>> entries, Consumer<StoredParts> afterGap, Calls calls) {
+        return new CacheHolderEvents(entries, afterGap, calls);
     }
 
     void start(ControlContext startContext) {
@@ -95,7 +95,7 @@
     /** One timer for all that others follow: of many entries few follow anything, and each timer wakes a thread. */
     private void lookAtTurns() {
         context.after(LOOK_AT_TURN, this::lookAtTurns);
-        List<HeldParts> looked = leftToOthers;
+        List<StoredParts> looked = leftToOthers;
         leftToOthers = new ArrayList<>();
         looked.forEach(this::ask);
     }
@@ -112,16 +112,16 @@
         }
     }
 
-    Collection<HeldParts> all() {
+    Collection<StoredParts> all() {
         return holders.values();
     }
 
-    Optional<HeldParts> of(StoreId id) {
+    Optional<StoredParts> of(StoreId id) {
         return Optional.ofNullable(holders.get(id));
     }
 
     ImmutableList<CacheStore> configured() {
-        return holders.values().stream().map(HeldParts::store).collect(ImmutableList.toImmutableList());
+        return holders.values().stream().map(StoredParts::store).collect(ImmutableList.toImmutableList());
     }
 
     /** Follows these from now on, and no others; what is known of a holder that changed is dropped. */
@@ -129,29 +129,30 @@
         Map<StoreId, CacheStore> byId =
                 wanted.stream().collect(Collectors.toMap(CacheStore::id, store -> store, (one, other) -> one));
         holders.values()
-                .removeIf(held -> !held.store().equals(byId.get(held.store().id())));
+                .removeIf(
+                        stored -> !stored.store().equals(byId.get(stored.store().id())));
         for (CacheStore store : wanted) {
             if (!holders.containsKey(store.id())) {
-                HeldParts held = new HeldParts(store);
-                holders.put(store.id(), held);
-                ask(held);
+                StoredParts stored = new StoredParts(store);
+                holders.put(store.id(), stored);
+                ask(stored);
             }
         }
     }
 
-    private void ask(HeldParts held) {
-        CacheStore store = held.store();
-        if (holders.get(store.id()) != held) {
+    private void ask(StoredParts stored) {
+        CacheStore store = stored.store();
+        if (holders.get(store.id()) != stored) {
             return;
         }
         if (!isFollower(store) || !calls.may(store) || backsOff(store.id())) {
-            held.doubt();
-            leftToOthers.add(held);
+            stored.doubt();
+            leftToOthers.add(stored);
             return;
         }
         sentNanos.put(store.id(), context.nowNanos());
         calls.made(store);
-        context.perform(new StoreCall.AskChanges(store, held.next(), WAIT));
+        context.perform(new StoreCall.AskChanges(store, stored.next(), WAIT));
     }
 
     private void backOff(StoreId holder, Duration time) {
@@ -194,66 +195,66 @@
     }
 
     private void onChanges(StoreAnswer.Changes changes) {
-        HeldParts held = holders.get(changes.store());
-        if (held == null) {
+        StoredParts stored = holders.get(changes.store());
+        if (stored == null) {
             return;
         }
-        if (held.meet(changes.epoch(), context.nowNanos())) {
+        if (stored.meet(changes.epoch(), context.nowNanos())) {
             context.perform(Decision.of("store-restarted").with("store", changes.store()));
-            ask(held);
+            ask(stored);
             return;
         }
-        held.readClock(changes.clockMillis(), context.nowNanos());
+        stored.readClock(changes.clockMillis(), context.nowNanos());
         if (changes.gap()) {
             context.perform(Decision.of("store-events-lost").with("store", changes.store()));
-            held.reach(changes.next());
-            afterGap.accept(held);
+            stored.reach(changes.next());
+            afterGap.accept(stored);
             return;
         }
-        changes.changes().forEach(held::take);
-        held.reach(changes.next());
-        held.confirm(sentNanos.get(changes.store()));
-        askAgain(held, changes.changes().isEmpty() ? Duration.ZERO : AFTER_CHANGES);
+        changes.changes().forEach(stored::take);
+        stored.reach(changes.next());
+        stored.confirm(sentNanos.get(changes.store()));
+        askAgain(stored, changes.changes().isEmpty() ? Duration.ZERO : AFTER_CHANGES);
     }
 
     private void onListed(StoreAnswer.Listed listed) {
-        HeldParts held = holders.get(listed.store());
-        if (held == null) {
+        StoredParts stored = holders.get(listed.store());
+        if (stored == null) {
             return;
         }
-        held.meet(listed.epoch(), context.nowNanos());
-        held.clear();
-        listed.held().forEach(held::take);
-        held.reach(listed.next());
-        held.confirm(sentNanos.get(listed.store()));
-        askAgain(held, Duration.ZERO);
+        stored.meet(listed.epoch(), context.nowNanos());
+        stored.clear();
+        listed.held().forEach(stored::take);
+        stored.reach(listed.next());
+        stored.confirm(sentNanos.get(listed.store()));
+        askAgain(stored, Duration.ZERO);
     }
 
     /** A broken call is the first sign of a crash: nothing is believed of the holder until it answers again. */
     private void onSilent(StoreAnswer.Silent silent) {
-        HeldParts held = holders.get(silent.store());
-        if (held == null) {
+        StoredParts stored = holders.get(silent.store());
+        if (stored == null) {
             return;
         }
-        if (held.isFresh(context.nowNanos())) {
+        if (stored.isFresh(context.nowNanos())) {
             context.perform(Decision.of("dependency-lost")
                     .with("dependency", "store " + silent.store())
                     .with("reason", silent.reason()));
         }
-        held.doubt();
-        askAgain(held, AFTER_SILENCE);
+        stored.doubt();
+        askAgain(stored, AFTER_SILENCE);
     }
 
     /** Goes on after a gap without knowing what the holder held before. */
-    void goOnKnowingNothing(HeldParts held) {
-        long next = held.next();
-        held.clear();
-        held.reach(next);
-        held.confirm(sentNanos.get(held.store().id()));
-        askAgain(held, AFTER_CHANGES);
+    void goOnKnowingNothing(StoredParts stored) {
+        long next = stored.next();
+        stored.clear();
+        stored.reach(next);
+        stored.confirm(sentNanos.get(stored.store().id()));
+        askAgain(stored, AFTER_CHANGES);
     }
 
-    private void askAgain(HeldParts held, Duration wait) {
-        context.after(wait, () -> ask(held));
+    private void askAgain(StoredParts stored, Duration wait) {
+        context.after(wait, () -> ask(stored));
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/EngineCachesPart.java
+++ b/src/main/java/org/yuccagw/core/stores/EngineCachesComponent.java
@@ -7,26 +7,26 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Supplier;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
 import org.yuccagw.core.fleet.ListedEndpoint;
-import org.yuccagw.core.follow.ConfiguredPart;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
+import org.yuccagw.core.follow.ConfigurationComponent;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.StoreId;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
-import org.yuccagw.core.ratelimit.OwnCalls;
+import org.yuccagw.core.ratelimit.InternalCalls;
 
 /**
  * What engines hold in their own memory, as their cache events tell.
@@ -38,16 +38,16 @@
  *
  * <p>Invariant: what is believed of an engine ends when it starts again or is not listed any more.
  */
-public final class EngineCachesPart implements ControlPart {
-    private final HolderEvents events;
-    private final OwnCalls calls;
+public final class EngineCachesComponent implements ControlComponent {
+    private final CacheHolderEvents events;
+    private final InternalCalls calls;
     private final Map<StoreId, EndpointIncarnation> engines = new HashMap<>();
     private final Map<EndpointId, ListedEndpoint> listed = new LinkedHashMap<>();
     private Optional<Deployment> deployment = Optional.empty();
     private ControlContext context;
 
-    private EngineCachesPart(Supplier<List<EntryId>> entries, OwnCalls calls) {
-        this.events = HolderEvents.of(entries, this::goOn, new EngineCalls());
+    private EngineCachesComponent(Supplier<List<EntryId>> entries, InternalCalls calls) {
+        this.events = CacheHolderEvents.of(entries, this::goOn, new EngineCalls());
         this.calls = calls;
     }
 
@@ -57,8 +57,8 @@
      * @param entries those that follow the same engines, this one among them
      * @param calls what engines bear of calls that are no requests
      */
-    public static EngineCachesPart of(Supplier<List<EntryId>> entries, OwnCalls calls) {
-        return new EngineCachesPart(entries, calls);
+    public static EngineCachesComponent of(Supplier<List<EntryId>> entries, InternalCalls calls) {
+        return new EngineCachesComponent(entries, calls);
     }
 
     @Override
@@ -69,17 +69,19 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof ConfiguredPart.Applied applied) {
+        if (event instanceof ConfigurationComponent.Applied applied) {
             deployment = Optional.of(applied.deployment());
             adopt();
-        } else if (event instanceof FactSeen seen && seen.fact() instanceof Fact.EndpointListed fact) {
-            list(fact.endpoint());
-        } else if (event instanceof FactGone gone && gone.subject() instanceof Fact.Subject.EndpointSubject subject) {
+        } else if (event instanceof KeyValueRecordUpdated updated
+                && updated.record() instanceof KeyValueRecord.EndpointListed record) {
+            list(record.endpoint());
+        } else if (event instanceof KeyValueRecordRemoved removed
+                && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
             if (listed.remove(subject.endpoint()) != null) {
                 adopt();
             }
         } else if (event instanceof StoreAnswer.Noticed noticed && engines.containsKey(noticed.store())) {
-            context.raise(new NoticeHeard(engines.get(noticed.store()), noticed.notice(), false));
+            context.raise(new NoticeReceived(engines.get(noticed.store()), noticed.notice(), false));
         }
         events.handle(event);
     }
@@ -120,7 +122,7 @@
     }
 
     /** Calls for events, which are only a help, leave engines alone that ask for fewer calls. */
-    private final class EngineCalls implements HolderEvents.Calls {
+    private final class EngineCalls implements CacheHolderEvents.Calls {
         @Override
         public boolean may(CacheStore holder) {
             return !calls.asksForFewer(engines.get(holder.id()));
@@ -151,14 +153,14 @@
     /** How many parts at the beginning of the prompt the engine holds; empty if it isn't known at present. */
     public Optional<Integer> heldParts(ListedEndpoint engine, PromptShape prompt, String salt) {
         return events.of(holderId(engine))
-                .filter(held -> held.isFresh(context.nowNanos()))
-                .map(held -> countHeld(held, prompt, salt));
+                .filter(stored -> stored.isFresh(context.nowNanos()))
+                .map(stored -> countHeld(stored, prompt, salt));
     }
 
-    private static int countHeld(HeldParts held, PromptShape prompt, String salt) {
+    private static int countHeld(StoredParts stored, PromptShape prompt, String salt) {
         int count = 0;
         for (PromptPart part : prompt.sharedParts()) {
-            if (held.tokens(salt, part.id()) < part.tokens()) {
+            if (stored.tokens(salt, part.id()) < part.tokens()) {
                 return count;
             }
             count++;
@@ -166,7 +168,7 @@
         return count;
     }
 
-    private void goOn(HeldParts held) {
-        events.goOnKnowingNothing(held);
+    private void goOn(StoredParts stored) {
+        events.goOnKnowingNothing(stored);
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/RetiredPartsPart.java
+++ b/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
@@ -10,12 +10,12 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import java.util.stream.Stream;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.deployment.CacheStore;
-import org.yuccagw.core.follow.NamedWeightsPart;
+import org.yuccagw.core.follow.NamedWeightsComponent;
 import org.yuccagw.core.id.StoreId;
 
 /**
@@ -29,7 +29,7 @@
  *
  * <ol>
  *   <li>Entries plan no fetch under older weights once newer ones were named {@link #OLD_FETCHES} ago.
- *   <li>A fetch that was planned before is thrown away by the engine after {@link StoresPart#FETCH_TIME}.
+ *   <li>A fetch that was planned before is thrown away by the engine after {@link StoresComponent#FETCH_TIME}.
  *   <li>An entry may have learned of the naming late, by {@link #LEARNED_WITHIN}.
  *   <li>All listed engines run the newer weights, so nothing could begin on the older ones in any case.
  * </ol>
@@ -40,7 +40,7 @@
  * <p>Example: version 2 is named at 20 s and all engines run it at 24 s. At 26.5 s the holder asks each store what it
  * holds, and frees what was computed with version 1.
  */
-public final class RetiredPartsPart implements ControlPart {
+public final class RetiredPartsComponent implements ControlComponent {
     /** Loading all engines takes about as long; what runs on older weights later is an exception. */
     public static final Duration OLD_FETCHES = Duration.ofSeconds(3);
 
@@ -48,7 +48,7 @@
     static final Duration LEARNED_WITHIN = Duration.ofSeconds(2);
 
     static final Duration RETIRED_AFTER =
-            OLD_FETCHES.plus(StoresPart.FETCH_TIME).plus(LEARNED_WITHIN);
+            OLD_FETCHES.plus(StoresComponent.FETCH_TIME).plus(LEARNED_WITHIN);
 
     private static final Duration LOOK = Duration.ofMillis(500);
 
@@ -56,9 +56,9 @@
     private static final Duration AGAIN = Duration.ofSeconds(2);
 
     private final BooleanSupplier mayAct;
-    private final NamedWeightsPart named;
+    private final NamedWeightsComponent named;
     private final Function<String, OptionalLong> lowestRunning;
-    private final StoresPart stores;
+    private final StoresComponent stores;
 
     /** For each store, the versions below which nothing is left there, by model. */
     private final Map<StoreId, Map<String, Long>> cleaned = new HashMap<>();
@@ -66,11 +66,11 @@
     private final Set<StoreId> busy = new HashSet<>();
     private ControlContext context;
 
-    private RetiredPartsPart(
+    private RetiredPartsComponent(
             BooleanSupplier mayAct,
-            NamedWeightsPart named,
+            NamedWeightsComponent named,
             Function<String, OptionalLong> lowestRunning,
-            StoresPart stores) {
+            StoresComponent stores) {
         this.mayAct = mayAct;
         this.named = named;
         this.lowestRunning = lowestRunning;
@@ -83,12 +83,12 @@
      * @param mayAct whether this entry is the one that frees
      * @param lowestRunning the lowest version of a model that any engine runs
      */
-    public static RetiredPartsPart of(
+    public static RetiredPartsComponent of(
             BooleanSupplier mayAct,
-            NamedWeightsPart named,
+            NamedWeightsComponent named,
             Function<String, OptionalLong> lowestRunning,
-            StoresPart stores) {
-        return new RetiredPartsPart(mayAct, named, lowestRunning, stores);
+            StoresComponent stores) {
+        return new RetiredPartsComponent(mayAct, named, lowestRunning, stores);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/core/stores/HeldParts.java
+++ b/src/main/java/org/yuccagw/core/stores/StoredParts.java
@@ -9,10 +9,10 @@
  *
  * <p>Knowledge is used only while it is fresh. Guards against a store that restarted empty and is being filled again: a
  * part that was whole before may be half written now, and a fetch would read what isn't there yet. An entry stops using
- * what it knows {@link StoresPart#FRESH} after the last call that the store answered, and nobody saves to a store whose
- * restart was seen less than {@link StoresPart#NEWBORN} ago, by when everybody has noticed it.
+ * what it knows {@link StoresComponent#FRESH} after the last call that the store answered, and nobody saves to a store
+ * whose restart was seen less than {@link StoresComponent#NEWBORN} ago, by when everybody has noticed it.
  */
-final class HeldParts {
+final class StoredParts {
     private static final long NEVER = Long.MIN_VALUE;
 
     private final CacheStore store;
@@ -28,7 +28,7 @@
     private long heldTokens;
     private long linkBusyUntilNanos;
 
-    HeldParts(CacheStore store) {
+    StoredParts(CacheStore store) {
         this.store = store;
     }
 
@@ -80,12 +80,12 @@
     }
 
     boolean isFresh(long nowNanos) {
-        return confirmedNanos != NEVER && nowNanos - confirmedNanos < StoresPart.FRESH.toNanos();
+        return confirmedNanos != NEVER && nowNanos - confirmedNanos < StoresComponent.FRESH.toNanos();
     }
 
     /** Whether saves may go there. */
     boolean takesSaves(long nowNanos) {
-        return isFresh(nowNanos) && nowNanos - epochSeenNanos > StoresPart.NEWBORN.toNanos();
+        return isFresh(nowNanos) && nowNanos - epochSeenNanos > StoresComponent.NEWBORN.toNanos();
     }
 
     void readClock(long millis, long nowNanos) {
@@ -124,10 +124,10 @@
 
     boolean isSaving(String salt, String part, long nowNanos) {
         Long since = savesUnderWay.get(salt + '/' + part);
-        return since != null && nowNanos - since < StoresPart.SAVE_PATIENCE.toNanos();
+        return since != null && nowNanos - since < StoresComponent.SAVE_PATIENCE.toNanos();
     }
 
     boolean hasRoom(int tokens) {
-        return heldTokens + tokens < store.capacityTokens() * StoresPart.FILL_LIMIT;
+        return heldTokens + tokens < store.capacityTokens() * StoresComponent.FILL_LIMIT;
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/StoresPart.java
+++ b/src/main/java/org/yuccagw/core/stores/StoresComponent.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.follow.ConfiguredPart;
+import org.yuccagw.core.follow.ConfigurationComponent;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
@@ -30,7 +30,7 @@
  * <p>Example: a notebook of 5,000 tokens is computed once, in 100 ms, and saved. When it returns after its engine has
  * evicted it, it is there again after 30 ms of transfer.
  */
-public final class StoresPart implements ControlPart {
+public final class StoresComponent implements ControlComponent {
     /** Twice the wait of a call for events: one lost call is borne. */
     static final Duration FRESH = Duration.ofMillis(1800);
 
@@ -66,13 +66,13 @@
     private static final double FAR_TRANSFER = 2;
 
     private final Supplier<List<EntryId>> entries;
-    private final HolderEvents events;
+    private final CacheHolderEvents events;
     private ControlContext context;
     private long tokenBytes;
 
-    private StoresPart(Supplier<List<EntryId>> entries) {
+    private StoresComponent(Supplier<List<EntryId>> entries) {
         this.entries = entries;
-        this.events = HolderEvents.of(entries, this::askForList, HolderEvents.Calls.UNLIMITED);
+        this.events = CacheHolderEvents.of(entries, this::askForList, CacheHolderEvents.Calls.UNLIMITED);
     }
 
     /**
@@ -80,8 +80,8 @@
      *
      * @param entries those that share the stores' links, this one among them
      */
-    public static StoresPart of(Supplier<List<EntryId>> entries) {
-        return new StoresPart(entries);
+    public static StoresComponent of(Supplier<List<EntryId>> entries) {
+        return new StoresComponent(entries);
     }
 
     @Override
@@ -92,7 +92,7 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof ConfiguredPart.Applied applied) {
+        if (event instanceof ConfigurationComponent.Applied applied) {
             tokenBytes = applied.deployment().services().values().stream()
                     .flatMap(service -> service.engine().stream())
                     .mapToLong(EngineTraits::tokenBytes)
@@ -115,7 +115,8 @@
     /** The transfer of a part to an endpoint; empty if no store holds the part whole, or its link is too busy. */
     public Optional<Transfer> transfer(String salt, PromptPart part, FailureDomain domain, EngineTraits engine) {
         return source(salt, part, Optional.of(domain))
-                .map(held -> new Transfer(part.tokens(), transferMillis(held.store(), part.tokens(), domain, engine)));
+                .map(stored ->
+                        new Transfer(part.tokens(), transferMillis(stored.store(), part.tokens(), domain, engine)));
     }
 
     private double transferMillis(CacheStore store, int tokens, FailureDomain domain, EngineTraits engine) {
@@ -145,17 +146,18 @@
         for (int index = 0; index < shared.size(); index++) {
             PromptPart part = shared.get(index);
             boolean isSession = index == shared.size() - 1;
-            Optional<HeldParts> source = source(salt, part, Optional.of(domain));
-            fetches.add(source.map(held -> new CachePlan.Source(held.store().address(), held.tokens(salt, part.id()))));
+            Optional<StoredParts> source = source(salt, part, Optional.of(domain));
+            fetches.add(source.map(
+                    stored -> new CachePlan.Source(stored.store().address(), stored.tokens(salt, part.id()))));
             if (index >= heldParts) {
-                source.ifPresent(held -> countTransfer(held, part.tokens()));
+                source.ifPresent(stored -> countTransfer(stored, part.tokens()));
             }
-            Optional<HeldParts> target = target(salt, part, isSession, source, domain, mayKeep);
-            target.ifPresent(held -> {
-                held.beginSave(salt, part.id(), context.nowNanos());
-                countTransfer(held, part.tokens());
+            Optional<StoredParts> target = target(salt, part, isSession, source, domain, mayKeep);
+            target.ifPresent(stored -> {
+                stored.beginSave(salt, part.id(), context.nowNanos());
+                countTransfer(stored, part.tokens());
             });
-            saves.add(target.map(held -> held.store().address()));
+            saves.add(target.map(stored -> stored.store().address()));
             if (source.isPresent()) {
                 long end = source.get().clockAt(context.nowNanos()) + FETCH_TIME.toMillis();
                 until = until == 0 ? end : Math.min(until, end);
@@ -167,27 +169,27 @@
     }
 
     /** Every entry uses its part of a link; requests come evenly to all. */
-    private void countTransfer(HeldParts held, int tokens) {
+    private void countTransfer(StoredParts stored, int tokens) {
         double bits = 8.0 * tokens * tokenBytes;
         double seconds = bits
-                / (held.store().linkMegabits()
+                / (stored.store().linkMegabits()
                         * BITS_PER_MEGABIT
                         / Math.max(1, entries.get().size()));
         if (Double.isFinite(seconds)) {
-            held.addTransfer((long) (seconds * NANOS_PER_SECOND), context.nowNanos());
+            stored.addTransfer((long) (seconds * NANOS_PER_SECOND), context.nowNanos());
         }
     }
 
-    private boolean hasLink(HeldParts held, Duration longestWait) {
-        return held.linkWaitNanos(context.nowNanos()) < longestWait.toNanos();
+    private boolean hasLink(StoredParts stored, Duration longestWait) {
+        return stored.linkWaitNanos(context.nowNanos()) < longestWait.toNanos();
     }
 
-    private Optional<HeldParts> source(String salt, PromptPart part, Optional<FailureDomain> domain) {
+    private Optional<StoredParts> source(String salt, PromptPart part, Optional<FailureDomain> domain) {
         return events.all().stream()
-                .filter(held -> held.isFresh(context.nowNanos()))
-                .filter(held -> held.tokens(salt, part.id()) >= part.tokens())
-                .filter(held -> hasLink(held, LONGEST_LINK_WAIT))
-                .min(Comparator.comparingDouble(held -> distance(held.store(), domain)));
+                .filter(stored -> stored.isFresh(context.nowNanos()))
+                .filter(stored -> stored.tokens(salt, part.id()) >= part.tokens())
+                .filter(stored -> hasLink(stored, LONGEST_LINK_WAIT))
+                .min(Comparator.comparingDouble(stored -> distance(stored.store(), domain)));
     }
 
     /** A near store first, then one that begins quickly. */
@@ -200,27 +202,28 @@
      * Where a part is saved. Parts that many sessions begin with are asked for all the time, so each failure domain
      * gets a copy in a quick store; the part of one session gets one copy, in a quick store if it is short.
      */
-    private Optional<HeldParts> target(
+    private Optional<StoredParts> target(
             String salt,
             PromptPart part,
             boolean isSession,
-            Optional<HeldParts> source,
+            Optional<StoredParts> source,
             FailureDomain domain,
             Predicate<FailureDomain> mayKeep) {
-        boolean saving = events.all().stream().anyMatch(held -> held.isSaving(salt, part.id(), context.nowNanos()));
-        boolean heldSomewhere = events.all().stream().anyMatch(held -> held.tokens(salt, part.id()) >= part.tokens());
+        boolean saving = events.all().stream().anyMatch(stored -> stored.isSaving(salt, part.id(), context.nowNanos()));
+        boolean heldSomewhere =
+                events.all().stream().anyMatch(stored -> stored.tokens(salt, part.id()) >= part.tokens());
         if (saving || (isSession && heldSomewhere)) {
             return Optional.empty();
         }
         boolean quick = !isSession || part.tokens() <= SHORT_PART_TOKENS;
-        Optional<HeldParts> best = events.all().stream()
-                .filter(held -> mayKeep.test(held.store().domain()))
-                .filter(held -> held.takesSaves(context.nowNanos()) && held.hasRoom(part.tokens()))
-                .filter(held -> hasLink(held, LONGEST_LINK_WAIT_FOR_SAVES))
+        Optional<StoredParts> best = events.all().stream()
+                .filter(stored -> mayKeep.test(stored.store().domain()))
+                .filter(stored -> stored.takesSaves(context.nowNanos()) && stored.hasRoom(part.tokens()))
+                .filter(stored -> hasLink(stored, LONGEST_LINK_WAIT_FOR_SAVES))
                 .min(Comparator.comparingDouble(
-                                (HeldParts held) -> quick ? held.store().firstMillis() : isLarge(held))
-                        .thenComparingDouble(held -> distance(held.store(), Optional.of(domain)))
-                        .thenComparingInt(held -> (held.store().id().value() + part.id()).hashCode()));
+                                (StoredParts stored) -> quick ? stored.store().firstMillis() : isLarge(stored))
+                        .thenComparingDouble(stored -> distance(stored.store(), Optional.of(domain)))
+                        .thenComparingInt(stored -> (stored.store().id().value() + part.id()).hashCode()));
         boolean nearer = best.isPresent()
                 && source.isPresent()
                 && distance(best.get().store(), Optional.of(domain))
@@ -229,13 +232,13 @@
     }
 
     /** Stores of at least half the size of the largest one come first. */
-    private double isLarge(HeldParts held) {
-        return held.store().capacityTokens() >= largest() / 2.0 ? 0 : 1;
+    private double isLarge(StoredParts stored) {
+        return stored.store().capacityTokens() >= largest() / 2.0 ? 0 : 1;
     }
 
     private double largest() {
         return events.all().stream()
-                .mapToLong(held -> held.store().capacityTokens())
+                .mapToLong(stored -> stored.store().capacityTokens())
                 .max()
                 .orElse(0);
     }
@@ -245,7 +248,7 @@
         return events.configured();
     }
 
-    private void askForList(HeldParts held) {
-        context.perform(new StoreCall.AskList(held.store()));
+    private void askForList(StoredParts stored) {
+        context.perform(new StoreCall.AskList(stored.store()));
     }
 }
--- a/src/main/java/org/yuccagw/core/swap/PoolSwap.java
+++ b/src/main/java/org/yuccagw/core/swap/PoolSwap.java
@@ -24,7 +24,7 @@
 import org.yuccagw.core.port.KeyValueAnswer.Item;
 import org.yuccagw.core.port.KeyValueCall;
 import org.yuccagw.core.shard.ShardAuthority;
-import org.yuccagw.core.shard.ShardsPart;
+import org.yuccagw.core.shard.ShardsComponent;
 import org.yuccagw.core.swap.OrderEnded.Outcome;
 
 /**
@@ -104,7 +104,7 @@
 
     /** Endpoints that ignore fencing numbers obey an earlier owner as long as one of its orders can be on its way. */
     static Duration earlierOrdersGone() {
-        return ShardsPart.longestEarlierAuthority().plus(ORDER_LIFE);
+        return ShardsComponent.longestEarlierAuthority().plus(ORDER_LIFE);
     }
 
     void lost() {
--- a/src/main/java/org/yuccagw/core/swap/RoleOrderAsked.java
+++ b/src/main/java/org/yuccagw/core/swap/RoleOrderRequested.java
@@ -9,7 +9,7 @@
  * An operator wants an endpoint in another role. Only the owner of the pool's shard may order; another entry refuses
  * with STALE_OWNER and the owner's name. The reply comes exactly once.
  */
-public record RoleOrderAsked(EndpointId endpoint, String role, Consumer<Result> reply) implements ControlEvent {
+public record RoleOrderRequested(EndpointId endpoint, String role, Consumer<Result> reply) implements ControlEvent {
     /** What became of it. */
     public interface Result {
         record Accepted() implements Result {}
--- a/src/main/java/org/yuccagw/core/swap/SwapsPart.java
+++ b/src/main/java/org/yuccagw/core/swap/SwapsComponent.java
@@ -11,9 +11,9 @@
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.catalogue.CatalogueChanged;
 import org.yuccagw.core.catalogue.Service;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.endpoint.EndpointReported;
 import org.yuccagw.core.endpoint.EndpointStatus;
@@ -37,7 +37,7 @@
  * <p>One entry orders a pool: the owner of the shard of its name. What it may do now is asked of {@link ShardAuthority}
  * at each step, never remembered.
  */
-public final class SwapsPart implements ControlPart {
+public final class SwapsComponent implements ControlComponent {
     private static final Duration STEP = Duration.ofMillis(100);
 
     private final ShardAuthority authority;
@@ -50,12 +50,12 @@
     private int shards;
     private boolean stepping;
 
-    private SwapsPart(ShardAuthority authority) {
+    private SwapsComponent(ShardAuthority authority) {
         this.authority = authority;
     }
 
-    public static SwapsPart of(ShardAuthority authority) {
-        return new SwapsPart(authority);
+    public static SwapsComponent of(ShardAuthority authority) {
+        return new SwapsComponent(authority);
     }
 
     /** The shard whose owner orders the endpoints of a pool. */
@@ -95,8 +95,8 @@
                     .filter(vm -> vm.kind() == VmKind.WEIGHT_STORE && !vm.leaving())
                     .map(PlatformListed.ListedVm::address)
                     .findFirst();
-        } else if (event instanceof RoleOrderAsked asked) {
-            orderForOperator(asked);
+        } else if (event instanceof RoleOrderRequested requested) {
+            orderForOperator(requested);
         }
     }
 
@@ -169,11 +169,11 @@
 
     // ---- Operators' orders.
 
-    private void orderForOperator(RoleOrderAsked asked) {
+    private void orderForOperator(RoleOrderRequested requested) {
         try {
             EndpointStatus endpoint = endpoints
-                    .find(asked.endpoint())
-                    .orElseThrow(() -> ErrorKind.UNKNOWN_ITEM.raise("endpoint", asked.endpoint()));
+                    .find(requested.endpoint())
+                    .orElseThrow(() -> ErrorKind.UNKNOWN_ITEM.raise("endpoint", requested.endpoint()));
             OptionalLong fencing = fencingFor(endpoint.pool());
             if (fencing.isEmpty()) {
                 throw ErrorKind.STALE_OWNER.raise("pool '" + endpoint.pool() + "'");
@@ -181,17 +181,17 @@
             if (operatorOrders.containsKey(endpoint.id())) {
                 throw ErrorKind.ORDER_REFUSED.raise(endpoint.id(), "another order is under way");
             }
-            operatorOrders.put(endpoint.id(), outcome -> reply(asked, outcome));
+            operatorOrders.put(endpoint.id(), outcome -> reply(requested, outcome));
             context.perform(new OrderEndpoint(
                     endpoint.id(),
                     endpoint.address(),
                     OrderKind.CHANGE_ROLE,
-                    asked.role(),
+                    requested.role(),
                     fencing.getAsLong(),
                     authority.authorityEndsNanos(context.nowNanos()),
                     weightStore));
         } catch (YuccagwException e) {
-            context.reply(() -> asked.reply().accept(new RoleOrderAsked.Result.Refused(e)));
+            context.reply(() -> requested.reply().accept(new RoleOrderRequested.Result.Refused(e)));
         }
     }
 
@@ -200,15 +200,15 @@
         return swap == null ? OptionalLong.empty() : swap.fencingNow(authority, shardOf(pool, shards));
     }
 
-    private void reply(RoleOrderAsked asked, OrderEnded.Outcome outcome) {
+    private void reply(RoleOrderRequested requested, OrderEnded.Outcome outcome) {
         if (outcome == OrderEnded.Outcome.ACCEPTED) {
-            context.reply(() -> asked.reply().accept(new RoleOrderAsked.Result.Accepted()));
+            context.reply(() -> requested.reply().accept(new RoleOrderRequested.Result.Accepted()));
             return;
         }
         YuccagwException error = outcome == OrderEnded.Outcome.LOST
-                ? ErrorKind.ENDPOINT_FAILED.raise(asked.endpoint(), "no answer to the order; it may be carried out")
-                : ErrorKind.ORDER_REFUSED.raise(asked.endpoint(), outcome);
-        context.reply(() -> asked.reply().accept(new RoleOrderAsked.Result.Refused(error)));
+                ? ErrorKind.ENDPOINT_FAILED.raise(requested.endpoint(), "no answer to the order; it may be carried out")
+                : ErrorKind.ORDER_REFUSED.raise(requested.endpoint(), outcome);
+        context.reply(() -> requested.reply().accept(new RoleOrderRequested.Result.Refused(error)));
     }
 
     private void takeOutcome(OrderEnded ended) {
--- a/src/main/java/org/yuccagw/daemon/ControlParts.java
+++ b/src/main/java/org/yuccagw/daemon/ControlComponents.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.yuccagw.adapters.peer.CacheCodec;
-import org.yuccagw.adapters.peer.CatalogueNewsCodec;
+import org.yuccagw.adapters.peer.CatalogueUpdateCodec;
 import org.yuccagw.adapters.peer.ClaimCodec;
 import org.yuccagw.adapters.peer.ClaimLogProtobuf;
 import org.yuccagw.adapters.peer.EndpointSightingsCodec;
@@ -13,22 +13,22 @@
 import org.yuccagw.adapters.peer.ShardCodec;
 import org.yuccagw.adapters.peer.ShareCodec;
 import org.yuccagw.adapters.settings.CatalogueJson;
-import org.yuccagw.core.admission.AdmissionPart;
-import org.yuccagw.core.admission.CapacityPart;
-import org.yuccagw.core.cache.CachePart;
+import org.yuccagw.core.admission.AdmissionComponent;
+import org.yuccagw.core.admission.CapacityComponent;
+import org.yuccagw.core.cache.CacheComponent;
 import org.yuccagw.core.cache.CacheSettings;
 import org.yuccagw.core.cache.CacheState;
-import org.yuccagw.core.catalogue.CataloguePart;
-import org.yuccagw.core.claim.ClaimPart;
+import org.yuccagw.core.catalogue.CatalogueComponent;
+import org.yuccagw.core.claim.ClaimComponent;
 import org.yuccagw.core.control.ControlCore;
 import org.yuccagw.core.control.EntryIdentity;
-import org.yuccagw.core.endpoint.EndpointsPart;
-import org.yuccagw.core.membership.MembershipPart;
-import org.yuccagw.core.quarantine.QuarantinePart;
-import org.yuccagw.core.routing.RoutePart;
+import org.yuccagw.core.endpoint.EndpointsComponent;
+import org.yuccagw.core.membership.MembershipComponent;
+import org.yuccagw.core.quarantine.QuarantineComponent;
+import org.yuccagw.core.routing.RouteComponent;
 import org.yuccagw.core.routing.RoutePolicies;
-import org.yuccagw.core.shard.ShardsPart;
-import org.yuccagw.core.swap.SwapsPart;
+import org.yuccagw.core.shard.ShardsComponent;
+import org.yuccagw.core.swap.SwapsComponent;
 
 /**
  * The parts of an entry's control core and the codecs of what they say to other entries.
@@ -36,36 +36,36 @@
  * <p>The order matters in one way: an event goes through the parts in the order of the list, so those that others ask
  * about the catalogue, members and shards come first.
  */
-public record ControlParts(ControlCore core, PeerCodec codec) {
+public record ControlComponents(ControlCore core, PeerCodec codec) {
 
     /** All parts of an entry. */
-    public static ControlParts of(EntryIdentity self) {
-        CataloguePart catalogue = CataloguePart.of(CatalogueJson.create());
-        ShardsPart shards = ShardsPart.of();
+    public static ControlComponents of(EntryIdentity self) {
+        CatalogueComponent catalogue = CatalogueComponent.of(CatalogueJson.create());
+        ShardsComponent shards = ShardsComponent.of();
         CacheState cache = CacheState.of(CacheSettings.usual());
         ControlCore core = ControlCore.of(
                 self,
                 new SplittableRandom(self.incarnation() ^ self.entry().hashCode()),
                 List.of(
                         catalogue,
-                        MembershipPart.of(catalogue),
-                        EndpointsPart.of(),
+                        MembershipComponent.of(catalogue),
+                        EndpointsComponent.of(),
                         shards,
-                        SwapsPart.of(shards),
-                        ClaimPart.of(shards, shards::known, ClaimLogProtobuf.of()),
-                        QuarantinePart.of(shards, shards::known),
-                        AdmissionPart.of(shards, shards::known),
-                        CapacityPart.create(),
-                        CachePart.of(cache),
-                        RoutePart.of(RoutePolicies.byName(RoutePolicies.PREDICTED_FIRST_TOKEN), cache)));
-        return new ControlParts(core, codecs());
+                        SwapsComponent.of(shards),
+                        ClaimComponent.of(shards, shards::known, ClaimLogProtobuf.of()),
+                        QuarantineComponent.of(shards, shards::known),
+                        AdmissionComponent.of(shards, shards::known),
+                        CapacityComponent.create(),
+                        CacheComponent.of(cache),
+                        RouteComponent.of(RoutePolicies.byName(RoutePolicies.PREDICTED_FIRST_TOKEN), cache)));
+        return new ControlComponents(core, codecs());
     }
 
     /** The codecs of all parts. */
     public static PeerCodec codecs() {
         return PeerCodec.of(List.of(
                 GossipCodec.of(),
-                CatalogueNewsCodec.of(),
+                CatalogueUpdateCodec.of(),
                 EndpointSightingsCodec.of(),
                 ShardCodec.of(),
                 ClaimCodec.of(),
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -37,9 +37,9 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.membership.DirectorySnapshot;
-import org.yuccagw.core.membership.OwnLoadTold;
+import org.yuccagw.core.membership.OwnLoadReported;
 import org.yuccagw.core.membership.PeerAddresses;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.retry.RetryPolicy;
 import org.yuccagw.platform.KeyValueClient;
 
@@ -83,12 +83,12 @@
         otherEntries = toOtherEntries(settings);
         platform = HttpCaller.start(CONTROL_IO_THREADS);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
-        ControlParts parts = ControlParts.of(self);
+        ControlComponents components = ControlComponents.of(self);
         ControlInputs inputs = new ControlInputs();
         ImportClient imports = ImportClient.of(platform, inputs);
-        peers = PeerTransport.of(self, parts.codec(), this::peerAddress, inputs::offer, security.peers());
+        peers = PeerTransport.of(self, components.codec(), this::peerAddress, inputs::offer, security.peers());
         control = ControlRunner.of(
-                parts.core(),
+                components.core(),
                 keyValue::submit,
                 peers,
                 List.of(
@@ -157,7 +157,7 @@
         }
         stopped = true;
         log.info("entry {} stops: {} requests in progress", self.entry(), runs.count());
-        control.offer(new StopAsked());
+        control.offer(new StopRequested());
         Duration timeToLive = control.snapshot()
                 .part(DirectorySnapshot.class)
                 .map(DirectorySnapshot::timeToLive)
@@ -244,7 +244,7 @@
     private void tellLoad() {
         worker.getIoThread(0)
                 .executeAtInterval(
-                        () -> control.offer(new OwnLoadTold(runs.count())),
+                        () -> control.offer(new OwnLoadReported(runs.count())),
                         LOAD_INTERVAL.toMillis(),
                         TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/org/yuccagw/daemon/GatewayParts.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -11,39 +11,39 @@
 import org.yuccagw.adapters.peer.RateLimitCodec;
 import org.yuccagw.adapters.peer.StatusCodec;
 import org.yuccagw.adapters.settings.GatewaySettings;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlCore;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.EntryIdentity;
-import org.yuccagw.core.duty.DutyPart;
-import org.yuccagw.core.duty.WeightOrdersPart;
+import org.yuccagw.core.duty.DutyComponent;
+import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
-import org.yuccagw.core.follow.ConfiguredPart;
-import org.yuccagw.core.follow.FactCodec;
+import org.yuccagw.core.follow.ConfigurationComponent;
 import org.yuccagw.core.follow.FollowMessage;
-import org.yuccagw.core.follow.FollowPart;
-import org.yuccagw.core.follow.NamedWeightsPart;
+import org.yuccagw.core.follow.KeyValueFollowComponent;
+import org.yuccagw.core.follow.KeyValueRecordCodec;
+import org.yuccagw.core.follow.NamedWeightsComponent;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
-import org.yuccagw.core.notice.NoticesPart;
+import org.yuccagw.core.notice.NoticesComponent;
 import org.yuccagw.core.peers.PeerStatus;
-import org.yuccagw.core.peers.PeersPart;
-import org.yuccagw.core.peers.RegistrationPart;
-import org.yuccagw.core.placing.PlaceAsked;
-import org.yuccagw.core.placing.PlacingBounds;
-import org.yuccagw.core.placing.PlacingDesk;
-import org.yuccagw.core.placing.PlacingPart;
-import org.yuccagw.core.placing.PlacingRelay;
+import org.yuccagw.core.peers.PeersComponent;
+import org.yuccagw.core.peers.RegistrationComponent;
+import org.yuccagw.core.placing.PlacementBounds;
+import org.yuccagw.core.placing.PlacementClient;
+import org.yuccagw.core.placing.PlacementComponent;
+import org.yuccagw.core.placing.PlacementRequest;
+import org.yuccagw.core.placing.PlacementResponder;
 import org.yuccagw.core.placing.Work;
 import org.yuccagw.core.port.PeerMessage;
-import org.yuccagw.core.ratelimit.EndpointAsks;
-import org.yuccagw.core.ratelimit.OwnCalls;
-import org.yuccagw.core.ratelimit.RateLimitsPart;
-import org.yuccagw.core.ratelimit.Senders;
-import org.yuccagw.core.stores.EngineCachesPart;
-import org.yuccagw.core.stores.RetiredPartsPart;
-import org.yuccagw.core.stores.StoresPart;
+import org.yuccagw.core.ratelimit.EndpointConstraints;
+import org.yuccagw.core.ratelimit.InternalCalls;
+import org.yuccagw.core.ratelimit.RateLimitShares;
+import org.yuccagw.core.ratelimit.RateLimitsComponent;
+import org.yuccagw.core.stores.EngineCachesComponent;
+import org.yuccagw.core.stores.RetiredPartsComponent;
+import org.yuccagw.core.stores.StoresComponent;
 
 /**
  * The parts of the control core of an entry on the users' platform.
@@ -51,90 +51,95 @@
  * <p>Parts ask each other through this object, since each needs something of another: heartbeats carry loads, placing
  * needs the number of entries, orders announce themselves by a heartbeat.
  */
-final class GatewayParts implements PeersPart.Knowledge {
+final class GatewayComponents implements PeersComponent.Knowledge {
     private static final String WEIGHTS_DUTY = "weights";
 
     private final EntryId self;
     private final FailureDomain ownDomain;
-    private final FollowPart follow;
-    private final ConfiguredPart configured;
-    private final PeersPart peers;
-    private final StoresPart stores;
-    private final PlacingPart placing;
-    private final DutyPart duty;
-    private final WeightOrdersPart orders;
-    private final List<ControlPart> parts;
-
-    private GatewayParts(GatewaySettings settings, FactCodec codec) {
+    private final KeyValueFollowComponent follow;
+    private final ConfigurationComponent configuration;
+    private final PeersComponent peers;
+    private final StoresComponent stores;
+    private final PlacementComponent placement;
+    private final DutyComponent duty;
+    private final WeightOrdersComponent orders;
+    private final List<ControlComponent> components;
+
+    private GatewayComponents(GatewaySettings settings, KeyValueRecordCodec codec) {
         self = settings.entry();
         ownDomain = settings.domain();
-        follow = FollowPart.of(
+        follow = KeyValueFollowComponent.of(
                 codec,
-                settings.bounds().keysUnconfirmed().isPresent() ? FollowPart.Fleet.ofWatchers() : new Following());
-        configured = ConfiguredPart.create();
-        peers = PeersPart.of(this, settings.seeds());
-        NamedWeightsPart weights = NamedWeightsPart.of(settings.bounds().oldWeightsAllowed());
-        stores = StoresPart.of(peers::firstLeads);
+                settings.bounds().keysUnconfirmed().isPresent()
+                        ? KeyValueFollowComponent.Fleet.ofWatchers()
+                        : new Following());
+        configuration = ConfigurationComponent.create();
+        peers = PeersComponent.of(this, settings.seeds());
+        NamedWeightsComponent weights =
+                NamedWeightsComponent.of(settings.bounds().oldWeightsAllowed());
+        stores = StoresComponent.of(peers::firstLeads);
         Limiting fleet = new Limiting();
-        NoticesPart notices = NoticesPart.of(fleet);
-        RateLimitsPart rateLimits = RateLimitsPart.of(fleet);
-        EndpointAsks asks = new EndpointAsks(rateLimits, notices);
-        OwnCalls calls = OwnCalls.of(asks);
-        EngineCachesPart caches = EngineCachesPart.of(peers::ownLeads, calls);
-        PlacingDesk desk = PlacingDesk.of(this::workOf, notices);
-        placing = PlacingPart.of(
-                new PlacingBounds(settings.bounds().retries(), settings.bounds().cold()),
+        NoticesComponent notices = NoticesComponent.of(fleet);
+        RateLimitsComponent rateLimits = RateLimitsComponent.of(fleet);
+        EndpointConstraints constraints = new EndpointConstraints(rateLimits, notices);
+        InternalCalls calls = InternalCalls.of(constraints);
+        EngineCachesComponent caches = EngineCachesComponent.of(peers::ownLeads, calls);
+        PlacementResponder responder = PlacementResponder.of(this::workOf, notices);
+        placement = PlacementComponent.of(
+                new PlacementBounds(
+                        settings.bounds().retries(), settings.bounds().cold()),
                 settings.regions(),
                 weights,
                 stores,
                 caches,
-                asks,
+                constraints,
                 new Placing(),
-                desk);
-        PlacingRelay relay = PlacingRelay.of(this::placersOf, placing::usableEndpoint, placing::spared, notices);
-        duty = DutyPart.of(
+                responder);
+        PlacementClient client =
+                PlacementClient.of(this::placersOf, placement::usableEndpoint, placement::spared, notices);
+        duty = DutyComponent.of(
                 WEIGHTS_DUTY,
                 codec,
                 peers::allLeads,
                 follow::isReachable,
                 settings.bounds().orderSeparation());
-        orders = WeightOrdersPart.of(duty, weights, this::announceOrders, placing::requestsOn, calls);
-        RetiredPartsPart retired = RetiredPartsPart.of(duty::mayAct, weights, orders::lowestRunning, stores);
-        parts = List.of(
+        orders = WeightOrdersComponent.of(duty, weights, this::announceOrders, placement::requestsOn, calls);
+        RetiredPartsComponent retired = RetiredPartsComponent.of(duty::mayAct, weights, orders::lowestRunning, stores);
+        components = List.of(
                 follow,
-                configured,
+                configuration,
                 weights,
                 peers,
-                RegistrationPart.of(codec),
+                RegistrationComponent.of(codec),
                 notices,
                 rateLimits,
                 stores,
                 caches,
-                relay,
-                desk,
-                placing,
+                client,
+                responder,
+                placement,
                 duty,
                 orders,
                 retired);
     }
 
-    static GatewayParts of(GatewaySettings settings, FactCodec codec) {
-        return new GatewayParts(settings, codec);
+    static GatewayComponents of(GatewaySettings settings, KeyValueRecordCodec codec) {
+        return new GatewayComponents(settings, codec);
     }
 
     /** In the order in which an event goes through them: those that others ask come first. */
-    List<ControlPart> list() {
-        return parts;
+    List<ControlComponent> list() {
+        return components;
     }
 
     ControlCore core(EntryIdentity self) {
         return ControlCore.of(
-                self, new SplittableRandom(self.incarnation() ^ self.entry().hashCode()), parts);
+                self, new SplittableRandom(self.incarnation() ^ self.entry().hashCode()), components);
     }
 
     /** How many requests run on an endpoint, as far as this entry knows. */
     int requestsOn(EndpointId endpoint) {
-        return placing.requestsOn(endpoint);
+        return placement.requestsOn(endpoint);
     }
 
     /** Who leads the failure domain of this entry. */
@@ -144,7 +149,7 @@
 
     /** Whether this entry may use the endpoint as far as it knows. */
     boolean isUsable(EndpointIncarnation endpoint) {
-        return placing.usableEndpoint(endpoint).isPresent();
+        return placement.usableEndpoint(endpoint).isPresent();
     }
 
     static PeerCodec codec() {
@@ -157,22 +162,22 @@
     }
 
     private Work workOf(long ticket) {
-        return placing.workOf(ticket);
+        return placement.workOf(ticket);
     }
 
     /**
      * Leads; in a mesh, where every entry decides by what all tell each other, nobody but those that may send where
      * this entry may not. Nobody either where no endpoint takes the request from this entry.
      */
-    private List<EntryId> placersOf(PlaceAsked asked) {
-        if (placing.isTurnedAway(asked)) {
+    private List<EntryId> placersOf(PlacementRequest request) {
+        if (placement.isTurnedAway(request)) {
             return List.of();
         }
-        return peers.isMeshed() ? placing.othersWithinLimits(asked) : peers.ownLeads();
+        return peers.isMeshed() ? placement.othersWithinLimits(request) : peers.ownLeads();
     }
 
     /** How this entry follows the key-value service. */
-    private final class Following implements FollowPart.Fleet {
+    private final class Following implements KeyValueFollowComponent.Fleet {
         @Override
         public boolean reliesOnOthers() {
             return !peers.isMeshed() && !peers.isFirstLead();
@@ -180,7 +185,7 @@
 
         @Override
         public boolean isServing() {
-            return configured.present().isPresent();
+            return configuration.present().isPresent();
         }
 
         @Override
@@ -195,7 +200,7 @@
     }
 
     /** Who places requests beside this entry. */
-    private final class Placing implements PlacingPart.Fleet {
+    private final class Placing implements PlacementComponent.Fleet {
         /** So much less of the slack has an entry that decides alone, of which there may be many for a moment. */
         private static final int SHARES_OF_LONE_ENTRY = 5;
 
@@ -226,7 +231,7 @@
             if (peers.isMeshed()) {
                 return peers.knownCount();
             }
-            return leads(domain) ? PeersPart.LEADS_OF_DOMAIN : 0;
+            return leads(domain) ? PeersComponent.LEADS_OF_DOMAIN : 0;
         }
 
         @Override
@@ -246,13 +251,13 @@
     }
 
     /** Who sends to endpoints with a rate limit, and who hears what endpoints say of themselves. */
-    private final class Limiting implements RateLimitsPart.Fleet {
+    private final class Limiting implements RateLimitsComponent.Fleet {
         @Override
-        public Senders sendersTo(ListedEndpoint endpoint) {
+        public RateLimitShares sendersTo(ListedEndpoint endpoint) {
             if (peers.isMeshed()) {
-                return Senders.ofMesh(peers.servingOrSilent());
+                return RateLimitShares.ofMesh(peers.servingOrSilent());
             }
-            return leads(endpoint.domain()) ? Senders.ofLeads(peers.ownLeads()) : Senders.nobody();
+            return leads(endpoint.domain()) ? RateLimitShares.ofLeads(peers.ownLeads()) : RateLimitShares.nobody();
         }
 
         @Override
@@ -279,13 +284,13 @@
     }
 
     private void announceOrders() {
-        placing.ownLoading(orders.loading());
+        placement.ownLoading(orders.loading());
         peers.beatNow();
     }
 
     @Override
     public String reasonAgainst(long nowNanos) {
-        return configured.present().isPresent() ? "" : "has no configuration yet";
+        return configuration.present().isPresent() ? "" : "has no configuration yet";
     }
 
     @Override
@@ -300,7 +305,7 @@
 
     @Override
     public ImmutableList<PeerStatus.Load> loads() {
-        return placing.loads();
+        return placement.loads();
     }
 
     @Override
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -23,14 +23,14 @@
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.notice.NoticesSnapshot;
 import org.yuccagw.core.peers.PeersSnapshot;
 import org.yuccagw.core.ratelimit.RateLimitsSnapshot;
 import org.yuccagw.platform.EngineCaller;
 import org.yuccagw.platform.KeyValueClient;
 import org.yuccagw.platform.PlatformDialect;
-import org.yuccagw.platform.PlatformFacts;
+import org.yuccagw.platform.PlatformRecords;
 import org.yuccagw.platform.StoreCaller;
 
 /**
@@ -83,16 +83,16 @@
         traffic = HttpCaller.on(worker);
         platform = HttpCaller.on(worker);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
-        GatewayParts parts = GatewayParts.of(settings, PlatformFacts.create());
+        GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
         ControlInputs inputs = new ControlInputs();
         peers = PeerTransport.of(
                 self,
-                GatewayParts.codec(),
+                GatewayComponents.codec(),
                 entry -> peersSnapshot().find(entry),
                 inputs::offer,
                 PeerTransport.PeerSecurity.none());
         control = ControlRunner.of(
-                parts.core(self),
+                components.core(self),
                 keyValue::submit,
                 peers,
                 List.of(
@@ -178,7 +178,7 @@
         long begunNanos = System.nanoTime();
         decisions.write(Decision.of("stopping").with("running", runs.value()));
         server.closeConnectionsAfterAnswers();
-        control.offer(new StopAsked());
+        control.offer(new StopRequested());
         Duration grace = settings.bounds().stopGrace();
         Duration open = Comparators.min(
                 settings.bounds().directoryTimeToLive().multipliedBy(DIRECTORY_KEPT), grace.minus(LAST_REQUESTS));
--- a/src/main/java/org/yuccagw/daemon/PrefetchHints.java
+++ b/src/main/java/org/yuccagw/daemon/PrefetchHints.java
@@ -3,7 +3,7 @@
 import org.yuccagw.adapters.caller.CallerServer.Prefetcher;
 import org.yuccagw.adapters.engine.EngineBody;
 import org.yuccagw.core.cache.BlockChain;
-import org.yuccagw.core.cache.PrefetchAsked;
+import org.yuccagw.core.cache.PrefetchRequested;
 import org.yuccagw.core.cache.PromptScope;
 import org.yuccagw.core.catalogue.Service;
 import org.yuccagw.core.catalogue.Service.ModelSettings;
@@ -19,6 +19,7 @@
         String salt = BlockChain.salt(
                 workspace.cacheSecret(), service.name().value(), model.version().value(), model.adapter());
         PromptScope scope = new PromptScope(workspace.id(), className, service.name(), model.version());
-        return new PrefetchAsked(scope, BlockChain.keys(salt, body.promptBytes(), model.blockTokens()), brought -> {});
+        return new PrefetchRequested(
+                scope, BlockChain.keys(salt, body.promptBytes(), model.blockTokens()), brought -> {});
     }
 }
--- a/src/main/java/org/yuccagw/platform/EndpointHeads.java
+++ b/src/main/java/org/yuccagw/platform/EndpointHeads.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.forward.ForwardRequest;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.stores.CachePlan;
 
 /** Heads of requests to endpoints and of their answers. */
@@ -36,7 +36,7 @@
     static HeaderMap request(
             CallerHead head,
             Optional<WorkspaceAccess> workspace,
-            PlaceDecision.Placed placed,
+            PlacementDecision.Placed placed,
             Duration left,
             long afterEvent) {
         HeaderMap headers = new HeaderMap();
--- a/src/main/java/org/yuccagw/platform/EndpointNotices.java
+++ b/src/main/java/org/yuccagw/platform/EndpointNotices.java
@@ -9,7 +9,7 @@
 import org.yuccagw.adapters.http.HttpAnswer;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.notice.RateLimit;
 
 /** What heads of answers say of the endpoint. */
@@ -41,12 +41,12 @@
     }
 
     /** What the answer to a call of this entry says of the endpoint; empty if nothing, or if another one answered. */
-    static Optional<NoticeHeard> heard(EndpointIncarnation endpoint, HttpAnswer answer) {
+    static Optional<NoticeReceived> heard(EndpointIncarnation endpoint, HttpAnswer answer) {
         String from = text(answer.headers(), PlatformNames.ENDPOINT_ID);
         boolean foreign = !from.isEmpty() && !from.equals(endpoint.endpoint().value());
         EndpointNotice notice = read(answer.status(), answer.headers());
         boolean says = !foreign && notice.saysSomething();
-        return says ? Optional.of(new NoticeHeard(endpoint, notice, false)) : Optional.empty();
+        return says ? Optional.of(new NoticeReceived(endpoint, notice, false)) : Optional.empty();
     }
 
     /** A number that is none says nothing. */
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformDialect.java
@@ -12,7 +12,7 @@
 import org.yuccagw.core.forward.AnswerStart;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
 
 /** How callers and endpoints of the platform spell requests and answers. */
 public final class PlatformDialect implements Dialect {
@@ -31,7 +31,7 @@
     public HeaderMap attemptHeaders(
             CallerHead head,
             Optional<WorkspaceAccess> workspace,
-            PlaceDecision.Placed placed,
+            PlacementDecision.Placed placed,
             Duration left,
             long afterEvent) {
         return EndpointHeads.request(head, workspace, placed, left, afterEvent);
--- a/src/main/java/org/yuccagw/platform/PlatformFacts.java
+++ b/src/main/java/org/yuccagw/platform/PlatformRecords.java
@@ -11,22 +11,22 @@
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
 import org.yuccagw.core.fleet.ModelWeights;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactCodec;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordCodec;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
 
 /** The keys of the platform's key-value service, those of operators and endpoints and our own. */
-public final class PlatformFacts implements FactCodec {
+public final class PlatformRecords implements KeyValueRecordCodec {
     /** One watch over all keys costs a third of three watches, and our own keys change rarely. */
     private static final String ALL_KEYS = "";
 
-    private PlatformFacts() {}
+    private PlatformRecords() {}
 
-    public static PlatformFacts create() {
-        return new PlatformFacts();
+    public static PlatformRecords create() {
+        return new PlatformRecords();
     }
 
     @Override
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public Optional<Fact> decode(String key, byte[] value) throws YuccagwException {
+    public Optional<KeyValueRecord> decode(String key, byte[] value) throws YuccagwException {
         try {
             return read(key, value);
         } catch (IOException | IllegalArgumentException e) {
@@ -43,28 +43,29 @@
         }
     }
 
-    private static Optional<Fact> read(String key, byte[] value) throws IOException {
+    private static Optional<KeyValueRecord> read(String key, byte[] value) throws IOException {
         if (key.equals(PlatformNames.CONFIGURATION_KEY)) {
-            return Optional.of(new Fact.Configured(DeploymentReader.read(JsonText.read(value))));
+            return Optional.of(new KeyValueRecord.Configured(DeploymentReader.read(JsonText.read(value))));
         }
         if (key.startsWith(PlatformNames.WEIGHTS_KEYS)) {
             JsonNode named = JsonText.read(value);
-            return Optional.of(new Fact.WeightsNamed(new ModelWeights(
+            return Optional.of(new KeyValueRecord.WeightsNamed(new ModelWeights(
                     named.required("model").asText(), named.required("version").asLong())));
         }
         if (key.startsWith(PlatformNames.EVACUATION_KEYS)) {
-            return Optional.of(new Fact.DomainEvacuated(evacuatedDomain(key)));
+            return Optional.of(new KeyValueRecord.DomainEvacuated(evacuatedDomain(key)));
         }
         if (key.startsWith(PlatformNames.ENDPOINT_KEYS)) {
             String id = key.substring(PlatformNames.ENDPOINT_KEYS.length());
-            return Optional.of(new Fact.EndpointListed(EndpointReader.readRegistration(id, JsonText.read(value))));
+            return Optional.of(
+                    new KeyValueRecord.EndpointListed(EndpointReader.readRegistration(id, JsonText.read(value))));
         }
         if (key.startsWith(PlatformNames.ENTRY_KEYS)) {
-            return Optional.of(new Fact.EntryListed(readContact(JsonText.read(value))));
+            return Optional.of(new KeyValueRecord.EntryListed(readContact(JsonText.read(value))));
         }
         if (key.startsWith(PlatformNames.DUTY_KEYS)) {
             JsonNode held = JsonText.read(value);
-            return Optional.of(new Fact.DutyHeld(
+            return Optional.of(new KeyValueRecord.DutyHeld(
                     key.substring(PlatformNames.DUTY_KEYS.length()),
                     EntryId.of(held.required("holder").asText()),
                     held.required("incarnation").asLong()));
@@ -73,20 +74,22 @@
     }
 
     @Override
-    public Fact.Subject subject(String key) {
+    public KeyValueRecord.Subject subject(String key) {
         if (key.startsWith(PlatformNames.ENDPOINT_KEYS)) {
-            return new Fact.Subject.EndpointSubject(EndpointId.of(key.substring(PlatformNames.ENDPOINT_KEYS.length())));
+            return new KeyValueRecord.Subject.EndpointSubject(
+                    EndpointId.of(key.substring(PlatformNames.ENDPOINT_KEYS.length())));
         }
         if (key.startsWith(PlatformNames.ENTRY_KEYS)) {
-            return new Fact.Subject.EntrySubject(EntryId.of(key.substring(PlatformNames.ENTRY_KEYS.length())));
+            return new KeyValueRecord.Subject.EntrySubject(
+                    EntryId.of(key.substring(PlatformNames.ENTRY_KEYS.length())));
         }
         if (key.startsWith(PlatformNames.DUTY_KEYS)) {
-            return new Fact.Subject.DutySubject(key.substring(PlatformNames.DUTY_KEYS.length()));
+            return new KeyValueRecord.Subject.DutySubject(key.substring(PlatformNames.DUTY_KEYS.length()));
         }
         if (key.startsWith(PlatformNames.EVACUATION_KEYS)) {
-            return new Fact.Subject.EvacuationSubject(evacuatedDomain(key));
+            return new KeyValueRecord.Subject.EvacuationSubject(evacuatedDomain(key));
         }
-        return new Fact.Subject.OtherSubject(key);
+        return new KeyValueRecord.Subject.OtherSubject(key);
     }
 
     private static FailureDomain evacuatedDomain(String key) {
@@ -94,7 +97,7 @@
     }
 
     @Override
-    public Entry encode(Fact.EntryListed listed) {
+    public Entry encode(KeyValueRecord.EntryListed listed) {
         EntryContact contact = listed.contact();
         ObjectNode value = JsonText.object()
                 .put("entry", contact.entry().value())
@@ -107,7 +110,7 @@
     }
 
     @Override
-    public Entry encode(Fact.DutyHeld held) {
+    public Entry encode(KeyValueRecord.DutyHeld held) {
         ObjectNode value =
                 JsonText.object().put("holder", held.holder().value()).put("incarnation", held.incarnation());
         return entry(PlatformNames.DUTY_KEYS + held.duty(), value);
--- a/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
@@ -33,7 +33,7 @@
     private final StandInServer server;
     private final EngineRuntime runtime;
     private final HttpCaller caller;
-    private final OrderDesk orders;
+    private final OrderHandler orders;
     private volatile boolean leaving;
     private volatile boolean dieBeforeSeal;
     private final AtomicLong wrongBytesCommitted = new AtomicLong();
@@ -43,7 +43,7 @@
         this.server = StandInServer.create(settings.name());
         this.runtime = new EngineRuntime(settings, server.timer(), this::kill);
         this.caller = HttpCaller.on(server.worker());
-        this.orders = new OrderDesk(settings, runtime, caller, server.timer());
+        this.orders = new OrderHandler(settings, runtime, caller, server.timer());
         server.on("POST", "/v1/completions", call -> begin(call, PromptRequest.completions(call.json())))
                 .on("POST", "/v1/chat/completions", call -> begin(call, PromptRequest.chat(call.json())))
                 .on("GET", "/v1/streams/{stream}", this::resume)
