--- a/src/main/java/org/yuccagw/standins/engine/OrderDesk.java
+++ b/src/main/java/org/yuccagw/standins/engine/OrderHandler.java
@@ -21,7 +21,7 @@
  * Takes orders to load a version or an adapter or to change role, one at a time. An engine that checks fencing numbers
  * refuses an order whose number is below the highest that it has seen; one that doesn't carries out any.
  */
-final class OrderDesk {
+final class OrderHandler {
     private static final int CONFLICT = 409;
     private static final Duration SILENCE = Duration.ofSeconds(10);
 
@@ -38,7 +38,7 @@
     /** An order as it came, and whether it was accepted. */
     record OrderRecord(String order, String value, long fencing, boolean accepted, long millis) {}
 
-    OrderDesk(EngineSettings settings, EngineRuntime runtime, HttpCaller caller, ScheduledExecutorService timer) {
+    OrderHandler(EngineSettings settings, EngineRuntime runtime, HttpCaller caller, ScheduledExecutorService timer) {
         this.settings = settings;
         this.runtime = runtime;
         this.caller = caller;
--- a/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
@@ -19,16 +19,16 @@
 import org.yuccagw.adapters.settings.EntrySettingsReader;
 import org.yuccagw.adapters.telemetry.Metrics;
 import org.yuccagw.adapters.telemetry.Traces;
-import org.yuccagw.core.cache.StoreNews;
-import org.yuccagw.core.cache.StoresAsked;
+import org.yuccagw.core.cache.StoreUpdate;
+import org.yuccagw.core.cache.StoresRequested;
 import org.yuccagw.core.catalogue.AcceptedEdit;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
-import org.yuccagw.core.catalogue.CatalogueHistoryAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
+import org.yuccagw.core.catalogue.CatalogueHistoryRequested;
+import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlCore;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.control.ControlPart;
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.error.ErrorKind;
@@ -36,7 +36,7 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.membership.DirectorySnapshot;
 import org.yuccagw.core.membership.EntryStatus;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 
 /** An admin server on loopback before a control core of the test's own, which accepts an edit on the right revision. */
 public final class AdminFixture {
@@ -64,7 +64,7 @@
                 this::offer,
                 Metrics.create(),
                 traces,
-                () -> offer(new StopAsked()));
+                () -> offer(new StopRequested()));
         Span span = traces.tracer()
                 .spanBuilder("request")
                 .setAttribute(Traces.REQUEST, REQUEST)
@@ -126,39 +126,39 @@
 
     private void offer(ControlEvent event) {
         offered.add(event);
-        if (event instanceof CatalogueEditAsked asked) {
+        if (event instanceof CatalogueEditRequested asked) {
             asked.reply().accept(decide(asked));
-        } else if (event instanceof CatalogueHistoryAsked asked) {
+        } else if (event instanceof CatalogueHistoryRequested asked) {
             AcceptedEdit edit = new AcceptedEdit(catalogue.revision(), "first", "operator", 0);
-            asked.reply().accept(new CatalogueHistoryAsked.Result.History(ImmutableList.of(edit)));
-        } else if (event instanceof StoresAsked asked) {
+            asked.reply().accept(new CatalogueHistoryRequested.Result.History(ImmutableList.of(edit)));
+        } else if (event instanceof StoresRequested asked) {
             asked.reply().accept(ImmutableList.of(store()));
         }
     }
 
-    private static StoresAsked.StoreStatus store() {
-        StoreNews.Usage memory = new StoreNews.Usage(1, 64);
-        return new StoresAsked.StoreStatus(
+    private static StoresRequested.StoreStatus store() {
+        StoreUpdate.Usage memory = new StoreUpdate.Usage(1, 64);
+        return new StoresRequested.StoreStatus(
                 StoreId.of("store-1"),
                 NetworkAddress.of("127.0.0.1", 7),
                 true,
                 memory,
-                StoreNews.Usage.unknown(),
+                StoreUpdate.Usage.unknown(),
                 0,
                 0);
     }
 
-    private CatalogueEditAsked.Result decide(CatalogueEditAsked asked) {
+    private CatalogueEditRequested.Result decide(CatalogueEditRequested asked) {
         long revision = catalogue.revision();
         if (asked.baseRevision() != revision) {
-            return new CatalogueEditAsked.Result.Refused(
+            return new CatalogueEditRequested.Result.Refused(
                     ErrorKind.CATALOGUE_CONFLICT.raise(revision, "services/assistant/owner"));
         }
         catalogue = asked.wanted().atRevision(revision + 1);
-        return new CatalogueEditAsked.Result.Accepted(revision + 1);
+        return new CatalogueEditRequested.Result.Accepted(revision + 1);
     }
 
-    private final class Contribution implements ControlPart {
+    private final class Contribution implements ControlComponent {
         @Override
         public void handle(ControlEvent event, ControlContext context) {}
 
--- a/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
@@ -16,7 +16,7 @@
 import org.yuccagw.adapters.http.HttpAnswer;
 import org.yuccagw.adapters.http.HttpCaller;
 import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 
 public class AdminServerTest {
     private static final int LONG_SECONDS = 30;
@@ -128,7 +128,7 @@
     public void aDrainAsksForTheGracefulStop() throws Exception {
         HttpQuery drain = HttpQuery.of("POST", fixture.address(), "/admin/drain");
         assertEquals(send(withKey(drain, AdminFixture.OPERATOR_KEY)).status(), 200);
-        assertTrue(fixture.offered().get(0) instanceof StopAsked);
+        assertTrue(fixture.offered().get(0) instanceof StopRequested);
     }
 
     @Test
--- a/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
+++ b/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
@@ -20,9 +20,9 @@
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.CacheOrder;
-import org.yuccagw.core.cache.ReplicaNews;
-import org.yuccagw.core.cache.ReplicaNews.ImportFailure;
-import org.yuccagw.core.cache.StoreNews;
+import org.yuccagw.core.cache.EngineCacheUpdate;
+import org.yuccagw.core.cache.EngineCacheUpdate.ImportFailure;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.endpoint.EndpointStatus;
@@ -79,7 +79,7 @@
         engine.evictAll();
         assertEquals(importNow(plan(stored, LIMIT, false)).blocks(), stored.size());
         assertTrue(engine.cached().containsAll(keys()));
-        ReplicaNews.ImportEnded ended = only(ReplicaNews.ImportEnded.class);
+        EngineCacheUpdate.ImportEnded ended = only(EngineCacheUpdate.ImportEnded.class);
         assertEquals(ended.imported(), stored.size());
         assertTrue(ended.failed().isEmpty());
     }
@@ -88,13 +88,13 @@
     public void whatTheStoreAndTheEngineTellIsRead() throws Exception {
         List<StoredBlock> stored = export();
         perform(new CacheOrder.LookUpBlocks(7, storeAddress(), keys()));
-        assertEquals(only(StoreNews.BlocksFound.class).found().size(), stored.size());
+        assertEquals(only(StoreUpdate.BlocksFound.class).found().size(), stored.size());
         perform(new CacheOrder.ReadStoreStatus(storeAddress()));
-        assertTrue(only(StoreNews.StatusRead.class).memory().used() > 0);
+        assertTrue(only(StoreUpdate.StatusRead.class).memory().used() > 0);
         perform(new CacheOrder.ReadCacheEvents(endpoint().id(), engine.address(), 0));
-        assertTrue(only(ReplicaNews.EventsRead.class).lastSequence() > 0);
+        assertTrue(only(EngineCacheUpdate.EventsRead.class).lastSequence() > 0);
         perform(new CacheOrder.ReadCacheSnapshot(endpoint().id(), engine.address()));
-        assertTrue(only(ReplicaNews.SnapshotRead.class).blocks().containsAll(keys()));
+        assertTrue(only(EngineCacheUpdate.SnapshotRead.class).blocks().containsAll(keys()));
     }
 
     @Test
@@ -108,7 +108,7 @@
             await().atMost(LIMIT).until(() -> {
                 events.clear();
                 perform(new CacheOrder.LookUpBlocks(1, storeAddress(), keys()));
-                return only(StoreNews.BlocksFound.class).found().isEmpty();
+                return only(StoreUpdate.BlocksFound.class).found().isEmpty();
             });
         }
     }
@@ -121,7 +121,7 @@
         engine.evictAll();
         store.order(new ReadFaults(1, 0, 0));
         assertEquals(importNow(plan(stored, LIMIT, false)).blocks(), stored.size() - 1);
-        ReplicaNews.ImportEnded ended = only(ReplicaNews.ImportEnded.class);
+        EngineCacheUpdate.ImportEnded ended = only(EngineCacheUpdate.ImportEnded.class);
         assertEquals(ended.failed().size(), 1);
         assertEquals(ended.failed().get(0).reason(), ImportFailure.DAMAGED);
         assertTrue(!engine.cached().contains(ended.failed().get(0).key()));
@@ -150,7 +150,7 @@
         store.order(new ReadFaults(0, 0, stored.size()));
         ImportOutcome outcome = importNow(plan(stored, SHORT, false));
         assertEquals(outcome.blocks(), 0);
-        assertTrue(only(ReplicaNews.ImportEnded.class).failed().stream()
+        assertTrue(only(EngineCacheUpdate.ImportEnded.class).failed().stream()
                 .allMatch(block -> block.reason() == ImportFailure.LATE));
     }
 
@@ -187,7 +187,7 @@
         complete();
         store.setFull(true);
         perform(exportOrder());
-        ReplicaNews.ExportEnded ended = only(ReplicaNews.ExportEnded.class);
+        EngineCacheUpdate.ExportEnded ended = only(EngineCacheUpdate.ExportEnded.class);
         assertTrue(ended.full());
         assertTrue(ended.exported().isEmpty());
     }
@@ -195,7 +195,7 @@
     private List<StoredBlock> export() throws Exception {
         complete();
         perform(exportOrder());
-        List<StoredBlock> stored = only(ReplicaNews.ExportEnded.class).exported();
+        List<StoredBlock> stored = only(EngineCacheUpdate.ExportEnded.class).exported();
         assertEquals(stored.size(), keys().size());
         events.clear();
         return keys().stream()
--- a/src/test/java/org/yuccagw/adapters/peer/CacheCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/CacheCodecTest.java
@@ -10,8 +10,8 @@
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.BlocksPlaced;
 import org.yuccagw.core.cache.PromptScope;
-import org.yuccagw.core.cache.StoreNews;
 import org.yuccagw.core.cache.StoreTier;
+import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
@@ -33,8 +33,8 @@
                 12,
                 StoreId.of("store-0"),
                 List.of(
-                        new StoreNews.Found(new StoredBlock(BlockKey.of(-1, 2), 3, 4_096, 77), StoreTier.MEMORY),
-                        new StoreNews.Found(new StoredBlock(BlockKey.of(5, -6), 4, 4_096, 78), StoreTier.DISK)));
+                        new StoreUpdate.Found(new StoredBlock(BlockKey.of(-1, 2), 3, 4_096, 77), StoreTier.MEMORY),
+                        new StoreUpdate.Found(new StoredBlock(BlockKey.of(5, -6), 4, 4_096, 78), StoreTier.DISK)));
         Envelope.Builder envelope = Envelope.newBuilder();
         codec.encode(placed, envelope);
         assertEquals(codec.decode(envelope.build()), Optional.of(placed));
--- a/src/test/java/org/yuccagw/adapters/peer/ControlCodecsTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/ControlCodecsTest.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.yuccagw.bench.control.ControlParts;
-import org.yuccagw.core.catalogue.CatalogueNews;
+import org.yuccagw.bench.control.ControlComponents;
+import org.yuccagw.core.catalogue.CatalogueUpdate;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.endpoint.EndpointSightings;
@@ -33,7 +33,7 @@
     private static final EntryIdentity SELF =
             new EntryIdentity(EntryId.of("entry-1"), 5, FailureDomain.of("lac"), ADDRESS, ADDRESS, ADDRESS);
 
-    private final PeerCodec codec = ControlParts.codec();
+    private final PeerCodec codec = ControlComponents.codec();
 
     @Test(dataProvider = "messages")
     public void everyMessageIsReadAsItWasWritten(PeerMessage message) throws YuccagwException {
@@ -43,13 +43,13 @@
     @Test
     public void documentsOfTheCatalogueKeepTheirBytes() throws YuccagwException {
         byte[] document = {0, -1, 7};
-        CatalogueNews.Whole whole =
-                (CatalogueNews.Whole) codec.decode(codec.encode(SELF, new CatalogueNews.Whole(3, document)))
+        CatalogueUpdate.Whole whole =
+                (CatalogueUpdate.Whole) codec.decode(codec.encode(SELF, new CatalogueUpdate.Whole(3, document)))
                         .message();
         assertEquals(whole.revision(), 3);
         assertEquals(whole.document(), document);
-        CatalogueNews.Delta delta =
-                (CatalogueNews.Delta) codec.decode(codec.encode(SELF, new CatalogueNews.Delta(4, 3, document)))
+        CatalogueUpdate.Delta delta =
+                (CatalogueUpdate.Delta) codec.decode(codec.encode(SELF, new CatalogueUpdate.Delta(4, 3, document)))
                         .message();
         assertEquals(delta.baseRevision(), 3);
         assertEquals(delta.change(), document);
@@ -77,7 +77,7 @@
         return new Object[][] {
             {probe()},
             {new Gossip(Gossip.Kind.TABLE, 0, Optional.empty(), ImmutableList.of())},
-            {new CatalogueNews.Ask(17)},
+            {new CatalogueUpdate.Ask(17)},
             {new EndpointSightings(ImmutableList.of(new EndpointSightings.Leaving(EndpointId.of("assistant-3"), 8)))},
             {new ShardOwned(ShardNumber.of(3), 99)},
             {new ShardReleased(ShardNumber.of(0), 99)},
--- a/src/test/java/org/yuccagw/adapters/peer/NoticeCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/NoticeCodecTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
-import org.yuccagw.core.notice.EndpointNews;
+import org.yuccagw.core.notice.EndpointUpdate;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
 public class NoticeCodecTest {
@@ -18,15 +18,15 @@
     @DataProvider
     public Object[][] messages() {
         return new Object[][] {
-            {new EndpointNews(ENGINE, true, Optional.empty())},
-            {new EndpointNews(ENGINE, false, Optional.of(Duration.ofMillis(3_250)))}
+            {new EndpointUpdate(ENGINE, true, Optional.empty())},
+            {new EndpointUpdate(ENGINE, false, Optional.of(Duration.ofMillis(3_250)))}
         };
     }
 
     @Test(dataProvider = "messages")
-    public void whatWasToldIsReadAgain(EndpointNews news) {
+    public void whatWasToldIsReadAgain(EndpointUpdate update) {
         Envelope.Builder envelope = Envelope.newBuilder();
-        NoticeCodec.create().encode(news, envelope);
-        assertEquals(NoticeCodec.create().decode(envelope.build()), Optional.of(news));
+        NoticeCodec.create().encode(update, envelope);
+        assertEquals(NoticeCodec.create().decode(envelope.build()), Optional.of(update));
     }
 }
--- a/src/test/java/org/yuccagw/adapters/peer/PlacementCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/PlacementCodecTest.java
@@ -17,8 +17,8 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.WorkspaceId;
 import org.yuccagw.core.placing.AttemptEnded;
-import org.yuccagw.core.placing.PlaceAsked;
 import org.yuccagw.core.placing.PlacementMessage;
+import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
 import org.yuccagw.core.stores.CachePlan;
@@ -65,7 +65,7 @@
                 prompt,
                 "fingerprint",
                 ImmutableSet.of(EndpointId.of("engine-2")),
-                PlaceAsked.Kind.REPEAT,
+                PlacementRequest.Kind.REPEAT,
                 pinned,
                 4_900);
     }
--- a/src/test/java/org/yuccagw/adapters/peer/RateLimitCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/RateLimitCodecTest.java
@@ -8,7 +8,7 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.RateLimit;
-import org.yuccagw.core.ratelimit.RateLimitNews;
+import org.yuccagw.core.ratelimit.RateLimitUpdate;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
 public class RateLimitCodecTest {
@@ -18,14 +18,14 @@
     @DataProvider
     public Object[][] messages() {
         return new Object[][] {
-            {new RateLimitNews(ENGINE, RateLimit.of(1.4), 2_700)}, {new RateLimitNews(ENGINE, Optional.empty(), 0)}
+            {new RateLimitUpdate(ENGINE, RateLimit.of(1.4), 2_700)}, {new RateLimitUpdate(ENGINE, Optional.empty(), 0)}
         };
     }
 
     @Test(dataProvider = "messages")
-    public void whatWasToldIsReadAgain(RateLimitNews news) {
+    public void whatWasToldIsReadAgain(RateLimitUpdate update) {
         Envelope.Builder envelope = Envelope.newBuilder();
-        RateLimitCodec.create().encode(news, envelope);
-        assertEquals(RateLimitCodec.create().decode(envelope.build()), Optional.of(news));
+        RateLimitCodec.create().encode(update, envelope);
+        assertEquals(RateLimitCodec.create().decode(envelope.build()), Optional.of(update));
     }
 }
--- a/src/test/java/org/yuccagw/adapters/peer/StatusCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/StatusCodecTest.java
@@ -19,9 +19,9 @@
 import org.yuccagw.core.peers.DomainDigest;
 import org.yuccagw.core.peers.PeerStatus;
 import org.yuccagw.core.peers.Roster;
-import org.yuccagw.core.peers.RosterAsk;
-import org.yuccagw.core.placing.BreakSeen;
-import org.yuccagw.core.placing.LoadNews;
+import org.yuccagw.core.peers.RosterRequest;
+import org.yuccagw.core.placing.BreakReported;
+import org.yuccagw.core.placing.LoadUpdate;
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
@@ -44,11 +44,11 @@
                 ImmutableList.of(new PeerStatus.Weights(ENGINE, new ModelWeights("model", 2))));
         return new Object[][] {
             {status},
-            {new LoadNews(load)},
-            {new BreakSeen("fingerprint", ENGINE)},
+            {new LoadUpdate(load)},
+            {new BreakReported("fingerprint", ENGINE)},
             {new DomainDigest(status, OptionalLong.of(250), rosters(status.contact()))},
             {new DomainDigest(status, OptionalLong.empty(), ImmutableList.of())},
-            {new RosterAsk(FailureDomain.of("a"))},
+            {new RosterRequest(FailureDomain.of("a"))},
             {new FollowMessage.Ask(7)},
             {new FollowMessage.Tell(false, 7, 9, 40, true, ImmutableList.of())}
         };
@@ -63,7 +63,7 @@
 
     @Test(dataProvider = "messages")
     public void everyMessageComesBackAsItWas(PeerMessage message) throws YuccagwException {
-        boolean followed = message instanceof BreakSeen || message instanceof FollowMessage;
+        boolean followed = message instanceof BreakReported || message instanceof FollowMessage;
         BodyCodec codec = followed ? FollowCodec.create() : StatusCodec.create();
         Envelope.Builder envelope = Envelope.newBuilder();
         codec.encode(message, envelope);
--- a/src/test/java/org/yuccagw/bench/jmh/ControlBenchmark.java
+++ b/src/test/java/org/yuccagw/bench/jmh/ControlBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.Warmup;
-import org.yuccagw.bench.control.ControlParts;
+import org.yuccagw.bench.control.ControlComponents;
 import org.yuccagw.bench.control.SampleCatalogues;
 import org.yuccagw.core.control.ControlCore;
 import org.yuccagw.core.control.ControlEvent;
@@ -67,7 +67,7 @@
     public void fill() {
         NetworkAddress self = NetworkAddress.of("10.0.0.1", 8080);
         EntryIdentity identity = new EntryIdentity(EntryId.of("entry-0"), 1, DOMAIN, self, self, self);
-        core = ControlCore.of(identity, new SplittableRandom(1), ControlParts.all());
+        core = ControlCore.of(identity, new SplittableRandom(1), ControlComponents.all());
         core.start(nowNanos, 0);
         records = new ArrayList<>();
         for (int index = 0; index < peers; index++) {
--- a/src/test/java/org/yuccagw/bench/jmh/RouteBenchmark.java
+++ b/src/test/java/org/yuccagw/bench/jmh/RouteBenchmark.java
@@ -17,7 +17,7 @@
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.routing.AttemptReport;
 import org.yuccagw.core.routing.CacheCore;
-import org.yuccagw.core.routing.RouteAsked;
+import org.yuccagw.core.routing.RouteRequested;
 
 /** One routing decision with its reports, by the number of candidates. */
 @State(Scope.Thread)
@@ -47,9 +47,9 @@
     }
 
     @Benchmark
-    public RouteAsked.Answer decision() {
+    public RouteRequested.Answer decision() {
         next = (next + 1) % PROMPTS;
-        RouteAsked.Answer.Chosen chosen = core.route(prompts.get(next));
+        RouteRequested.Answer.Chosen chosen = core.route(prompts.get(next));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         return chosen;
     }
--- a/src/test/java/org/yuccagw/core/admission/AdmissionTest.java
+++ b/src/test/java/org/yuccagw/core/admission/AdmissionTest.java
@@ -47,7 +47,7 @@
 
     private void startWith(Duration waitOut, Limits limits) {
         entries = VirtualEntries.of(
-                11, 1, (authority, shards) -> List.of(AdmissionPart.withWaitOut(authority, shards, waitOut)));
+                11, 1, (authority, shards) -> List.of(AdmissionComponent.withWaitOut(authority, shards, waitOut)));
         calls = LimitedCalls.over(entries, SERVICE, "interactive");
         names = List.of(entries.start("entry-1"), entries.start("entry-2"), entries.start("entry-3"));
         entries.own(SHARD, names.get(0));
@@ -167,7 +167,7 @@
 
     @Test
     public void withoutAnOwnerAndWithoutAShareAWorkspaceIsRefusedAtOnceAndToldWhenToComeBack() {
-        entries = VirtualEntries.of(11, 1, (authority, shards) -> List.of(AdmissionPart.of(authority, shards)));
+        entries = VirtualEntries.of(11, 1, (authority, shards) -> List.of(AdmissionComponent.of(authority, shards)));
         calls = LimitedCalls.over(entries, SERVICE, "interactive");
         EntryId alone = entries.start("entry-1");
         entries.tell(alone, new CatalogueChanged(catalogue(new Limits(LIMIT, 0, 0))));
@@ -231,7 +231,7 @@
         entries.tell(entry, new CapacityChanged(SERVICE, 1));
         calls.call(entry, LARGE, RUN);
         Call leaving = calls.call(entry, LARGE, RUN);
-        entries.tell(entry, new AdmissionAsked.Withdrawn(org.yuccagw.core.id.RequestId.of("request-1")));
+        entries.tell(entry, new AdmissionRequested.Withdrawn(org.yuccagw.core.id.RequestId.of("request-1")));
         Call next = calls.call(entry, LARGE, RUN);
         entries.run(RUN.plusMillis(10));
         assertFalse(leaving.isAnswered());
--- a/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
@@ -14,7 +14,7 @@
 import org.yuccagw.core.routing.AttemptReport;
 import org.yuccagw.core.routing.CacheCore;
 import org.yuccagw.core.routing.ImportPlan;
-import org.yuccagw.core.routing.RouteAsked.Answer;
+import org.yuccagw.core.routing.RouteRequested.Answer;
 
 public class CacheFailureTest {
     private static final List<BlockKey> PREAMBLE = CacheCore.prompt("notebook", 60);
@@ -28,11 +28,11 @@
         CacheCore core = CacheCore.usual(3);
         core.pass(Duration.ofSeconds(31));
         assertTrue(core.actions(CacheOrder.ReadUnsealed.class).size() >= 2);
-        core.handle(new StoreNews.UnsealedRead(
+        core.handle(new StoreUpdate.UnsealedRead(
                 CacheCore.store(0),
                 List.of(
-                        new StoreNews.Unsealed(PREAMBLE.get(0), 5, "entry-1-1-1", 3_600_000),
-                        new StoreNews.Unsealed(PREAMBLE.get(1), 6, "entry-1-1-2", 1_000))));
+                        new StoreUpdate.Unsealed(PREAMBLE.get(0), 5, "entry-1-1-1", 3_600_000),
+                        new StoreUpdate.Unsealed(PREAMBLE.get(1), 6, "entry-1-1-2", 1_000))));
         List<CacheOrder.DeleteBlocks> deletions = core.actions(CacheOrder.DeleteBlocks.class);
         assertEquals(deletions.size(), 1);
         assertEquals(deletions.get(0).blocks(), List.of(new CacheOrder.Generation(PREAMBLE.get(0), 5)));
@@ -46,7 +46,7 @@
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
-        core.handle(failed(chosen.endpoint().id(), plan, ReplicaNews.ImportFailure.STORE));
+        core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.STORE));
         core.handle(new AttemptReport.Imported(chosen.attempt(), 0, 0, 40));
         assertFalse(core.route(PREAMBLE).importFirst().isPresent());
         core.pass(Duration.ofSeconds(2));
@@ -63,14 +63,14 @@
         ImportPlan plan = chosen.importFirst().orElseThrow();
         assertEquals(plan.blocks().size(), PREAMBLE.size());
         BlockKey gone = plan.blocks().get(20).key();
-        core.handle(new ReplicaNews.ImportEnded(
+        core.handle(new EngineCacheUpdate.ImportEnded(
                 chosen.endpoint().id(),
                 plan.store(),
                 plan.blocks(),
                 20,
                 1,
                 50,
-                List.of(new ReplicaNews.FailedBlock(gone, ReplicaNews.ImportFailure.GONE))));
+                List.of(new EngineCacheUpdate.FailedBlock(gone, EngineCacheUpdate.ImportFailure.GONE))));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         core.evictAll(chosen.endpoint().id());
         assertEquals(core.route(PREAMBLE).importFirst().orElseThrow().blocks().size(), 20);
@@ -83,14 +83,15 @@
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
-        core.handle(new ReplicaNews.ImportEnded(
+        core.handle(new EngineCacheUpdate.ImportEnded(
                 chosen.endpoint().id(),
                 plan.store(),
                 plan.blocks(),
                 0,
                 0,
                 50,
-                List.of(new ReplicaNews.FailedBlock(plan.blocks().get(0).key(), ReplicaNews.ImportFailure.DAMAGED))));
+                List.of(new EngineCacheUpdate.FailedBlock(
+                        plan.blocks().get(0).key(), EngineCacheUpdate.ImportFailure.DAMAGED))));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         core.evictAll(chosen.endpoint().id());
         assertFalse(core.route(PREAMBLE).importFirst().isPresent());
@@ -106,7 +107,7 @@
         CacheOrder.ExportBlocks export =
                 core.actions(CacheOrder.ExportBlocks.class).get(0);
         List<StoredBlock> half = CacheCore.sealed(export.blocks().subList(0, 30), 1);
-        core.handle(new ReplicaNews.ExportEnded(export.number(), first, half, true, Optional.empty()));
+        core.handle(new EngineCacheUpdate.ExportEnded(export.number(), first, half, true, Optional.empty()));
         assertFalse(core.actions(CacheOrder.MoveBlocks.class).isEmpty()
                 && core.actions(CacheOrder.DeleteBlocks.class).isEmpty());
         core.serve(CacheCore.prompt("other", 60));
@@ -122,14 +123,14 @@
     public void aGapThatHidesAnEvictionMakesTheReplicaDoubtfulUntilASnapshot() {
         CacheCore core = CacheCore.usual(3);
         EndpointId warm = core.serve(PREAMBLE).endpoint().id();
-        core.handle(new ReplicaNews.EventsRead(warm, 1, List.of(new ReplicaIndex.Event(1, true, PREAMBLE))));
+        core.handle(new EngineCacheUpdate.EventsRead(warm, 1, List.of(new ReplicaIndex.Event(1, true, PREAMBLE))));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 0);
         core.actions(CacheOrder.ReadCacheSnapshot.class);
-        core.handle(new ReplicaNews.EventsRead(
+        core.handle(new EngineCacheUpdate.EventsRead(
                 warm, 3, List.of(new ReplicaIndex.Event(3, true, CacheCore.prompt("other", 1)))));
         assertEquals(core.actions(CacheOrder.ReadCacheSnapshot.class).size(), 1);
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 30);
-        core.handle(new ReplicaNews.SnapshotRead(warm, 3, Optional.empty(), CacheCore.prompt("other", 1)));
+        core.handle(new EngineCacheUpdate.SnapshotRead(warm, 3, Optional.empty(), CacheCore.prompt("other", 1)));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 60);
     }
 
@@ -157,7 +158,7 @@
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
-        core.handle(failed(chosen.endpoint().id(), plan, ReplicaNews.ImportFailure.FULL));
+        core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.FULL));
         core.catalogue("v2");
         core.endpoints(3, "v2");
         assertEquals(core.state().replicas().prefix(chosen.endpoint().id(), PREAMBLE), 0);
@@ -177,7 +178,7 @@
         ImportPlan plan = chosen.importFirst().orElseThrow();
         double predicted = chosen.explanation().candidates().get(0).fetchMillis();
         assertTrue(plan.deadline().toMillis() <= 2 * predicted + 400);
-        core.handle(failed(chosen.endpoint().id(), plan, ReplicaNews.ImportFailure.LATE));
+        core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.LATE));
         core.handle(new AttemptReport.Imported(
                 chosen.attempt(), 0, 0, plan.deadline().toMillis()));
         assertFalse(core.route(PREAMBLE).importFirst().isPresent());
@@ -194,7 +195,7 @@
         assertTrue(second.importFirst().orElseThrow().joins());
         assertEquals(second.endpoint().id(), first.endpoint().id());
         long bytes = core.state().stores().all().stream()
-                .mapToLong(StoreBook.Store::foregroundBytes)
+                .mapToLong(StoreTable.Store::foregroundBytes)
                 .sum();
         assertEquals(bytes, 60L * CacheCore.BLOCK_TOKENS * CacheCore.BYTES_PER_TOKEN);
     }
@@ -217,13 +218,16 @@
     @Test
     public void aStoreFullOfBlocksThatNobodyKnowsIsFreedPageByPage() {
         CacheCore core = CacheCore.usual(2);
-        core.handle(new StoreNews.StatusRead(
-                CacheCore.store(0), new StoreNews.Usage(0, 100_000), new StoreNews.Usage(1_000_000, 1_000_000), 1_000));
+        core.handle(new StoreUpdate.StatusRead(
+                CacheCore.store(0),
+                new StoreUpdate.Usage(0, 100_000),
+                new StoreUpdate.Usage(1_000_000, 1_000_000),
+                1_000));
         assertEquals(core.actions(CacheOrder.ReadStorePage.class).size(), 1);
-        List<StoreNews.Found> page = CacheCore.sealed(PREAMBLE, 4).stream()
-                .map(block -> new StoreNews.Found(block, StoreTier.DISK))
+        List<StoreUpdate.Found> page = CacheCore.sealed(PREAMBLE, 4).stream()
+                .map(block -> new StoreUpdate.Found(block, StoreTier.DISK))
                 .toList();
-        core.handle(new StoreNews.PageRead(CacheCore.store(0), page));
+        core.handle(new StoreUpdate.PageRead(CacheCore.store(0), page));
         assertEquals(core.actions(CacheOrder.DeleteBlocks.class).get(0).blocks().size(), 1);
     }
 
@@ -241,12 +245,12 @@
         return core;
     }
 
-    private static ReplicaNews.ImportEnded failed(
-            EndpointId endpoint, ImportPlan plan, ReplicaNews.ImportFailure reason) {
-        List<ReplicaNews.FailedBlock> failed = plan.blocks().stream()
-                .map(block -> new ReplicaNews.FailedBlock(block.key(), reason))
+    private static EngineCacheUpdate.ImportEnded failed(
+            EndpointId endpoint, ImportPlan plan, EngineCacheUpdate.ImportFailure reason) {
+        List<EngineCacheUpdate.FailedBlock> failed = plan.blocks().stream()
+                .map(block -> new EngineCacheUpdate.FailedBlock(block.key(), reason))
                 .toList();
-        return new ReplicaNews.ImportEnded(endpoint, plan.store(), plan.blocks(), 0, 0, 100, failed);
+        return new EngineCacheUpdate.ImportEnded(endpoint, plan.store(), plan.blocks(), 0, 0, 100, failed);
     }
 
     private static long recomputedBlocks(Answer.Chosen chosen) {
--- a/src/test/java/org/yuccagw/core/cache/CacheKnowledgeTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheKnowledgeTest.java
@@ -133,10 +133,10 @@
             core.pass(Duration.ofSeconds(30));
             core.finishExports();
         }
-        core.handle(new StoreNews.StatusRead(
-                CacheCore.store(0), new StoreNews.Usage(0, 1), new StoreNews.Usage(96, 100), 1_000));
-        core.handle(new StoreNews.StatusRead(
-                CacheCore.store(1), new StoreNews.Usage(0, 1), new StoreNews.Usage(96, 100), 1_000));
+        core.handle(new StoreUpdate.StatusRead(
+                CacheCore.store(0), new StoreUpdate.Usage(0, 1), new StoreUpdate.Usage(96, 100), 1_000));
+        core.handle(new StoreUpdate.StatusRead(
+                CacheCore.store(1), new StoreUpdate.Usage(0, 1), new StoreUpdate.Usage(96, 100), 1_000));
         Set<BlockKey> often = new HashSet<>(CacheCore.prompt("often", 20));
         core.actions(CacheOrder.DeleteBlocks.class)
                 .forEach(order -> order.blocks().forEach(block -> assertFalse(often.contains(block.key()))));
@@ -153,8 +153,8 @@
         List<Integer> begun = new ArrayList<>();
         PromptScope scope =
                 new PromptScope(CacheCore.WORKSPACE, CacheCore.CLASS, CacheCore.SERVICE, WeightVersion.of("v1"));
-        core.handle(new PrefetchAsked(scope, prompt, begun::add));
-        core.handle(new PrefetchAsked(scope, prompt, begun::add));
+        core.handle(new PrefetchRequested(scope, prompt, begun::add));
+        core.handle(new PrefetchRequested(scope, prompt, begun::add));
         assertEquals(begun, List.of(40, 0));
         assertEquals(core.actions(CacheOrder.PrefetchBlocks.class).size(), 1);
     }
--- a/src/test/java/org/yuccagw/core/catalogue/CatalogueTest.java
+++ b/src/test/java/org/yuccagw/core/catalogue/CatalogueTest.java
@@ -12,9 +12,9 @@
 import org.yuccagw.adapters.settings.CatalogueJson;
 import org.yuccagw.bench.control.BenchNode;
 import org.yuccagw.bench.control.ControlBench;
-import org.yuccagw.bench.control.ControlParts;
+import org.yuccagw.bench.control.ControlComponents;
 import org.yuccagw.bench.control.SampleCatalogues;
-import org.yuccagw.core.catalogue.CatalogueEditAsked.Result;
+import org.yuccagw.core.catalogue.CatalogueEditRequested.Result;
 import org.yuccagw.core.control.PeerReceived;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.WorkspaceId;
@@ -184,8 +184,8 @@
         assertEquals(edit(nodes.get(0), 1, limit(5), "newer"), new Result.Accepted(2));
         assertTrue(bench.runUntil(() -> allAt(2), SECONDS));
         byte[] old = CatalogueJson.create().encode(BASE);
-        nodes.get(1).offer(new PeerReceived(nodes.get(0).entry(), new CatalogueNews.Whole(1, old)));
-        nodes.get(1).offer(new PeerReceived(nodes.get(0).entry(), new CatalogueNews.Delta(1, 2, new byte[12])));
+        nodes.get(1).offer(new PeerReceived(nodes.get(0).entry(), new CatalogueUpdate.Whole(1, old)));
+        nodes.get(1).offer(new PeerReceived(nodes.get(0).entry(), new CatalogueUpdate.Delta(1, 2, new byte[12])));
         assertEquals(limitOf(nodes.get(1)), 5);
     }
 
@@ -206,17 +206,17 @@
     @Test
     public void anEarlierRevisionIsReadFromTheHistoryAndRolledBackToAsANewOne() {
         assertEquals(edit(nodes.get(0), 1, limit(5), "change"), new Result.Accepted(2));
-        List<CatalogueRevisionAsked.Result> found = new ArrayList<>();
-        nodes.get(2).offer(new CatalogueRevisionAsked(1, found::add));
+        List<CatalogueRevisionRequested.Result> found = new ArrayList<>();
+        nodes.get(2).offer(new CatalogueRevisionRequested(1, found::add));
         assertTrue(bench.runUntil(() -> !found.isEmpty(), SECONDS));
-        Catalogue first = ((CatalogueRevisionAsked.Result.Found) found.get(0)).catalogue();
+        Catalogue first = ((CatalogueRevisionRequested.Result.Found) found.get(0)).catalogue();
         assertEquals(edit(nodes.get(2), 2, first, "back"), new Result.Accepted(3));
         assertTrue(bench.runUntil(() -> allAt(3), SECONDS));
         assertEquals(limitOf(nodes.get(0)), 10);
-        List<CatalogueHistoryAsked.Result> history = new ArrayList<>();
-        nodes.get(1).offer(new CatalogueHistoryAsked(history::add));
+        List<CatalogueHistoryRequested.Result> history = new ArrayList<>();
+        nodes.get(1).offer(new CatalogueHistoryRequested(history::add));
         assertTrue(bench.runUntil(() -> !history.isEmpty(), SECONDS));
-        List<String> edits = ((CatalogueHistoryAsked.Result.History) history.get(0))
+        List<String> edits = ((CatalogueHistoryRequested.Result.History) history.get(0))
                 .edits().stream().map(AcceptedEdit::editId).toList();
         assertEquals(edits, List.of("first", "change", "back"));
     }
@@ -228,7 +228,7 @@
     }
 
     private BenchNode start(int index) {
-        return bench.start("entry-" + index, ControlParts.all());
+        return bench.start("entry-" + index, ControlComponents.all());
     }
 
     private Result edit(BenchNode node, long base, Catalogue wanted, String editId) {
@@ -238,8 +238,8 @@
         return results.get(0);
     }
 
-    private static CatalogueEditAsked asked(long base, Catalogue wanted, String editId, List<Result> results) {
-        return new CatalogueEditAsked(base, wanted, editId, "mari", results::add);
+    private static CatalogueEditRequested asked(long base, Catalogue wanted, String editId, List<Result> results) {
+        return new CatalogueEditRequested(base, wanted, editId, "mari", results::add);
     }
 
     private static boolean isEdit(KeyValueCall call) {
--- a/src/test/java/org/yuccagw/core/claim/AtMostOnceTest.java
+++ b/src/test/java/org/yuccagw/core/claim/AtMostOnceTest.java
@@ -41,7 +41,8 @@
         entries = VirtualEntries.of(
                 7,
                 1,
-                (authority, shards) -> List.of(ClaimPart.withGuards(authority, shards, ClaimLogProtobuf.of(), guards)));
+                (authority, shards) ->
+                        List.of(ClaimComponent.withGuards(authority, shards, ClaimLogProtobuf.of(), guards)));
         calls = KeyedCalls.over(entries);
         first = entries.start("entry-1");
         second = entries.start("entry-2");
--- a/src/test/java/org/yuccagw/core/endpoint/EndpointsTest.java
+++ b/src/test/java/org/yuccagw/core/endpoint/EndpointsTest.java
@@ -11,10 +11,10 @@
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
 import org.yuccagw.bench.control.ControlBench;
-import org.yuccagw.bench.control.ControlParts;
+import org.yuccagw.bench.control.ControlComponents;
 import org.yuccagw.bench.control.EnginePool;
 import org.yuccagw.bench.control.SampleCatalogues;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
 import org.yuccagw.core.endpoint.AttemptObserved.Outcome;
 import org.yuccagw.core.endpoint.PlatformListed.ListedVm;
 import org.yuccagw.core.id.EndpointId;
@@ -39,11 +39,11 @@
         engines = EnginePool.start(bench, POOL, REPLICAS, SampleCatalogues.FIRST_VERSION, true, Duration.ofMillis(450));
         nodes = new ArrayList<>();
         for (int index = 0; index < 5; index++) {
-            nodes.add(bench.start("entry-" + index, ControlParts.all()));
+            nodes.add(bench.start("entry-" + index, ControlComponents.all()));
         }
         bench.runFor(Duration.ofSeconds(5));
         nodes.get(0)
-                .offer(new CatalogueEditAsked(
+                .offer(new CatalogueEditRequested(
                         0,
                         SampleCatalogues.withPool(
                                 SampleCatalogues.ofWorkspaces(1), POOL, SampleCatalogues.FIRST_VERSION, true, 3, 9),
--- a/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
+++ b/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
@@ -27,10 +27,10 @@
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.notice.EndpointNotice;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.notice.RateLimit;
 import org.yuccagw.core.placing.AttemptEnded.End;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
 
 public class ForwardMachineTest {
     private static final ServiceName SERVICE = ServiceName.of("service");
@@ -78,7 +78,8 @@
         machine.onHead(1, noticed(ok(), EndpointNotice.ofRateLimit(RateLimit.of(1.4))));
         assertEquals(
                 effects.notices,
-                ImmutableList.of(new NoticeHeard(FIRST_START, EndpointNotice.ofRateLimit(RateLimit.of(1.4)), false)));
+                ImmutableList.of(
+                        new NoticeReceived(FIRST_START, EndpointNotice.ofRateLimit(RateLimit.of(1.4)), false)));
     }
 
     @Test
@@ -91,7 +92,7 @@
         ForwardMachine second = begin(RouteKind.IDEMPOTENT, false, 2);
         second.onPlaced(placed("e1", true));
         second.onHead(1, ok());
-        assertEquals(effects.notices, ImmutableList.of(new NoticeHeard(FIRST_START, EndpointNotice.NONE, true)));
+        assertEquals(effects.notices, ImmutableList.of(new NoticeReceived(FIRST_START, EndpointNotice.NONE, true)));
     }
 
     // The answer is kept back for a second try, or the request goes elsewhere: what its head says still counts.
@@ -107,7 +108,8 @@
         assertEquals(
                 effects.notices,
                 ImmutableList.of(
-                        new NoticeHeard(FIRST_START, leaving, false), new NoticeHeard(FIRST_START, backOff, false)));
+                        new NoticeReceived(FIRST_START, leaving, false),
+                        new NoticeReceived(FIRST_START, backOff, false)));
     }
 
     // An endpoint that is full answers without looking at the request, so it can't name its id.
@@ -119,7 +121,7 @@
         AnswerStart refusal =
                 new AnswerStart(503, false, false, true, false, false, true, OptionalLong.empty(), backOff);
         machine.onHead(1, refusal);
-        assertEquals(effects.notices, ImmutableList.of(new NoticeHeard(FIRST_START, backOff, false)));
+        assertEquals(effects.notices, ImmutableList.of(new NoticeReceived(FIRST_START, backOff, false)));
     }
 
     @Test
@@ -183,7 +185,7 @@
         machine.onPlaced(placed("e1"));
         machine.onHead(1, notRun(503));
         assertTrue(effects.lines.contains("place REPEAT without [e1]"), effects.lines.toString());
-        machine.onPlaced(new PlaceDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
+        machine.onPlaced(new PlacementDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
         assertEquals(effects.error.ran(), ErrorKind.Ran.NOT_RUN);
     }
 
@@ -264,7 +266,7 @@
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, answer(500, true, true));
-        machine.onPlaced(new PlaceDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
+        machine.onPlaced(new PlacementDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
         machine.onBytes(1, bytes("why"));
         machine.onEnd(1);
         assertEquals(effects.callerBody.toString(), "why");
@@ -437,11 +439,11 @@
         return machine;
     }
 
-    private PlaceDecision placed(String endpoint) {
+    private PlacementDecision placed(String endpoint) {
         return placed(endpoint, false);
     }
 
-    private PlaceDecision placed(String endpoint, boolean rateLimited) {
+    private PlacementDecision placed(String endpoint, boolean rateLimited) {
         ListedEndpoint listed = new ListedEndpoint(
                 EndpointIncarnation.of(EndpointId.of(endpoint), 1),
                 SERVICE,
@@ -451,7 +453,7 @@
                 false,
                 0,
                 ImmutableMap.of());
-        return new PlaceDecision.Placed(
+        return new PlacementDecision.Placed(
                 ++tickets, listed, OptionalLong.empty(), Optional.empty(), Optional.empty(), 1, 40, rateLimited);
     }
 
--- a/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
+++ b/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
@@ -10,16 +10,16 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EndpointId;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
-import org.yuccagw.core.placing.PlaceAsked;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest;
 
 /** Writes down what a machine asks for, in virtual time. */
 final class RecordedForwardEffects implements ForwardEffects {
     final List<Long> begunTickets = new ArrayList<>();
-    final List<NoticeHeard> notices = new ArrayList<>();
+    final List<NoticeReceived> notices = new ArrayList<>();
     final List<String> lines = new ArrayList<>();
     final StringBuilder callerBody = new StringBuilder();
     final List<AttemptEnded.End> attempts = new ArrayList<>();
@@ -37,13 +37,14 @@
     }
 
     @Override
-    public void askPlace(ImmutableSet<EndpointId> excluded, PlaceAsked.Kind kind, OptionalLong pinned, Duration left) {
+    public void askPlace(
+            ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left) {
         String version = pinned.isPresent() ? " version " + pinned.getAsLong() : "";
         lines.add("place " + kind + " without " + excluded + version);
     }
 
     @Override
-    public void send(long leg, PlaceDecision.Placed placed, Duration left, long afterEvent, boolean fresh) {
+    public void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh) {
         lines.add("send leg " + leg + " to " + placed.endpoint().id() + " left " + left.toMillis() + " after "
                 + afterEvent + (fresh ? " fresh" : ""));
     }
@@ -103,8 +104,8 @@
     }
 
     @Override
-    public void report(NoticeHeard heard) {
-        notices.add(heard);
+    public void report(NoticeReceived received) {
+        notices.add(received);
     }
 
     @Override
--- a/src/test/java/org/yuccagw/core/membership/MembershipTest.java
+++ b/src/test/java/org/yuccagw/core/membership/MembershipTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
 import org.yuccagw.bench.control.ControlBench;
-import org.yuccagw.core.endpoint.EndpointsPart;
+import org.yuccagw.core.endpoint.EndpointsComponent;
 import org.yuccagw.core.membership.EntryStatus.State;
 
 public class MembershipTest {
@@ -106,7 +106,7 @@
         List<BenchNode> nodes = startEight(bench);
         assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
         BenchNode stopping = nodes.get(1);
-        stopping.offer(new StopAsked());
+        stopping.offer(new StopRequested());
         assertFalse(stopping.state(DirectorySnapshot.class).orElseThrow().ready());
         assertTrue(bench.runUntil(
                 () -> nodes.stream().allMatch(node -> stateOf(node, stopping) == State.LEAVING),
@@ -124,7 +124,8 @@
     }
 
     private static BenchNode start(ControlBench bench, int index) {
-        return bench.start("entry-" + index, List.of(MembershipPart.of(Readiness.always()), EndpointsPart.of()));
+        return bench.start(
+                "entry-" + index, List.of(MembershipComponent.of(Readiness.always()), EndpointsComponent.of()));
     }
 
     private static boolean allSee(List<BenchNode> nodes, int count, State state) {
--- a/src/test/java/org/yuccagw/core/notice/BackOffCasesTest.java
+++ b/src/test/java/org/yuccagw/core/notice/BackOffCasesTest.java
@@ -16,11 +16,11 @@
     private static final Duration TIME = Duration.ofSeconds(3);
     private static final long SECOND = 1_000_000_000L;
 
-    private BackOff backOff;
+    private EndpointBackOff backOff;
 
     @BeforeMethod
     public void startWithNothing() {
-        backOff = BackOff.knownTo(SELF);
+        backOff = EndpointBackOff.knownTo(SELF);
     }
 
     @Test
--- a/src/test/java/org/yuccagw/core/peers/SeedsTest.java
+++ b/src/test/java/org/yuccagw/core/peers/SeedsTest.java
@@ -11,13 +11,13 @@
 import org.yuccagw.bench.control.BenchNode;
 import org.yuccagw.bench.control.ControlBench;
 import org.yuccagw.core.fleet.EntryContact;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactSeen;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.NetworkAddress;
 
 public class SeedsTest {
-    private static final PeersPart.Knowledge NOTHING = new PeersPart.Knowledge() {
+    private static final PeersComponent.Knowledge NOTHING = new PeersComponent.Knowledge() {
         @Override
         public String reasonAgainst(long nowNanos) {
             return "";
@@ -54,10 +54,11 @@
     @Test
     public void aSeedIsNoLongerTurnedToOnceItsEntryIsKnown() {
         ControlBench bench = ControlBench.of(3);
-        BenchNode seed = bench.start("entry-1", List.of(PeersPart.of(NOTHING, List.of())));
+        BenchNode seed = bench.start("entry-1", List.of(PeersComponent.of(NOTHING, List.of())));
         List<NetworkAddress> seeds = List.of(seed.identity().peerAddress());
-        BenchNode other = bench.start("entry-2", List.of(PeersPart.of(NOTHING, seeds)));
-        other.offer(new FactSeen(new Fact.EntryListed(EntryContact.of(seed.identity())), 1, false));
+        BenchNode other = bench.start("entry-2", List.of(PeersComponent.of(NOTHING, seeds)));
+        other.offer(
+                new KeyValueRecordUpdated(new KeyValueRecord.EntryListed(EntryContact.of(seed.identity())), 1, false));
         bench.runFor(Duration.ofSeconds(1));
         assertEquals(other.state(PeersSnapshot.class).orElseThrow().addresses().keySet(), Set.of(seed.entry()));
     }
--- a/src/test/java/org/yuccagw/core/placing/EngineRoomTest.java
+++ b/src/test/java/org/yuccagw/core/placing/EngineCapacityTest.java
@@ -7,14 +7,14 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-public class EngineRoomTest {
+public class EngineCapacityTest {
     private static final long MEMORY = 100_000;
     private static final Duration SHORT = Duration.ofMillis(400);
     private static final Duration LONG = Duration.ofMillis(800);
 
     @Test
     public void anIdleEngineHasRoomForAnyPrompt() {
-        assertTrue(EngineRoom.hasRoom(Work.NONE, need(99_000), MEMORY, 0, LONG, SHORT, true));
+        assertTrue(EngineCapacity.hasRoom(Work.NONE, need(99_000), MEMORY, 0, LONG, SHORT, true));
     }
 
     // Long prompts filled an engine's memory to the last block, and the short ones that came next waited for seconds
@@ -22,23 +22,23 @@
     @Test
     public void longPromptsLeaveMemoryToThoseOfTheShortestTarget() {
         Work work = new Work(8, 84_000, 0);
-        assertFalse(EngineRoom.hasRoom(work, need(2_000), MEMORY, 0, LONG, SHORT, false));
-        assertTrue(EngineRoom.hasRoom(work, need(2_000), MEMORY, 0, SHORT, SHORT, false));
+        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 0, LONG, SHORT, false));
+        assertTrue(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 0, SHORT, SHORT, false));
     }
 
     @Test
     public void aPromptGoesOnlyWhereItCanStillBeInTime() {
         Work work = new Work(1, 1_000, 1_000);
-        assertTrue(EngineRoom.hasRoom(work, need(2_000), MEMORY, 230, SHORT, SHORT, false));
-        assertFalse(EngineRoom.hasRoom(work, need(2_000), MEMORY, 250, SHORT, SHORT, false));
-        assertFalse(EngineRoom.hasRoom(work, need(2_000), MEMORY, 170, LONG, SHORT, false));
+        assertTrue(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 230, SHORT, SHORT, false));
+        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 250, SHORT, SHORT, false));
+        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 170, LONG, SHORT, false));
     }
 
     @Test
     public void aLatePromptTakesOnlyWhatWouldStayIdle() {
         Work work = new Work(1, 1_000, 1_000);
-        assertTrue(EngineRoom.hasRoom(work, need(2_000), MEMORY, 50, SHORT, SHORT, true));
-        assertFalse(EngineRoom.hasRoom(work, need(2_000), MEMORY, 70, SHORT, SHORT, true));
+        assertTrue(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 50, SHORT, SHORT, true));
+        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 70, SHORT, SHORT, true));
     }
 
     // Most samples under load are too slow, since something else delayed the answer.
--- a/src/test/java/org/yuccagw/core/placing/PromptNeedsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PromptNeedsTest.java
@@ -27,7 +27,7 @@
 import org.yuccagw.core.deployment.RouteKind;
 import org.yuccagw.core.deployment.ServiceShare;
 import org.yuccagw.core.fleet.ListedEndpoint;
-import org.yuccagw.core.follow.ConfiguredPart;
+import org.yuccagw.core.follow.ConfigurationComponent;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
@@ -39,10 +39,10 @@
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
 import org.yuccagw.core.ratelimit.NoOthers;
-import org.yuccagw.core.stores.EngineCachesPart;
+import org.yuccagw.core.stores.EngineCachesComponent;
 import org.yuccagw.core.stores.StoreAnswer;
 import org.yuccagw.core.stores.StoreCall;
-import org.yuccagw.core.stores.StoresPart;
+import org.yuccagw.core.stores.StoresComponent;
 
 public class PromptNeedsTest {
     private static final FailureDomain NEAR = FailureDomain.of("near");
@@ -59,10 +59,11 @@
     public void startTheEntry() {
         ControlBench bench = ControlBench.of(3);
         bench.onAction((action, input) -> answer(bench, action, input));
-        StoresPart stores = StoresPart.of(() -> List.of(EntryId.of("entry-1")));
-        EngineCachesPart caches = EngineCachesPart.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
+        StoresComponent stores = StoresComponent.of(() -> List.of(EntryId.of("entry-1")));
+        EngineCachesComponent caches =
+                EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
         BenchNode node = bench.start("entry-1", NEAR, List.of(stores, caches));
-        node.offer(new ConfiguredPart.Applied(deployment()));
+        node.offer(new ConfigurationComponent.Applied(deployment()));
         bench.runFor(Duration.ofSeconds(1));
         needs = new PromptNeeds(stores, caches);
     }
@@ -121,7 +122,7 @@
                 0);
     }
 
-    private static PlaceAsked asked() {
+    private static PlacementRequest asked() {
         Route route = new Route(
                 "prompts",
                 "a.example",
@@ -137,7 +138,7 @@
                 true,
                 false,
                 Homes.ANYWHERE);
-        return new PlaceAsked(
+        return new PlacementRequest(
                 RequestId.of("r1"),
                 route,
                 SERVICE,
@@ -145,7 +146,7 @@
                 Optional.of(PROMPT),
                 "f",
                 ImmutableSet.of(),
-                PlaceAsked.Kind.FIRST,
+                PlacementRequest.Kind.FIRST,
                 OptionalLong.empty(),
                 5_000,
                 decision -> {});
--- a/src/test/java/org/yuccagw/core/placing/WaitingRequestsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/WaitingRequestsTest.java
@@ -84,7 +84,7 @@
         return waiting.asked().request().value();
     }
 
-    private static PlaceAsked asked(String name, int routePriority, int targetMillis, int workspacePriority) {
+    private static PlacementRequest asked(String name, int routePriority, int targetMillis, int workspacePriority) {
         Route route = new Route(
                 name,
                 "a.example",
@@ -107,7 +107,7 @@
                 false,
                 Homes.ANYWHERE);
         PromptShape prompt = new PromptShape("model", 900, 50, ImmutableList.of(new PromptPart("own", 900)));
-        return new PlaceAsked(
+        return new PlacementRequest(
                 RequestId.of(name),
                 route,
                 SERVICE,
@@ -115,7 +115,7 @@
                 Optional.of(prompt),
                 name,
                 ImmutableSet.of(),
-                PlaceAsked.Kind.FIRST,
+                PlacementRequest.Kind.FIRST,
                 OptionalLong.empty(),
                 15_000,
                 decision -> {});
--- a/src/test/java/org/yuccagw/core/quarantine/QuarantineTest.java
+++ b/src/test/java/org/yuccagw/core/quarantine/QuarantineTest.java
@@ -16,8 +16,8 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.ShardNumber;
 import org.yuccagw.core.id.WorkspaceId;
-import org.yuccagw.core.quarantine.QuarantineAsked.PermitReturned;
-import org.yuccagw.core.quarantine.QuarantineAsked.Verdict;
+import org.yuccagw.core.quarantine.QuarantineRequested.PermitReturned;
+import org.yuccagw.core.quarantine.QuarantineRequested.Verdict;
 
 public class QuarantineTest {
     private static final ShardNumber SHARD = ShardNumber.of(0);
@@ -31,7 +31,7 @@
 
     @BeforeMethod
     public void startFourEntriesOfWhichTheLastOwnsTheShard() {
-        entries = VirtualEntries.of(5, 1, (authority, shards) -> List.of(QuarantinePart.of(authority, shards)));
+        entries = VirtualEntries.of(5, 1, (authority, shards) -> List.of(QuarantineComponent.of(authority, shards)));
         names = IntStream.rangeClosed(1, 4)
                 .mapToObj(number -> entries.start("entry-" + number))
                 .toList();
@@ -42,7 +42,7 @@
 
     private List<Verdict> ask(EntryId entry) {
         List<Verdict> verdicts = new ArrayList<>();
-        entries.tell(entry, new QuarantineAsked(POISON, verdicts::add));
+        entries.tell(entry, new QuarantineRequested(POISON, verdicts::add));
         return verdicts;
     }
 
--- a/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
@@ -2,22 +2,22 @@
 
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.id.EntryId;
-import org.yuccagw.core.notice.NoticesPart;
+import org.yuccagw.core.notice.NoticesComponent;
 import org.yuccagw.core.port.PeerMessage;
 
 /** The surroundings of an entry that hears of no other one. */
-public final class NoOthers implements RateLimitsPart.Fleet {
+public final class NoOthers implements RateLimitsComponent.Fleet {
     private NoOthers() {}
 
     /** Calls to endpoints that ask for nothing. */
-    public static OwnCalls unlimitedCalls() {
+    public static InternalCalls unlimitedCalls() {
         NoOthers nobody = new NoOthers();
-        return OwnCalls.of(new EndpointAsks(RateLimitsPart.of(nobody), NoticesPart.of(nobody)));
+        return InternalCalls.of(new EndpointConstraints(RateLimitsComponent.of(nobody), NoticesComponent.of(nobody)));
     }
 
     @Override
-    public Senders sendersTo(ListedEndpoint endpoint) {
-        return Senders.nobody();
+    public RateLimitShares sendersTo(ListedEndpoint endpoint) {
+        return RateLimitShares.nobody();
     }
 
     @Override
--- a/src/test/java/org/yuccagw/core/ratelimit/SendersTest.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/RateLimitSharesTest.java
@@ -21,7 +21,7 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.notice.RateLimit;
 
-public class SendersTest {
+public class RateLimitSharesTest {
     private static final FailureDomain NEAR = FailureDomain.of("near");
     private static final FailureDomain FAR = FailureDomain.of("far");
     private static final NetworkAddress ANYWHERE = NetworkAddress.of("127.0.0.1", 9);
@@ -52,9 +52,10 @@
         return RateLimit.of(perSecond).orElseThrow();
     }
 
-    private static double sum(Senders senders, List<EntryContact> entries, ListedEndpoint endpoint, RateLimit limit) {
+    private static double sum(
+            RateLimitShares shares, List<EntryContact> entries, ListedEndpoint endpoint, RateLimit limit) {
         return entries.stream()
-                .mapToDouble(entry -> senders.partOf(entry.entry(), endpoint, limit))
+                .mapToDouble(entry -> shares.partOf(entry.entry(), endpoint, limit))
                 .sum();
     }
 
@@ -67,32 +68,38 @@
     public void thePartsOfAMeshComeToLessThanTheLimit(double perSecond) {
         RateLimit limit = limit(perSecond);
         List<EntryContact> entries = entries(3, 5);
-        double sum = sum(Senders.ofMesh(entries), entries, endpoint("e"), limit);
-        assertEquals(sum, limit.perSecond() * Senders.SHARE_OF_LIMIT, EXACT);
+        double sum = sum(RateLimitShares.ofMesh(entries), entries, endpoint("e"), limit);
+        assertEquals(sum, limit.perSecond() * RateLimitShares.SHARE_OF_LIMIT, EXACT);
     }
 
     @Test(dataProvider = "limits")
     public void thePartsOfLeadsComeToLessThanTheLimit(double perSecond) {
         RateLimit limit = limit(perSecond);
         List<EntryContact> entries = entries(5, 0);
-        Senders senders = Senders.ofLeads(
+        RateLimitShares shares = RateLimitShares.ofLeads(
                 entries.subList(0, 2).stream().map(EntryContact::entry).toList());
-        assertEquals(sum(senders, entries, endpoint("e"), limit), limit.perSecond() * Senders.SHARE_OF_LIMIT, EXACT);
+        assertEquals(
+                sum(shares, entries, endpoint("e"), limit), limit.perSecond() * RateLimitShares.SHARE_OF_LIMIT, EXACT);
     }
 
     // Parts of a sixth of a request a second each begin with a whole request: eight of them are more than is taken.
     @Test
     public void aSmallLimitIsOneEntrysPart() {
         List<EntryContact> entries = entries(8, 8);
-        assertEquals(Senders.ofMesh(entries).owners(endpoint("e"), limit(1.4)).size(), 1);
+        assertEquals(
+                RateLimitShares.ofMesh(entries)
+                        .owners(endpoint("e"), limit(1.4))
+                        .size(),
+                1);
     }
 
     @Test
     public void entriesOfOtherFailureDomainsHaveAPartOnlyWhereNobodyElseIs() {
         List<EntryContact> far = entries(0, 4);
-        assertEquals(Senders.ofMesh(far).owners(endpoint("e"), limit(9)).size(), 4);
+        assertEquals(RateLimitShares.ofMesh(far).owners(endpoint("e"), limit(9)).size(), 4);
         List<EntryContact> both = entries(3, 4);
-        assertEquals(Senders.ofMesh(both).owners(endpoint("e"), limit(9)).size(), 3);
+        assertEquals(
+                RateLimitShares.ofMesh(both).owners(endpoint("e"), limit(9)).size(), 3);
     }
 
     @Test
@@ -101,8 +108,8 @@
         for (EntryContact gone : all) {
             List<EntryContact> rest =
                     all.stream().filter(entry -> !entry.equals(gone)).toList();
-            Set<EntryId> both = new HashSet<>(Senders.ofMesh(all).owners(endpoint("e"), limit(3)));
-            both.addAll(Senders.ofMesh(rest).owners(endpoint("e"), limit(3)));
+            Set<EntryId> both = new HashSet<>(RateLimitShares.ofMesh(all).owners(endpoint("e"), limit(3)));
+            both.addAll(RateLimitShares.ofMesh(rest).owners(endpoint("e"), limit(3)));
             assertTrue(both.size() <= 4, both.toString());
         }
     }
@@ -111,7 +118,7 @@
     public void differentEndpointsHaveDifferentOwners() {
         Set<EntryId> owners = new HashSet<>();
         for (int index = 0; index < 30; index++) {
-            owners.addAll(Senders.ofMesh(entries(4, 4)).owners(endpoint("e" + index), limit(1)));
+            owners.addAll(RateLimitShares.ofMesh(entries(4, 4)).owners(endpoint("e" + index), limit(1)));
         }
         assertEquals(owners.size(), 4);
     }
@@ -119,6 +126,6 @@
     @Test
     public void whereNobodyIsKnownToPlaceNobodyHasAPart() {
         List<EntryContact> entries = entries(3, 0);
-        assertEquals(sum(Senders.nobody(), entries, endpoint("e"), limit(9)), 0, EXACT);
+        assertEquals(sum(RateLimitShares.nobody(), entries, endpoint("e"), limit(9)), 0, EXACT);
     }
 }
--- a/src/test/java/org/yuccagw/core/ratelimit/PaceTest.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/RateLimiterTest.java
@@ -7,15 +7,15 @@
 import java.time.Duration;
 import org.testng.annotations.Test;
 
-public class PaceTest {
+public class RateLimiterTest {
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final long STEP = SECOND / 1_000;
 
-    private static int takenIn(Pace pace, double perSecond, long fromNanos, long untilNanos) {
+    private static int takenIn(RateLimiter limiter, double perSecond, long fromNanos, long untilNanos) {
         int taken = 0;
         for (long now = fromNanos; now < untilNanos; now += STEP) {
-            if (pace.allows(perSecond, now)) {
-                pace.take();
+            if (limiter.allows(perSecond, now)) {
+                limiter.take();
                 taken++;
             }
         }
@@ -24,30 +24,30 @@
 
     @Test
     public void itBeginsEmpty() {
-        Pace pace = Pace.from(0);
-        assertFalse(pace.allows(2, 0));
-        assertTrue(pace.allows(2, SECOND));
+        RateLimiter limiter = RateLimiter.from(0);
+        assertFalse(limiter.allows(2, 0));
+        assertTrue(limiter.allows(2, SECOND));
     }
 
     @Test
     public void requestsComeAtTheRateAndNotFaster() {
-        assertEquals(takenIn(Pace.from(0), 2, 0, 10 * SECOND), 19, 1);
+        assertEquals(takenIn(RateLimiter.from(0), 2, 0, 10 * SECOND), 19, 1);
     }
 
     // A quiet hour must not be made up for at once.
     @Test
     public void afterALongPauseItHoldsNoMoreThanHalfASecondOfTheRate() {
-        Pace pace = Pace.from(0);
-        assertEquals(takenIn(pace, 20, 3_600 * SECOND, 3_600 * SECOND + STEP * 5), 5);
-        assertEquals(takenIn(pace, 20, 3_600 * SECOND + STEP * 5, 3_601 * SECOND), 24, 1);
+        RateLimiter limiter = RateLimiter.from(0);
+        assertEquals(takenIn(limiter, 20, 3_600 * SECOND, 3_600 * SECOND + STEP * 5), 5);
+        assertEquals(takenIn(limiter, 20, 3_600 * SECOND + STEP * 5, 3_601 * SECOND), 24, 1);
     }
 
     @Test
     public void aCallThatCouldNotWaitIsPaidBackByLaterOnes() {
-        Pace pace = Pace.from(0);
-        pace.take();
-        pace.take();
-        assertFalse(pace.allows(1, 2 * SECOND));
-        assertTrue(pace.allows(1, 3 * SECOND));
+        RateLimiter limiter = RateLimiter.from(0);
+        limiter.take();
+        limiter.take();
+        assertFalse(limiter.allows(1, 2 * SECOND));
+        assertTrue(limiter.allows(1, 3 * SECOND));
     }
 }
--- a/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
+++ b/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.core.admission.AdmissionAsked;
+import org.yuccagw.core.admission.AdmissionRequested;
 import org.yuccagw.core.claim.Claim;
 import org.yuccagw.core.claim.ClaimDecision;
 import org.yuccagw.core.claim.ClaimEnded;
@@ -28,10 +28,10 @@
 import org.yuccagw.core.id.WorkspaceId;
 import org.yuccagw.core.quarantine.EndpointDied;
 import org.yuccagw.core.quarantine.PromptFingerprint;
-import org.yuccagw.core.quarantine.QuarantineAsked;
+import org.yuccagw.core.quarantine.QuarantineRequested;
 import org.yuccagw.core.routing.AttemptReport;
-import org.yuccagw.core.routing.RouteAsked;
 import org.yuccagw.core.routing.RouteExplanation;
+import org.yuccagw.core.routing.RouteRequested;
 
 public class RequestMachineTest {
     private RecordedEffects effects;
@@ -64,7 +64,7 @@
                         "piece 2",
                         "end",
                         "over"));
-        assertEquals(effects.reports(AdmissionAsked.Released.class).size(), 1);
+        assertEquals(effects.reports(AdmissionRequested.Released.class).size(), 1);
         assertTrue(effects.reports(AttemptReport.Ended.class).get(0).answered());
     }
 
@@ -125,7 +125,7 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineAsked.Verdict.Free());
+        machine.onVerdict(new QuarantineRequested.Verdict.Free());
         assertTrue(effects.lines.contains("route? version v1 without [e1]"));
         machine.onRoute(chosen("e2", 2));
         assertTrue(effects.lines.contains("send leg 4 to e2 after 'a '"));
@@ -147,7 +147,7 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.STREAM_FORGOTTEN, "gone");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineAsked.Verdict.Free());
+        machine.onVerdict(new QuarantineRequested.Verdict.Free());
         machine.onRoute(chosen("e2", 2));
         machine.onHead(4, head("s9", "v2"));
         machine.onPiece(4, 1, "wrong ");
@@ -181,11 +181,11 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineAsked.Verdict.Refused(
+        machine.onVerdict(new QuarantineRequested.Verdict.Refused(
                 ErrorKind.OVERLOADED.raise(1_000).comeBackAfter(Duration.ofSeconds(1))));
         assertFalse(machine.isOver());
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 4);
-        machine.onVerdict(new QuarantineAsked.Verdict.Alone(9));
+        machine.onVerdict(new QuarantineRequested.Verdict.Alone(9));
         machine.onRoute(chosen("e2", 2));
         assertTrue(effects.lines.contains("send leg 5 to e2 after 'a '"));
     }
@@ -230,8 +230,8 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onProbed(1, true);
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 2);
-        machine.onVerdict(new QuarantineAsked.Verdict.Free());
-        machine.onRoute(new RouteAsked.Answer.Refused(ErrorKind.NO_ENDPOINT.raise("assistant")));
+        machine.onVerdict(new QuarantineRequested.Verdict.Free());
+        machine.onRoute(new RouteRequested.Answer.Refused(ErrorKind.NO_ENDPOINT.raise("assistant")));
         assertEquals(effects.error.kind().ran(), ErrorKind.Ran.MAY_HAVE_RUN);
     }
 
@@ -245,7 +245,7 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineAsked.Verdict.Refused(ErrorKind.OVERLOADED.raise(2_000)));
+        machine.onVerdict(new QuarantineRequested.Verdict.Refused(ErrorKind.OVERLOADED.raise(2_000)));
         assertEquals(effects.error.kind().ran(), ErrorKind.Ran.MAY_HAVE_RUN);
     }
 
@@ -269,7 +269,7 @@
         machine.onAdmitted(Optional.empty());
         machine.onClaim(new ClaimDecision.Running(EntryId.of("entry-2"), RequestId.of("r0")));
         assertTrue(effects.lines.contains("follow r0 at entry-2"));
-        assertEquals(effects.reports(AdmissionAsked.Released.class).size(), 1);
+        assertEquals(effects.reports(AdmissionRequested.Released.class).size(), 1);
     }
 
     // While a swap rolls fast, every replica seems to load for a moment, because reports lag. The user would be refused
@@ -281,8 +281,8 @@
         machine.onAdmitted(Optional.empty());
         int asked = 0;
         while (!machine.isOver()) {
-            machine.onVerdict(new QuarantineAsked.Verdict.Free());
-            machine.onRoute(new RouteAsked.Answer.Refused(ErrorKind.NO_ENDPOINT.raise("assistant")));
+            machine.onVerdict(new QuarantineRequested.Verdict.Free());
+            machine.onRoute(new RouteRequested.Answer.Refused(ErrorKind.NO_ENDPOINT.raise("assistant")));
             asked++;
             machine.onTimer(RequestMachine.TimerKind.BACKOFF, asked);
         }
@@ -319,8 +319,8 @@
         machine.begin();
         machine.onCallerLeft();
         machine.onAdmitted(Optional.empty());
-        assertEquals(effects.reports(AdmissionAsked.Withdrawn.class).size(), 1);
-        assertEquals(effects.reports(AdmissionAsked.Released.class).size(), 1);
+        assertEquals(effects.reports(AdmissionRequested.Withdrawn.class).size(), 1);
+        assertEquals(effects.reports(AdmissionRequested.Released.class).size(), 1);
     }
 
     @Test
@@ -328,7 +328,7 @@
         RequestMachine machine = machine(true, false);
         machine.begin();
         machine.onAdmitted(Optional.empty());
-        machine.onVerdict(new QuarantineAsked.Verdict.Free());
+        machine.onVerdict(new QuarantineRequested.Verdict.Free());
         machine.onTimer(RequestMachine.TimerKind.DEADLINE, 0);
         machine.onRoute(chosen("e1", 7));
         assertEquals(effects.reports(AttemptReport.Ended.class).get(0).attempt(), 7);
@@ -343,7 +343,7 @@
         if (keyed) {
             machine.onClaim(new ClaimDecision.Granted());
         }
-        machine.onVerdict(new QuarantineAsked.Verdict.Free());
+        machine.onVerdict(new QuarantineRequested.Verdict.Free());
         machine.onRoute(chosen("e1", 1));
         return machine;
     }
@@ -369,7 +369,7 @@
         return RequestMachine.of(profile, effects);
     }
 
-    private static RouteAsked.Answer chosen(String endpoint, long attempt) {
+    private static RouteRequested.Answer chosen(String endpoint, long attempt) {
         EndpointStatus status = new EndpointStatus(
                 EndpointId.of(endpoint),
                 VmId.of("vm-" + endpoint),
@@ -379,7 +379,7 @@
                 FailureDomain.of("d1"),
                 true,
                 Optional.of(WeightVersion.of("v1")));
-        return new RouteAsked.Answer.Chosen(
+        return new RouteRequested.Answer.Chosen(
                 attempt, status, Optional.empty(), new RouteExplanation("test", ImmutableList.of()));
     }
 
--- a/src/test/java/org/yuccagw/core/routing/CacheCore.java
+++ b/src/test/java/org/yuccagw/core/routing/CacheCore.java
@@ -11,10 +11,10 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.yuccagw.core.cache.BlockKey;
-import org.yuccagw.core.cache.CachePart;
+import org.yuccagw.core.cache.CacheComponent;
 import org.yuccagw.core.cache.CacheSettings;
 import org.yuccagw.core.cache.CacheState;
-import org.yuccagw.core.cache.ReplicaNews;
+import org.yuccagw.core.cache.EngineCacheUpdate;
 import org.yuccagw.core.cache.StoredBlock;
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.catalogue.CatalogueChanged;
@@ -65,7 +65,8 @@
                 NetworkAddress.of("127.0.0.1", 1),
                 NetworkAddress.of("127.0.0.1", 2),
                 NetworkAddress.of("127.0.0.1", 3));
-        core = ControlCore.of(self, new SplittableRandom(7), List.of(CachePart.of(state), RoutePart.of(policy, state)));
+        core = ControlCore.of(
+                self, new SplittableRandom(7), List.of(CacheComponent.of(state), RouteComponent.of(policy, state)));
         take(core.start(0, 0));
     }
 
@@ -182,9 +183,9 @@
                 .build();
     }
 
-    public RouteAsked.Question question(List<BlockKey> blocks) {
+    public RouteRequested.Question question(List<BlockKey> blocks) {
         requests++;
-        return new RouteAsked.Question(
+        return new RouteRequested.Question(
                 RequestId.of("request-" + requests),
                 WORKSPACE,
                 SERVICE,
@@ -197,22 +198,22 @@
                 false);
     }
 
-    public RouteAsked.Answer ask(RouteAsked.Question question) {
-        List<RouteAsked.Answer> answers = new ArrayList<>();
-        handle(new RouteAsked(question, answers::add));
+    public RouteRequested.Answer ask(RouteRequested.Question question) {
+        List<RouteRequested.Answer> answers = new ArrayList<>();
+        handle(new RouteRequested(question, answers::add));
         if (answers.size() != 1) {
             throw new AssertionError("expected one answer, got " + answers);
         }
         return answers.get(0);
     }
 
-    public RouteAsked.Answer.Chosen route(List<BlockKey> blocks) {
-        return (RouteAsked.Answer.Chosen) ask(question(blocks));
+    public RouteRequested.Answer.Chosen route(List<BlockKey> blocks) {
+        return (RouteRequested.Answer.Chosen) ask(question(blocks));
     }
 
     /** The whole life of a request that goes well. */
-    public RouteAsked.Answer.Chosen serve(List<BlockKey> blocks) {
-        RouteAsked.Answer.Chosen chosen = route(blocks);
+    public RouteRequested.Answer.Chosen serve(List<BlockKey> blocks) {
+        RouteRequested.Answer.Chosen chosen = route(blocks);
         handle(new AttemptReport.Sent(chosen.attempt()));
         handle(new AttemptReport.FirstToken(chosen.attempt(), 100));
         handle(new AttemptReport.Ended(chosen.attempt(), true, 0, 100));
@@ -230,7 +231,7 @@
     /** Answers every export that was ordered, as if all blocks were sealed. */
     public void finishExports() {
         actions(org.yuccagw.core.cache.CacheOrder.ExportBlocks.class)
-                .forEach(order -> handle(new ReplicaNews.ExportEnded(
+                .forEach(order -> handle(new EngineCacheUpdate.ExportEnded(
                         order.number(), order.endpoint().id(), sealed(order.blocks(), 1), false, Optional.empty())));
     }
 
@@ -242,7 +243,7 @@
 
     /** The endpoint lost all its blocks, as a snapshot shows. */
     public void evictAll(EndpointId endpoint) {
-        handle(new ReplicaNews.SnapshotRead(endpoint, 1, Optional.empty(), List.of()));
+        handle(new EngineCacheUpdate.SnapshotRead(endpoint, 1, Optional.empty(), List.of()));
     }
 
     public static StoreId store(int number) {
--- a/src/test/java/org/yuccagw/core/routing/RoutePartTest.java
+++ b/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
@@ -20,10 +20,10 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.WeightVersion;
-import org.yuccagw.core.routing.RouteAsked.Answer;
-import org.yuccagw.core.routing.RouteAsked.Question;
+import org.yuccagw.core.routing.RouteRequested.Answer;
+import org.yuccagw.core.routing.RouteRequested.Question;
 
-public class RoutePartTest {
+public class RouteComponentTest {
     @DataProvider
     public Object[] policies() {
         return RoutePolicies.names().toArray();
--- a/src/test/java/org/yuccagw/core/shard/LateCreationTest.java
+++ b/src/test/java/org/yuccagw/core/shard/LateCreationTest.java
@@ -29,7 +29,7 @@
     private static final NetworkAddress ADDRESS = NetworkAddress.of("127.0.0.1", 4000);
     private static final ShardNumber SHARD = ShardNumber.of(0);
 
-    private final ShardsPart shards = ShardsPart.of();
+    private final ShardsComponent shards = ShardsComponent.of();
     private final ControlCore core = ControlCore.of(
             new EntryIdentity(EntryId.of("entry-1"), 1, FailureDomain.of("lac"), ADDRESS, ADDRESS, ADDRESS),
             new SplittableRandom(1),
--- a/src/test/java/org/yuccagw/core/shard/ShardsTest.java
+++ b/src/test/java/org/yuccagw/core/shard/ShardsTest.java
@@ -16,11 +16,11 @@
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
 import org.yuccagw.bench.control.ControlBench;
-import org.yuccagw.bench.control.ControlParts;
+import org.yuccagw.bench.control.ControlComponents;
 import org.yuccagw.bench.control.SampleCatalogues;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
 import org.yuccagw.core.id.ShardNumber;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.port.KeyValueCall;
 
 public class ShardsTest {
@@ -30,7 +30,7 @@
     private static final Duration STEP = Duration.ofMillis(50);
 
     private ControlBench bench;
-    private Map<BenchNode, ShardsPart> authorities;
+    private Map<BenchNode, ShardsComponent> authorities;
     private List<BenchNode> nodes;
     private Map<ShardNumber, Long> highestEpochs;
 
@@ -44,7 +44,8 @@
             nodes.add(start(index));
         }
         bench.runFor(Duration.ofSeconds(5));
-        nodes.get(0).offer(new CatalogueEditAsked(0, SampleCatalogues.ofWorkspaces(1), "first", "mari", result -> {}));
+        nodes.get(0)
+                .offer(new CatalogueEditRequested(0, SampleCatalogues.ofWorkspaces(1), "first", "mari", result -> {}));
         assertTrue(bench.runUntil(this::everyShardIsOwned, LONG));
         bench.runFor(Duration.ofSeconds(10));
     }
@@ -92,7 +93,7 @@
     @Test
     public void aStoppingEntryHandsItsShardsOverWithinSeconds() {
         BenchNode stopping = ownersOf(ShardNumber.of(3)).get(0);
-        stopping.offer(new StopAsked());
+        stopping.offer(new StopRequested());
         assertTrue(bench.runUntil(
                 () -> everyShardIsOwned() && !ownersOf(ShardNumber.of(3)).contains(stopping), Duration.ofSeconds(5)));
     }
@@ -112,7 +113,7 @@
     @Test
     public void duringAnOutageNobodyIsOwnerAndAfterItEveryShardHasOne() {
         bench.keyValue().setDown(true);
-        bench.runFor(ShardsPart.LEASE.timeToLive());
+        bench.runFor(ShardsComponent.LEASE.timeToLive());
         for (int number = 0; number < SHARDS; number++) {
             assertTrue(ownersOf(ShardNumber.of(number)).isEmpty());
         }
@@ -215,7 +216,7 @@
     }
 
     private BenchNode start(int index) {
-        ControlParts.WithShards parts = ControlParts.withShards();
+        ControlComponents.WithShards parts = ControlComponents.withShards();
         BenchNode node = bench.start("entry-" + index, parts.parts());
         authorities.put(node, parts.shards());
         return node;
--- a/src/test/java/org/yuccagw/core/stores/EngineCachesPartTest.java
+++ b/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
@@ -24,10 +24,10 @@
 import org.yuccagw.core.deployment.EngineTraits;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.fleet.ListedEndpoint;
-import org.yuccagw.core.follow.ConfiguredPart;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactGone;
-import org.yuccagw.core.follow.FactSeen;
+import org.yuccagw.core.follow.ConfigurationComponent;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordRemoved;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
@@ -38,7 +38,7 @@
 import org.yuccagw.core.prompt.PromptShape;
 import org.yuccagw.core.ratelimit.NoOthers;
 
-public class EngineCachesPartTest {
+public class EngineCachesComponentTest {
     private static final String SALT = "s.1";
     private static final PromptShape PROMPT = new PromptShape(
             "model",
@@ -49,7 +49,7 @@
 
     private ControlBench bench;
     private BenchNode node;
-    private EngineCachesPart caches;
+    private EngineCachesComponent caches;
     private List<StoreAnswer.Change> pending;
     private Set<String> asked;
     private boolean gap;
@@ -61,9 +61,9 @@
         asked = new HashSet<>();
         gap = false;
         bench.onAction(this::perform);
-        caches = EngineCachesPart.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
+        caches = EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
         node = bench.start("entry-1", FailureDomain.of("near"), List.of(caches));
-        node.offer(new ConfiguredPart.Applied(deployment()));
+        node.offer(new ConfigurationComponent.Applied(deployment()));
         node.offer(seen(engine("near", 1)));
         bench.runFor(Duration.ofSeconds(1));
     }
@@ -109,7 +109,8 @@
 
     @Test
     public void anEngineThatIsNotListedAnyMoreIsNotFollowed() {
-        node.offer(new FactGone(new Fact.Subject.EndpointSubject(EndpointId.of("engine-near")), 9, false));
+        node.offer(new KeyValueRecordRemoved(
+                new KeyValueRecord.Subject.EndpointSubject(EndpointId.of("engine-near")), 9, false));
         bench.runFor(Duration.ofSeconds(1));
         assertEquals(held(1), Optional.empty());
     }
@@ -144,8 +145,8 @@
         return action instanceof Decision;
     }
 
-    private static FactSeen seen(ListedEndpoint endpoint) {
-        return new FactSeen(new Fact.EndpointListed(endpoint), 1, false);
+    private static KeyValueRecordUpdated seen(ListedEndpoint endpoint) {
+        return new KeyValueRecordUpdated(new KeyValueRecord.EndpointListed(endpoint), 1, false);
     }
 
     private static ListedEndpoint engine(String domain, long startedMillis) {
--- a/src/test/java/org/yuccagw/core/stores/RetiredPartsPartTest.java
+++ b/src/test/java/org/yuccagw/core/stores/RetiredPartsComponentTest.java
@@ -22,15 +22,15 @@
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.fleet.ModelWeights;
-import org.yuccagw.core.follow.ConfiguredPart;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.follow.FactSeen;
-import org.yuccagw.core.follow.NamedWeightsPart;
+import org.yuccagw.core.follow.ConfigurationComponent;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.follow.KeyValueRecordUpdated;
+import org.yuccagw.core.follow.NamedWeightsComponent;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.id.StoreId;
 
-public class RetiredPartsPartTest {
+public class RetiredPartsComponentTest {
     private static final String MODEL = "model";
     private static final CacheStore MANAGED = store("managed", true);
     private static final CacheStore SELF_CLEANING = store("self-cleaning", false);
@@ -56,12 +56,12 @@
         inspected = new ArrayList<>();
         bench = ControlBench.of(3);
         bench.onAction(this::perform);
-        NamedWeightsPart named = NamedWeightsPart.of(Duration.ofSeconds(8));
-        StoresPart stores = StoresPart.of(List::of);
-        RetiredPartsPart retired =
-                RetiredPartsPart.of(() -> holdsDuty, named, model -> OptionalLong.of(lowestRunning), stores);
+        NamedWeightsComponent named = NamedWeightsComponent.of(Duration.ofSeconds(8));
+        StoresComponent stores = StoresComponent.of(List::of);
+        RetiredPartsComponent retired =
+                RetiredPartsComponent.of(() -> holdsDuty, named, model -> OptionalLong.of(lowestRunning), stores);
         node = bench.start("entry-1", List.of(named, stores, retired));
-        node.offer(new ConfiguredPart.Applied(Deployment.of(
+        node.offer(new ConfigurationComponent.Applied(Deployment.of(
                 1,
                 List.of(),
                 List.of(),
@@ -78,7 +78,7 @@
     public void partsOfOlderWeightsAreFreedOnceNothingCanReadThem() {
         name(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsPart.RETIRED_AFTER.plusSeconds(1));
+        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(1));
         assertEquals(whole, names("s.2"));
         assertEquals(partial, names("s.2"));
     }
@@ -89,7 +89,7 @@
     public void nothingIsFreedWhileAFetchMayBeUnderWay() {
         name(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsPart.RETIRED_AFTER.minusMillis(100));
+        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.minusMillis(100));
         assertEquals(whole.size(), 3);
     }
 
@@ -97,7 +97,7 @@
     @Test
     public void nothingIsFreedWhileAnEngineRunsOlderWeights() {
         name(2);
-        bench.runFor(RetiredPartsPart.RETIRED_AFTER.plusSeconds(5));
+        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(5));
         assertEquals(whole.size(), 3);
         lowestRunning = 2;
         bench.runFor(Duration.ofSeconds(1));
@@ -109,7 +109,7 @@
         holdsDuty = false;
         name(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsPart.RETIRED_AFTER.plusSeconds(5));
+        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(5));
         assertTrue(inspected.isEmpty());
     }
 
@@ -118,7 +118,7 @@
         silent = true;
         name(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsPart.RETIRED_AFTER.plusSeconds(3));
+        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(3));
         silent = false;
         bench.runFor(Duration.ofSeconds(3));
         assertEquals(whole, names("s.2"));
@@ -128,7 +128,7 @@
     public void aStoreIsAskedOnceForEachNamingAndOneThatDropsByItselfNever() {
         name(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsPart.RETIRED_AFTER.plusSeconds(20));
+        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(20));
         long before = inspected.size();
         bench.runFor(Duration.ofSeconds(20));
         assertEquals(inspected.size(), before);
@@ -136,7 +136,8 @@
     }
 
     private void name(long version) {
-        node.offer(new FactSeen(new Fact.WeightsNamed(new ModelWeights(MODEL, version)), version, false));
+        node.offer(new KeyValueRecordUpdated(
+                new KeyValueRecord.WeightsNamed(new ModelWeights(MODEL, version)), version, false));
     }
 
     private static Set<PartName> names(String... salts) {
--- a/src/test/java/org/yuccagw/core/stores/StoresPartTest.java
+++ b/src/test/java/org/yuccagw/core/stores/StoresComponentTest.java
@@ -24,7 +24,7 @@
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
 import org.yuccagw.core.deployment.RequestLimits;
-import org.yuccagw.core.follow.ConfiguredPart;
+import org.yuccagw.core.follow.ConfigurationComponent;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
@@ -34,7 +34,7 @@
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
 
-public class StoresPartTest {
+public class StoresComponentTest {
     private static final FailureDomain HERE = FailureDomain.of("ulemiste");
     private static final CacheStore QUICK = store("quick", 1, 100_000, 0.5);
     private static final CacheStore LARGE = store("large", 2, 1_000_000, 6);
@@ -48,7 +48,7 @@
 
     private ControlBench bench;
     private BenchNode node;
-    private StoresPart stores;
+    private StoresComponent stores;
     private Map<StoreId, FakeStore> fakes;
     private List<EntryId> entries;
 
@@ -67,9 +67,9 @@
         entries = List.of(EntryId.of("entry-1"));
         fakes = new HashMap<>(Map.of(QUICK.id(), new FakeStore(), LARGE.id(), new FakeStore()));
         bench.onAction(this::perform);
-        stores = StoresPart.of(() -> entries);
+        stores = StoresComponent.of(() -> entries);
         node = bench.start("entry-1", List.of(stores));
-        node.offer(new ConfiguredPart.Applied(deployment()));
+        node.offer(new ConfigurationComponent.Applied(deployment()));
         bench.runFor(Duration.ofSeconds(5));
     }
 
@@ -125,7 +125,7 @@
     public void nothingIsFetchedFromAStoreThatFellSilent() {
         tell(LARGE, "session", 5_000);
         fakes.get(LARGE.id()).silent = true;
-        bench.runFor(StoresPart.FRESH.plusMillis(200));
+        bench.runFor(StoresComponent.FRESH.plusMillis(200));
         assertFalse(plan().hasFetch());
     }
 
@@ -152,7 +152,7 @@
         CachePlan soon = plan();
         assertFalse(soon.hasFetch());
         assertFalse(soon.saves().contains(Optional.of(LARGE.address())));
-        bench.runFor(StoresPart.NEWBORN.plus(StoresPart.SAVE_PATIENCE));
+        bench.runFor(StoresComponent.NEWBORN.plus(StoresComponent.SAVE_PATIENCE));
         assertTrue(plan().saves().contains(Optional.of(LARGE.address())));
     }
 
@@ -193,8 +193,8 @@
             List<EntryId> all = java.util.stream.IntStream.rangeClosed(1, 70)
                     .mapToObj(number -> EntryId.of("entry-" + number))
                     .toList();
-            BenchNode one = alone.start("entry-" + index, List.of(StoresPart.of(() -> all)));
-            one.offer(new ConfiguredPart.Applied(deployment()));
+            BenchNode one = alone.start("entry-" + index, List.of(StoresComponent.of(() -> all)));
+            one.offer(new ConfigurationComponent.Applied(deployment()));
             alone.runFor(Duration.ofMillis(10));
             followers += calls.contains(LARGE.id()) ? 1 : 0;
         }
--- a/src/test/java/org/yuccagw/core/swap/SwapsTest.java
+++ b/src/test/java/org/yuccagw/core/swap/SwapsTest.java
@@ -13,16 +13,16 @@
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
 import org.yuccagw.bench.control.ControlBench;
-import org.yuccagw.bench.control.ControlParts;
+import org.yuccagw.bench.control.ControlComponents;
 import org.yuccagw.bench.control.EnginePool;
 import org.yuccagw.bench.control.SampleCatalogues;
 import org.yuccagw.core.catalogue.Catalogue;
-import org.yuccagw.core.catalogue.CatalogueEditAsked;
+import org.yuccagw.core.catalogue.CatalogueEditRequested;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.ShardNumber;
 import org.yuccagw.core.id.WeightVersion;
-import org.yuccagw.core.shard.ShardsPart;
+import org.yuccagw.core.shard.ShardsComponent;
 
 public class SwapsTest {
     private static final Duration LONG = Duration.ofMinutes(3);
@@ -35,7 +35,7 @@
 
     private ControlBench bench;
     private EnginePool engines;
-    private Map<BenchNode, ShardsPart> authorities;
+    private Map<BenchNode, ShardsComponent> authorities;
     private List<BenchNode> nodes;
 
     @Test
@@ -199,15 +199,15 @@
         startWith(true, LOAD);
         BenchNode other =
                 nodes.stream().filter(node -> node != owner()).findFirst().orElseThrow();
-        RoleOrderAsked.Result refused = order(other);
-        assertEquals(((RoleOrderAsked.Result.Refused) refused).error().kind(), ErrorKind.STALE_OWNER);
-        assertEquals(order(owner()), new RoleOrderAsked.Result.Accepted());
+        RoleOrderRequested.Result refused = order(other);
+        assertEquals(((RoleOrderRequested.Result.Refused) refused).error().kind(), ErrorKind.STALE_OWNER);
+        assertEquals(order(owner()), new RoleOrderRequested.Result.Accepted());
         assertEquals(engines.roleOf("assistant-04"), "prefill");
     }
 
-    private RoleOrderAsked.Result order(BenchNode node) {
-        List<RoleOrderAsked.Result> results = new ArrayList<>();
-        node.offer(new RoleOrderAsked(EndpointId.of("assistant-04"), "prefill", results::add));
+    private RoleOrderRequested.Result order(BenchNode node) {
+        List<RoleOrderRequested.Result> results = new ArrayList<>();
+        node.offer(new RoleOrderRequested(EndpointId.of("assistant-04"), "prefill", results::add));
         assertTrue(bench.runUntil(() -> !results.isEmpty(), LONG));
         return results.get(0);
     }
@@ -218,7 +218,7 @@
         nodes = new ArrayList<>();
         engines = EnginePool.start(bench, POOL, REPLICAS, SampleCatalogues.FIRST_VERSION, checksFencing, load);
         for (int index = 0; index < 4; index++) {
-            ControlParts.WithShards parts = ControlParts.withShards();
+            ControlComponents.WithShards parts = ControlComponents.withShards();
             BenchNode node = bench.start("entry-" + index, parts.parts());
             nodes.add(node);
             authorities.put(node, parts.shards());
@@ -237,10 +237,10 @@
     }
 
     private void edit(BenchNode node, long base, Catalogue wanted, String editId) {
-        List<CatalogueEditAsked.Result> results = new ArrayList<>();
-        node.offer(new CatalogueEditAsked(base, wanted, editId, "mari", results::add));
+        List<CatalogueEditRequested.Result> results = new ArrayList<>();
+        node.offer(new CatalogueEditRequested(base, wanted, editId, "mari", results::add));
         assertTrue(bench.runUntil(() -> !results.isEmpty(), LONG));
-        assertTrue(results.get(0) instanceof CatalogueEditAsked.Result.Accepted, results.toString());
+        assertTrue(results.get(0) instanceof CatalogueEditRequested.Result.Accepted, results.toString());
     }
 
     private static Catalogue catalogue(String version, boolean checksFencing) {
@@ -257,7 +257,7 @@
     }
 
     private boolean owns(BenchNode node) {
-        ShardNumber shard = SwapsPart.shardOf(POOL, 16);
+        ShardNumber shard = SwapsComponent.shardOf(POOL, 16);
         return !node.isDead()
                 && authorities
                         .get(node)
--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
@@ -32,12 +32,12 @@
 import org.yuccagw.core.control.ControlSnapshot;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.fleet.ListedEndpoint;
-import org.yuccagw.core.follow.Fact;
-import org.yuccagw.core.placing.PlaceAsked;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.follow.KeyValueRecord;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.platform.GatewaySettingsReader;
 import org.yuccagw.platform.PlatformDialect;
-import org.yuccagw.platform.PlatformFacts;
+import org.yuccagw.platform.PlatformRecords;
 import org.yuccagw.standins.platform.PlatformDocuments;
 import org.yuccagw.standins.platform.SmallDeployment;
 
@@ -64,14 +64,14 @@
                         .getMap());
         settings = GatewaySettingsReader.parse(
                 SmallDeployment.settings("entry-1", endpoint.address(), SmallDeployment.freePorts(4)));
-        deployment = ((Fact.Configured) fact(
+        deployment = ((KeyValueRecord.Configured) fact(
                         PlatformDocuments.CONFIGURATION,
                         PlatformDocuments.configuration(1)
                                 .route("/plain/", "idempotent", "plain", 3_000, 2)
                                 .plain("plain")
                                 .bytes()))
                 .deployment();
-        listed = ((Fact.EndpointListed) fact(
+        listed = ((KeyValueRecord.EndpointListed) fact(
                         PlatformDocuments.endpointKey("plain-1"),
                         PlatformDocuments.endpoint("plain", endpoint.address(), "a", false)))
                 .endpoint();
@@ -100,16 +100,16 @@
         endpoint.close();
     }
 
-    private static Fact fact(String key, byte[] value) throws Exception {
-        return PlatformFacts.create().decode(key, value).orElseThrow();
+    private static KeyValueRecord fact(String key, byte[] value) throws Exception {
+        return PlatformRecords.create().decode(key, value).orElseThrow();
     }
 
     /** Decides at once, as a lead in the same entry does. */
     private void place(ControlEvent event) {
-        if (event instanceof PlaceAsked place) {
+        if (event instanceof PlacementRequest place) {
             asked.incrementAndGet();
             place.reply()
-                    .accept(new PlaceDecision.Placed(
+                    .accept(new PlacementDecision.Placed(
                             asked.get(),
                             listed,
                             OptionalLong.empty(),
--- a/src/test/java/org/yuccagw/daemon/ColdEndpointsTest.java
+++ b/src/test/java/org/yuccagw/daemon/ColdEndpointsTest.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
 import org.yuccagw.core.placing.AttemptEnded.End;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
 
 /**
  * Endpoints that are cold, under more requests than they bear: what all entries together send to one of them in any
@@ -70,8 +70,8 @@
         }
     }
 
-    private void onDecision(BenchNode node, PlaceDecision decision) {
-        if (decision instanceof PlaceDecision.Placed placed) {
+    private void onDecision(BenchNode node, PlacementDecision decision) {
+        if (decision instanceof PlacementDecision.Placed placed) {
             arrivals.computeIfAbsent(placed.endpoint().id().value(), name -> new ArrayList<>())
                     .add(now());
             fleet.bench.time().after(FIRST_TOKEN, () -> node.offer(new AttemptBegun(placed.ticket())));
@@ -227,7 +227,7 @@
         BenchNode node = nodes.get(0);
         for (int index = 0; index < WARM / 2; index++) {
             fleet.askPrompt(node, TOKENS, decision -> {
-                if (decision instanceof PlaceDecision.Placed placed) {
+                if (decision instanceof PlacementDecision.Placed placed) {
                     node.offer(new AttemptEnded(placed.ticket(), End.UNREACHED));
                 }
             });
--- a/src/test/java/org/yuccagw/daemon/EndpointRestartTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndpointRestartTest.java
@@ -15,10 +15,10 @@
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.peers.PeerStatus;
-import org.yuccagw.core.peers.PeersPart.PeerHeard;
+import org.yuccagw.core.peers.PeersComponent.PeerHeard;
 import org.yuccagw.core.placing.AttemptEnded;
-import org.yuccagw.core.placing.PlaceAsked.Kind;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest.Kind;
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 /** Endpoints that start again under the id that they had. */
@@ -48,16 +48,16 @@
     @Test
     public void anEndpointThatWasLeavingIsOfUseOnceItHasStartedAgain() {
         registerPlain(true, PlatformDocuments.FIRST_START_MILLIS);
-        assertTrue(placePlain() instanceof PlaceDecision.Refused);
+        assertTrue(placePlain() instanceof PlacementDecision.Refused);
         registerPlain(false, SECOND_START);
         assertEquals(endpointOf(placePlain()), EndpointId.of("plain-1"));
     }
 
     @Test
     public void anEndpointWhoseAddressAnotherHadIsOfUseOnceItHasStartedAgain() {
-        PlaceDecision.Placed placed = (PlaceDecision.Placed) placePlain();
+        PlacementDecision.Placed placed = (PlacementDecision.Placed) placePlain();
         first.offer(new AttemptEnded(placed.ticket(), AttemptEnded.End.WRONG_ENDPOINT));
-        assertTrue(placePlain() instanceof PlaceDecision.Refused);
+        assertTrue(placePlain() instanceof PlacementDecision.Refused);
         registerPlain(false, SECOND_START);
         assertEquals(endpointOf(placePlain()), EndpointId.of("plain-1"));
     }
@@ -75,10 +75,10 @@
     // way at the earlier start are over for the endpoint, and their ends are not taken off what runs there now.
     @Test
     public void whatRanAtAnEarlierStartDoesNotCountForTheNext() {
-        PlaceDecision.Placed before = (PlaceDecision.Placed) placePlain();
+        PlacementDecision.Placed before = (PlacementDecision.Placed) placePlain();
         registerPlain(false, SECOND_START);
         registerPlain(false, SECOND_START + 400);
-        PlaceDecision.Placed after = (PlaceDecision.Placed) placePlain();
+        PlacementDecision.Placed after = (PlacementDecision.Placed) placePlain();
         first.offer(new AttemptEnded(before.ticket(), AttemptEnded.End.BROKEN));
         fleet.bench.runFor(Duration.ofMillis(10));
         assertEquals(fleet.requestsOn(first, "plain-1"), 1);
@@ -148,11 +148,11 @@
     public void aRequestThatEndsTwoStartsOfOneEndpointIsRefused() {
         List<Long> starts = new ArrayList<>(List.of(SECOND_START, 2 * SECOND_START));
         for (long start : starts) {
-            PlaceDecision.Placed placed = (PlaceDecision.Placed) placePlain();
+            PlacementDecision.Placed placed = (PlacementDecision.Placed) placePlain();
             first.offer(new AttemptEnded(placed.ticket(), AttemptEnded.End.BROKEN));
             registerPlain(false, start);
         }
-        assertTrue(placePlain() instanceof PlaceDecision.Refused);
+        assertTrue(placePlain() instanceof PlacementDecision.Refused);
     }
 
     private void registerPlain(boolean leaving, long startedMillis) {
@@ -182,15 +182,15 @@
         fleet.bench.runFor(Duration.ofMillis(5));
     }
 
-    private PlaceDecision placePlain() {
+    private PlacementDecision placePlain() {
         return fleet.place(first, "/plain/x", Kind.FIRST, "fingerprint");
     }
 
-    private PlaceDecision.Placed placePrompt() {
-        return (PlaceDecision.Placed) fleet.place(first, "/model/x", Kind.FIRST, "prompt");
+    private PlacementDecision.Placed placePrompt() {
+        return (PlacementDecision.Placed) fleet.place(first, "/model/x", Kind.FIRST, "prompt");
     }
 
-    private static EndpointId endpointOf(PlaceDecision decision) {
-        return ((PlaceDecision.Placed) decision).endpoint().id();
+    private static EndpointId endpointOf(PlacementDecision decision) {
+        return ((PlacementDecision.Placed) decision).endpoint().id();
     }
 }
--- a/src/test/java/org/yuccagw/daemon/EvacuationTest.java
+++ b/src/test/java/org/yuccagw/daemon/EvacuationTest.java
@@ -13,8 +13,8 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
-import org.yuccagw.core.placing.PlaceAsked.Kind;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest.Kind;
 
 /** Operators evacuate a failure domain: nothing more goes to its endpoints, from any entry, until they take it back. */
 public class EvacuationTest {
@@ -51,9 +51,9 @@
     }
 
     private String placed(BenchNode node) {
-        PlaceDecision decision = fleet.place(node, "/model/x", Kind.FIRST, "f");
-        assertTrue(decision instanceof PlaceDecision.Placed, "decision: " + decision);
-        return ((PlaceDecision.Placed) decision).endpoint().id().value();
+        PlacementDecision decision = fleet.place(node, "/model/x", Kind.FIRST, "f");
+        assertTrue(decision instanceof PlacementDecision.Placed, "decision: " + decision);
+        return ((PlacementDecision.Placed) decision).endpoint().id().value();
     }
 
     @DataProvider
@@ -136,8 +136,8 @@
         fleet.evacuate(EVACUATED);
         fleet.evacuate(OTHER);
         fleet.bench.runFor(KNOWN_WITHIN);
-        PlaceDecision decision = fleet.place(nodes.get(0), "/model/x", Kind.FIRST, "f");
-        assertTrue(decision instanceof PlaceDecision.Refused, "decision: " + decision);
-        assertEquals(((PlaceDecision.Refused) decision).error().kind(), ErrorKind.NO_ENDPOINT);
+        PlacementDecision decision = fleet.place(nodes.get(0), "/model/x", Kind.FIRST, "f");
+        assertTrue(decision instanceof PlacementDecision.Refused, "decision: " + decision);
+        assertEquals(((PlacementDecision.Refused) decision).error().kind(), ErrorKind.NO_ENDPOINT);
     }
 }
--- a/src/test/java/org/yuccagw/daemon/FleetCostTest.java
+++ b/src/test/java/org/yuccagw/daemon/FleetCostTest.java
@@ -35,7 +35,7 @@
     @Test(dataProvider = "fleets")
     public void anOrdinaryEntryStaysWithinWhatUsersAllow(int domains, int ofEach) {
         VirtualFleet fleet = new VirtualFleet();
-        PeerCodec codec = GatewayParts.codec();
+        PeerCodec codec = GatewayComponents.codec();
         fleet.bench.measureBytes((from, message) -> codec.encode(from, message).length);
         List<BenchNode> nodes = new ArrayList<>();
         for (int index = 0; index < domains * ofEach; index++) {
--- a/src/test/java/org/yuccagw/daemon/ForeignRegistrationTest.java
+++ b/src/test/java/org/yuccagw/daemon/ForeignRegistrationTest.java
@@ -18,8 +18,8 @@
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.NetworkAddress;
-import org.yuccagw.core.placing.PlaceAsked.Kind;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest.Kind;
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 /**
@@ -82,8 +82,8 @@
         ObjectNode registration = (ObjectNode) JSON.readTree(valid());
         apply.accept(registration);
         register("plain-1", JSON.writeValueAsBytes(registration));
-        assertTrue(placePlain() instanceof PlaceDecision.Refused, change);
-        assertTrue(placePrompt() instanceof PlaceDecision.Placed, change);
+        assertTrue(placePlain() instanceof PlacementDecision.Refused, change);
+        assertTrue(placePrompt() instanceof PlacementDecision.Placed, change);
     }
 
     // A foreign writer overwrote the registration of a living endpoint. The endpoint's next heartbeat writes it anew,
@@ -92,9 +92,9 @@
     @Test
     public void anEndpointIsOfUseAgainOnceItHasWrittenItsRegistrationAnew() {
         register("plain-1", "not JSON".getBytes(StandardCharsets.UTF_8));
-        assertTrue(placePlain() instanceof PlaceDecision.Refused);
+        assertTrue(placePlain() instanceof PlacementDecision.Refused);
         register("plain-1", valid());
-        assertTrue(placePlain() instanceof PlaceDecision.Placed);
+        assertTrue(placePlain() instanceof PlacementDecision.Placed);
     }
 
     @Test
@@ -102,7 +102,7 @@
         ObjectNode registration = (ObjectNode) JSON.readTree(valid());
         registration.put("service", "engines");
         register("engine-1", JSON.writeValueAsBytes(registration));
-        assertTrue(placePrompt() instanceof PlaceDecision.Refused);
+        assertTrue(placePrompt() instanceof PlacementDecision.Refused);
     }
 
     @Test
@@ -110,7 +110,7 @@
         ObjectNode registration = (ObjectNode) JSON.readTree(valid());
         registration.put("service", "unheard-of");
         register("plain-1", JSON.writeValueAsBytes(registration));
-        assertTrue(placePlain() instanceof PlaceDecision.Refused);
+        assertTrue(placePlain() instanceof PlacementDecision.Refused);
     }
 
     // Bytes are flipped, replaced and cut off at random. Whatever comes of it, the entry goes on: it takes in the next
@@ -124,7 +124,7 @@
             placePlain();
         }
         register("plain-1", PlatformDocuments.endpoint("plain", ANYWHERE, "ulemiste", false, NEXT_START));
-        assertEquals(((PlaceDecision.Placed) placePlain()).endpoint().id(), EndpointId.of("plain-1"));
+        assertEquals(((PlacementDecision.Placed) placePlain()).endpoint().id(), EndpointId.of("plain-1"));
         fleet.configure(2);
         fleet.bench.runFor(Duration.ofSeconds(1));
         assertEquals(VirtualFleet.configurationOf(entry), 2);
@@ -135,7 +135,7 @@
         fleet.bench.keyValue().put(PlatformDocuments.CONFIGURATION, "{\"version\":".getBytes(StandardCharsets.UTF_8));
         fleet.bench.runFor(Duration.ofSeconds(1));
         assertEquals(entry.state(Deployment.class).orElseThrow().version(), 1);
-        assertTrue(placePlain() instanceof PlaceDecision.Placed);
+        assertTrue(placePlain() instanceof PlacementDecision.Placed);
     }
 
     @Test
@@ -144,7 +144,7 @@
                 .keyValue()
                 .put(PlatformDocuments.weightsKey(VirtualFleet.MODEL), "[1,2".getBytes(StandardCharsets.UTF_8));
         fleet.bench.runFor(VirtualFleet.OLD_WEIGHTS_ALLOWED.plusSeconds(1));
-        assertTrue(placePrompt() instanceof PlaceDecision.Placed);
+        assertTrue(placePrompt() instanceof PlacementDecision.Placed);
     }
 
     private static byte[] mutated(byte[] valid, SplittableRandom random) {
@@ -168,11 +168,11 @@
         fleet.bench.runFor(Duration.ofMillis(200));
     }
 
-    private PlaceDecision placePlain() {
+    private PlacementDecision placePlain() {
         return fleet.place(entry, "/plain/x", Kind.FIRST, "fingerprint");
     }
 
-    private PlaceDecision placePrompt() {
+    private PlacementDecision placePrompt() {
         return fleet.place(entry, "/model/x", Kind.FIRST, "prompt");
     }
 }
--- a/src/test/java/org/yuccagw/daemon/GatewayCoreTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayCoreTest.java
@@ -17,11 +17,11 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EntryId;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.peers.PeersSnapshot;
 import org.yuccagw.core.placing.AttemptEnded;
-import org.yuccagw.core.placing.PlaceAsked.Kind;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest.Kind;
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 public class GatewayCoreTest {
@@ -91,7 +91,7 @@
 
     @Test
     public void anEntryThatStopsLeavesEveryDirectoryAtOnce() {
-        nodes.get(1).offer(new StopAsked());
+        nodes.get(1).offer(new StopRequested());
         fleet.bench.runFor(Duration.ofMillis(50));
         assertFalse(nodes.get(1).state(PeersSnapshot.class).orElseThrow().ready());
         assertEquals(
@@ -123,7 +123,7 @@
     // and a tenth of the short prompts that they sent there meanwhile waited behind it.
     @Test
     public void theOthersHearAtOnceOfALongPrompt() {
-        PlaceDecision.Placed placed = (PlaceDecision.Placed) fleet.placeLong(nodes.get(0), 12_000);
+        PlacementDecision.Placed placed = (PlacementDecision.Placed) fleet.placeLong(nodes.get(0), 12_000);
         fleet.bench.runFor(Duration.ofMillis(10));
         assertEquals(fleet.requestsOn(nodes.get(1), placed.endpoint().id().value()), 1);
     }
@@ -169,9 +169,9 @@
         fleet.bench.keyValue().remove(PlatformDocuments.endpointKey("plain-2"));
         fleet.bench.keyValue().setDown(false);
         fleet.bench.runFor(Duration.ofSeconds(1));
-        assertTrue(place(nodes.get(0), Kind.FIRST, "f") instanceof PlaceDecision.Placed);
+        assertTrue(place(nodes.get(0), Kind.FIRST, "f") instanceof PlacementDecision.Placed);
         fleet.bench.runFor(Duration.ofSeconds(3));
-        assertTrue(place(nodes.get(0), Kind.FIRST, "f") instanceof PlaceDecision.Refused);
+        assertTrue(place(nodes.get(0), Kind.FIRST, "f") instanceof PlacementDecision.Refused);
     }
 
     // ---- Repeats.
@@ -186,8 +186,8 @@
         }
         for (int index = 0; index < 3 * requests; index++) {
             BenchNode node = nodes.get(index % ENTRIES);
-            PlaceDecision decision = place(node, Kind.REPEAT, "f" + index);
-            repeats += decision instanceof PlaceDecision.Placed ? 1 : 0;
+            PlacementDecision decision = place(node, Kind.REPEAT, "f" + index);
+            repeats += decision instanceof PlacementDecision.Placed ? 1 : 0;
             end(node, decision, AttemptEnded.End.ANSWERED);
         }
         assertTrue(repeats <= 0.2 * requests + 56, repeats + " repeats");
@@ -199,7 +199,7 @@
     @Test
     public void aRequestThatEndedTwoEndpointsIsRefusedEverywhere() {
         for (int index = 0; index < 2; index++) {
-            PlaceDecision.Placed placed = (PlaceDecision.Placed) place(nodes.get(index), Kind.FIRST, "deadly");
+            PlacementDecision.Placed placed = (PlacementDecision.Placed) place(nodes.get(index), Kind.FIRST, "deadly");
             end(nodes.get(index), placed, AttemptEnded.End.BROKEN);
             if (index == 0) {
                 fleet.bench
@@ -209,9 +209,9 @@
             }
             fleet.bench.runFor(Duration.ofMillis(200));
         }
-        PlaceDecision.Refused refused = (PlaceDecision.Refused) place(nodes.get(3), Kind.FIRST, "deadly");
+        PlacementDecision.Refused refused = (PlacementDecision.Refused) place(nodes.get(3), Kind.FIRST, "deadly");
         assertEquals(refused.error().kind(), ErrorKind.SUSPECT_REQUEST);
-        assertTrue(place(nodes.get(3), Kind.FIRST, "harmless") instanceof PlaceDecision.Placed);
+        assertTrue(place(nodes.get(3), Kind.FIRST, "harmless") instanceof PlacementDecision.Placed);
     }
 
     // ---- Weights.
@@ -247,8 +247,8 @@
         for (BenchNode node : nodes) {
             Set<EndpointId> used = new HashSet<>();
             for (int index = 0; index < 20 * ENGINES; index++) {
-                PlaceDecision decision = fleet.place(node, "/model/x", Kind.FIRST, "f" + index);
-                used.add(((PlaceDecision.Placed) decision).endpoint().id());
+                PlacementDecision decision = fleet.place(node, "/model/x", Kind.FIRST, "f" + index);
+                used.add(((PlacementDecision.Placed) decision).endpoint().id());
                 end(node, decision, AttemptEnded.End.ANSWERED);
             }
             assertEquals(used.size(), ENGINES);
@@ -306,10 +306,10 @@
         fleet.dropOrders();
         fleet.nameWeights(2);
         fleet.bench.runFor(Duration.ofSeconds(4));
-        assertTrue(fleet.place(nodes.get(0), "/model/x", Kind.FIRST, "f") instanceof PlaceDecision.Placed);
+        assertTrue(fleet.place(nodes.get(0), "/model/x", Kind.FIRST, "f") instanceof PlacementDecision.Placed);
         fleet.nameWeights(3);
         fleet.bench.runFor(Duration.ofSeconds(3));
-        assertTrue(fleet.place(nodes.get(0), "/model/x", Kind.FIRST, "f") instanceof PlaceDecision.Refused);
+        assertTrue(fleet.place(nodes.get(0), "/model/x", Kind.FIRST, "f") instanceof PlacementDecision.Refused);
     }
 
     private void assertHoldersAreSeparated() {
@@ -333,17 +333,17 @@
     }
 
     private EndpointId placedOn(BenchNode node) {
-        PlaceDecision decision = place(node, Kind.FIRST, "f");
+        PlacementDecision decision = place(node, Kind.FIRST, "f");
         end(node, decision, AttemptEnded.End.ANSWERED);
-        return ((PlaceDecision.Placed) decision).endpoint().id();
+        return ((PlacementDecision.Placed) decision).endpoint().id();
     }
 
-    private PlaceDecision place(BenchNode node, Kind kind, String fingerprint) {
+    private PlacementDecision place(BenchNode node, Kind kind, String fingerprint) {
         return fleet.place(node, "/plain/x", kind, fingerprint);
     }
 
-    private static void end(BenchNode node, PlaceDecision decision, AttemptEnded.End end) {
-        if (decision instanceof PlaceDecision.Placed placed) {
+    private static void end(BenchNode node, PlacementDecision decision, AttemptEnded.End end) {
+        if (decision instanceof PlacementDecision.Placed placed) {
             node.offer(new AttemptEnded(placed.ticket(), end));
         }
     }
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -15,8 +15,8 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.Region;
-import org.yuccagw.core.placing.PlaceAsked.Kind;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest.Kind;
 import org.yuccagw.core.stores.CacheSalt;
 import org.yuccagw.standins.platform.PlatformDocuments;
 
@@ -64,8 +64,8 @@
         start(entries, "north");
         for (int round = 0; round < 3; round++) {
             for (BenchNode node : nodes) {
-                PlaceDecision decision = fleet.placeLong(node, 2_000);
-                if (decision instanceof PlaceDecision.Placed placed) {
+                PlacementDecision decision = fleet.placeLong(node, 2_000);
+                if (decision instanceof PlacementDecision.Placed placed) {
                     assertEquals(placed.endpoint().domain(), VirtualFleet.NORTHERN);
                     assertTrue(placed.salt().orElseThrow().contains("@north"), "salt: " + placed.salt());
                 }
@@ -78,9 +78,9 @@
     public void whatNoHomeCanServeIsRefusedAtOnce(int entries) {
         start(entries, "east");
         long asked = fleet.bench.time().nowNanos();
-        PlaceDecision decision = fleet.place(nodes.get(1), "/model/x", Kind.FIRST, "f");
-        assertTrue(decision instanceof PlaceDecision.Refused, "decision: " + decision);
-        assertEquals(((PlaceDecision.Refused) decision).error().kind(), ErrorKind.NO_ENDPOINT);
+        PlacementDecision decision = fleet.place(nodes.get(1), "/model/x", Kind.FIRST, "f");
+        assertTrue(decision instanceof PlacementDecision.Refused, "decision: " + decision);
+        assertEquals(((PlacementDecision.Refused) decision).error().kind(), ErrorKind.NO_ENDPOINT);
         long millis = (fleet.bench.time().nowNanos() - asked) / 1_000_000;
         assertTrue(millis < 100, "refused after " + millis + " ms");
     }
@@ -90,7 +90,7 @@
         start(MESH);
         List<FailureDomain> used = new ArrayList<>();
         for (BenchNode node : nodes) {
-            if (fleet.placeLong(node, 9_000) instanceof PlaceDecision.Placed placed) {
+            if (fleet.placeLong(node, 9_000) instanceof PlacementDecision.Placed placed) {
                 used.add(placed.endpoint().domain());
             }
         }
--- a/src/test/java/org/yuccagw/daemon/LargeFleetTest.java
+++ b/src/test/java/org/yuccagw/daemon/LargeFleetTest.java
@@ -16,7 +16,7 @@
 import org.yuccagw.core.fleet.EntryContact;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
-import org.yuccagw.core.membership.StopAsked;
+import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.peers.PeersSnapshot;
 
 /** Heartbeats and the following of the key-value service where leads of failure domains do it for others. */
@@ -163,7 +163,7 @@
     public void entriesThatAreRestartedInTurnComeAndGoInAllDirectories() {
         for (int index = 0; index < nodes.size(); index++) {
             BenchNode node = nodes.get(index);
-            node.offer(new StopAsked());
+            node.offer(new StopRequested());
             fleet.bench.runUntil(() -> nobodyNames(node), DEATH_NOTICED);
             assertEquals(whoNames(node).toString(), "[]", "at " + node.entry());
             fleet.bench.runFor(Duration.ofMillis(200));
--- a/src/test/java/org/yuccagw/daemon/LeadPlacingTest.java
+++ b/src/test/java/org/yuccagw/daemon/LeadPlacingTest.java
@@ -20,8 +20,8 @@
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
 import org.yuccagw.core.placing.AttemptEnded.End;
-import org.yuccagw.core.placing.PlaceAsked.Kind;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest.Kind;
 
 /** Requests of a large fleet, which the lead of the failure domain places. */
 public class LeadPlacingTest {
@@ -66,9 +66,9 @@
         return nodes.stream().filter(node -> !leads.contains(node.entry())).toList();
     }
 
-    private static PlaceDecision.Placed placed(PlaceDecision decision) {
-        assertTrue(decision instanceof PlaceDecision.Placed, "decision: " + decision);
-        return (PlaceDecision.Placed) decision;
+    private static PlacementDecision.Placed placed(PlacementDecision decision) {
+        assertTrue(decision instanceof PlacementDecision.Placed, "decision: " + decision);
+        return (PlacementDecision.Placed) decision;
     }
 
     private int requestsOnAll(BenchNode node) {
@@ -85,7 +85,7 @@
     public void longPromptsOfDifferentEntriesAtOneMomentGoToDifferentEngines() {
         Map<String, Integer> onEngine = new HashMap<>();
         for (int index = 0; index < ENGINES; index++) {
-            PlaceDecision.Placed place = placed(fleet.placeLong(ordinary().get(index), LONG_PROMPT));
+            PlacementDecision.Placed place = placed(fleet.placeLong(ordinary().get(index), LONG_PROMPT));
             onEngine.merge(place.endpoint().id().value(), 1, Integer::sum);
         }
         assertEquals(onEngine.size(), ENGINES, "placed: " + onEngine);
@@ -94,7 +94,7 @@
     @Test
     public void theLeadCountsWhatRunsForOthersUntilItHasEnded() {
         BenchNode entry = ordinary().get(0);
-        PlaceDecision.Placed place = placed(fleet.placeLong(entry, LONG_PROMPT));
+        PlacementDecision.Placed place = placed(fleet.placeLong(entry, LONG_PROMPT));
         assertEquals(requestsOnAll(lead(0)), 1);
         entry.offer(new AttemptBegun(place.ticket()));
         entry.offer(new AttemptEnded(place.ticket(), End.ANSWERED));
@@ -133,7 +133,7 @@
     public void whatALeadDecidesTooLateIsGivenBack() {
         BenchNode lead = lead(0);
         lead.pause(Duration.ofMillis(800));
-        PlaceDecision.Placed place = placed(fleet.placeLong(ordinary().get(0), LONG_PROMPT));
+        PlacementDecision.Placed place = placed(fleet.placeLong(ordinary().get(0), LONG_PROMPT));
         ordinary().get(0).offer(new AttemptEnded(place.ticket(), End.ANSWERED));
         fleet.bench.runFor(Duration.ofSeconds(2));
         assertEquals(requestsOnAll(lead), 0);
@@ -171,7 +171,7 @@
     @Test
     public void aLeadThatStartedAnewBearsEndsOfAttemptsThatItDoesNotKnow() {
         BenchNode entry = ordinary().get(0);
-        PlaceDecision.Placed place = placed(fleet.placeLong(entry, LONG_PROMPT));
+        PlacementDecision.Placed place = placed(fleet.placeLong(entry, LONG_PROMPT));
         BenchNode lead = lead(0);
         lead.kill();
         BenchNode again = fleet.start(lead.entry().value(), DOMAIN);
@@ -188,8 +188,8 @@
     @Test
     public void aPromptThatBreaksEnginesIsRefusedByTheNextLeadToo() {
         BenchNode entry = ordinary().get(0);
-        PlaceDecision decision = fleet.place(entry, "/model/x", Kind.FIRST, "breaks");
-        for (int attempt = 0; attempt < ENGINES && decision instanceof PlaceDecision.Placed place; attempt++) {
+        PlacementDecision decision = fleet.place(entry, "/model/x", Kind.FIRST, "breaks");
+        for (int attempt = 0; attempt < ENGINES && decision instanceof PlacementDecision.Placed place; attempt++) {
             entry.offer(new AttemptEnded(place.ticket(), End.BROKEN));
             fleet.bench.runFor(Duration.ofMillis(20));
             decision = fleet.place(entry, "/model/x", Kind.FIRST, "breaks");
@@ -200,9 +200,9 @@
         assertSuspect(fleet.place(entry, "/model/x", Kind.FIRST, "breaks"));
     }
 
-    private static void assertSuspect(PlaceDecision decision) {
-        assertTrue(decision instanceof PlaceDecision.Refused, "decision: " + decision);
-        assertEquals(((PlaceDecision.Refused) decision).error().kind(), ErrorKind.SUSPECT_REQUEST);
+    private static void assertSuspect(PlacementDecision decision) {
+        assertTrue(decision instanceof PlacementDecision.Refused, "decision: " + decision);
+        assertEquals(((PlacementDecision.Refused) decision).error().kind(), ErrorKind.SUSPECT_REQUEST);
     }
 
     // An entry dies with requests running. Its lead must not count them any longer than that takes to be noticed.
@@ -238,7 +238,7 @@
         fleet.bench.runFor(Duration.ofMillis(300));
         BenchNode cut = ordinary().get(0);
         for (int index = 0; index < 2; index++) {
-            PlaceDecision.Placed place = placed(fleet.place(cut, "/plain/x", Kind.FIRST, "cut-" + index));
+            PlacementDecision.Placed place = placed(fleet.place(cut, "/plain/x", Kind.FIRST, "cut-" + index));
             cut.offer(new AttemptEnded(place.ticket(), End.UNREACHED));
             fleet.bench.runFor(Duration.ofMillis(5));
         }
@@ -252,7 +252,7 @@
         fleet.bench.runFor(Duration.ofMillis(300));
         int reported = 0;
         for (BenchNode entry : ordinary().subList(8, 18)) {
-            PlaceDecision.Placed place = placed(fleet.place(entry, "/plain/x", Kind.FIRST, "one" + entry.entry()));
+            PlacementDecision.Placed place = placed(fleet.place(entry, "/plain/x", Kind.FIRST, "one" + entry.entry()));
             boolean gone = place.endpoint().id().value().equals("plain-1");
             entry.offer(new AttemptEnded(place.ticket(), gone ? End.UNREACHED : End.ANSWERED));
             fleet.bench.runFor(Duration.ofMillis(5));
@@ -284,7 +284,7 @@
         fleet.bench.runFor(Duration.ofMillis(400));
         fleet.bench.healNetwork();
         for (int index = 0; index < 6; index++) {
-            PlaceDecision.Placed place = placed(fleet.place(entry, "/plain/x", Kind.FIRST, "call-" + index));
+            PlacementDecision.Placed place = placed(fleet.place(entry, "/plain/x", Kind.FIRST, "call-" + index));
             assertEquals(place.endpoint().id().value(), "plain-2");
         }
     }
@@ -294,8 +294,8 @@
         fleet.leavePlain("plain-1");
         fleet.leavePlain("plain-2");
         fleet.bench.runFor(Duration.ofSeconds(1));
-        PlaceDecision decision = fleet.place(ordinary().get(0), "/plain/x", Kind.FIRST, "nowhere");
-        PlaceDecision.Refused refused = (PlaceDecision.Refused) decision;
+        PlacementDecision decision = fleet.place(ordinary().get(0), "/plain/x", Kind.FIRST, "nowhere");
+        PlacementDecision.Refused refused = (PlacementDecision.Refused) decision;
         assertEquals(refused.error().kind(), ErrorKind.NO_ENDPOINT);
         assertTrue(refused.error().retryAfter().isPresent());
     }
--- a/src/test/java/org/yuccagw/daemon/RateLimitScheduleTest.java
+++ b/src/test/java/org/yuccagw/daemon/RateLimitScheduleTest.java
@@ -18,12 +18,12 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.notice.EndpointNotice;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.notice.RateLimit;
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
 import org.yuccagw.core.placing.AttemptEnded.End;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
 
 /**
  * Random schedules: engines name rate limits, change and end them, while entries are killed, started, stand still and
@@ -182,8 +182,8 @@
         }
     }
 
-    private void onDecision(BenchNode node, PlaceDecision decision) {
-        if (decision instanceof PlaceDecision.Placed placed) {
+    private void onDecision(BenchNode node, PlacementDecision decision) {
+        if (decision instanceof PlacementDecision.Placed placed) {
             if (!isExcused(node.entry())) {
                 arrivals.computeIfAbsent(placed.endpoint().id().value(), name -> new ArrayList<>())
                         .add(now());
@@ -193,13 +193,13 @@
         }
     }
 
-    private void onHead(BenchNode node, PlaceDecision.Placed placed) {
+    private void onHead(BenchNode node, PlacementDecision.Placed placed) {
         EndpointIncarnation engine = placed.endpoint().incarnation();
         Optional<RateLimit> limit = Optional.ofNullable(
                         limits.get(engine.endpoint().value()))
                 .flatMap(named -> RateLimit.of(named.perSecond()));
         if (limit.isPresent() || placed.rateLimited()) {
-            node.offer(new NoticeHeard(engine, EndpointNotice.ofRateLimit(limit), placed.rateLimited()));
+            node.offer(new NoticeReceived(engine, EndpointNotice.ofRateLimit(limit), placed.rateLimited()));
         }
         node.offer(new AttemptBegun(placed.ticket()));
     }
--- a/src/test/java/org/yuccagw/daemon/StepLoadTest.java
+++ b/src/test/java/org/yuccagw/daemon/StepLoadTest.java
@@ -23,8 +23,8 @@
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
-import org.yuccagw.core.placing.PlaceAsked;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
 import org.yuccagw.standins.platform.PlatformDocuments;
@@ -212,10 +212,10 @@
     private void ask(Kind kind) {
         Asked asked = new Asked(kind, now());
         all.add(asked);
-        ask(asked, nodes.get(random.nextInt(nodes.size())), ImmutableSet.of(), PlaceAsked.Kind.FIRST);
+        ask(asked, nodes.get(random.nextInt(nodes.size())), ImmutableSet.of(), PlacementRequest.Kind.FIRST);
     }
 
-    private void ask(Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlaceAsked.Kind attempt) {
+    private void ask(Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementRequest.Kind attempt) {
         Route route = node.state(Deployment.class)
                 .orElseThrow()
                 .route("a.example", asked.kind.path + "x")
@@ -225,7 +225,7 @@
                 asked.kind.promptTokens,
                 asked.kind.answerTokens,
                 ImmutableList.of(new PromptPart("own", asked.kind.promptTokens)));
-        node.offer(new PlaceAsked(
+        node.offer(new PlacementRequest(
                 RequestId.of("r" + all.size()),
                 route,
                 route.pick(0),
@@ -239,15 +239,16 @@
                 decision -> onDecision(asked, node, excluded, decision)));
     }
 
-    private void onDecision(Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlaceDecision decision) {
-        if (decision instanceof PlaceDecision.Placed placed) {
+    private void onDecision(
+            Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementDecision decision) {
+        if (decision instanceof PlacementDecision.Placed placed) {
             send(asked, node, excluded, placed);
         } else {
             asked.refusedNanos = now();
         }
     }
 
-    private void send(Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlaceDecision.Placed placed) {
+    private void send(Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementDecision.Placed placed) {
         EndpointId id = placed.endpoint().id();
         VirtualEngine engine = engines.get(id);
         if (engine.isSilent()) {
@@ -257,7 +258,7 @@
                         .addAll(excluded)
                         .add(id)
                         .build();
-                ask(asked, node, without, PlaceAsked.Kind.UNSENT);
+                ask(asked, node, without, PlacementRequest.Kind.UNSENT);
             });
             return;
         }
--- a/src/test/java/org/yuccagw/daemon/VirtualFleet.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualFleet.java
@@ -34,12 +34,12 @@
 import org.yuccagw.core.id.Region;
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.placing.ColdBounds;
-import org.yuccagw.core.placing.PlaceAsked;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.core.placing.RetryBounds;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
-import org.yuccagw.platform.PlatformFacts;
+import org.yuccagw.platform.PlatformRecords;
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 /**
@@ -69,7 +69,7 @@
     final List<Order> orders = new ArrayList<>();
     final List<StateAsked> statesAsked = new ArrayList<>();
     final Map<EndpointId, Long> weights = new LinkedHashMap<>();
-    private final Map<EntryId, GatewayParts> started = new LinkedHashMap<>();
+    private final Map<EntryId, GatewayComponents> started = new LinkedHashMap<>();
     private final Map<EndpointId, Long> accepted = new LinkedHashMap<>();
     private final Map<EndpointId, Boolean> loading = new LinkedHashMap<>();
     private final Map<EndpointId, FailureDomain> domains = new LinkedHashMap<>();
@@ -94,9 +94,9 @@
     }
 
     BenchNode start(String name, FailureDomain domain) {
-        GatewayParts parts = GatewayParts.of(settings(name, domain), PlatformFacts.create());
-        started.put(EntryId.of(name), parts);
-        return bench.start(name, domain, parts.list());
+        GatewayComponents components = GatewayComponents.of(settings(name, domain), PlatformRecords.create());
+        started.put(EntryId.of(name), components);
+        return bench.start(name, domain, components.list());
     }
 
     /** Who leads the failure domain of an entry, as it sees it. */
@@ -113,7 +113,7 @@
     /** How many engines load, or take no new requests since they are about to. */
     int enginesOutOfUse() {
         return started.values().stream()
-                .mapToInt(parts -> parts.loading().size())
+                .mapToInt(components -> components.loading().size())
                 .max()
                 .orElse(0);
     }
@@ -219,13 +219,13 @@
     }
 
     /** Asks for a place for a prompt of so many tokens, which no other prompt shares. */
-    PlaceDecision placeLong(BenchNode node, int tokens) {
+    PlacementDecision placeLong(BenchNode node, int tokens) {
         PromptShape prompt = new PromptShape(MODEL, tokens, 50, ImmutableList.of(new PromptPart("own", tokens)));
-        return place(node, "/model/x", PlaceAsked.Kind.FIRST, "long", Optional.of(prompt));
+        return place(node, "/model/x", PlacementRequest.Kind.FIRST, "long", Optional.of(prompt));
     }
 
     /** Asks a node for a place and runs until it decides. */
-    PlaceDecision place(BenchNode node, String path, PlaceAsked.Kind kind, String fingerprint) {
+    PlacementDecision place(BenchNode node, String path, PlacementRequest.Kind kind, String fingerprint) {
         Optional<PromptShape> prompt = path.startsWith("/model/")
                 ? Optional.of(new PromptShape(
                         MODEL, 900, 50, ImmutableList.of(new PromptPart(fingerprint, 800), new PromptPart("own", 100))))
@@ -233,50 +233,51 @@
         return place(node, path, kind, fingerprint, prompt);
     }
 
-    private PlaceDecision place(
-            BenchNode node, String path, PlaceAsked.Kind kind, String fingerprint, Optional<PromptShape> prompt) {
-        AtomicReference<PlaceDecision> decided = new AtomicReference<>();
+    private PlacementDecision place(
+            BenchNode node, String path, PlacementRequest.Kind kind, String fingerprint, Optional<PromptShape> prompt) {
+        AtomicReference<PlacementDecision> decided = new AtomicReference<>();
         ask(node, path, kind, fingerprint, prompt, decided::set);
         bench.runUntil(() -> decided.get() != null, Duration.ofSeconds(2));
         return decided.get();
     }
 
     /** Asks for a place for a prompt of so many tokens, which no other prompt shares, and doesn't wait for it. */
-    void askPrompt(BenchNode node, int tokens, Consumer<PlaceDecision> reply) {
+    void askPrompt(BenchNode node, int tokens, Consumer<PlacementDecision> reply) {
         PromptShape prompt = new PromptShape(MODEL, tokens, 50, ImmutableList.of(new PromptPart("own", tokens)));
-        ask(node, "/model/x", PlaceAsked.Kind.FIRST, "f" + nextRequest, Optional.of(prompt), reply);
+        ask(node, "/model/x", PlacementRequest.Kind.FIRST, "f" + nextRequest, Optional.of(prompt), reply);
     }
 
     /** Asks for another place for a prompt that these engines turned away. */
-    void askPromptAgain(BenchNode node, int tokens, ImmutableSet<EndpointId> excluded, Consumer<PlaceDecision> reply) {
+    void askPromptAgain(
+            BenchNode node, int tokens, ImmutableSet<EndpointId> excluded, Consumer<PlacementDecision> reply) {
         PromptShape prompt = new PromptShape(MODEL, tokens, 50, ImmutableList.of(new PromptPart("own", tokens)));
         String fingerprint = "f" + nextRequest;
-        ask(node, "/model/x", PlaceAsked.Kind.REPEAT, fingerprint, Optional.of(prompt), excluded, reply);
+        ask(node, "/model/x", PlacementRequest.Kind.REPEAT, fingerprint, Optional.of(prompt), excluded, reply);
     }
 
     private void ask(
             BenchNode node,
             String path,
-            PlaceAsked.Kind kind,
+            PlacementRequest.Kind kind,
             String fingerprint,
             Optional<PromptShape> prompt,
-            Consumer<PlaceDecision> reply) {
+            Consumer<PlacementDecision> reply) {
         ask(node, path, kind, fingerprint, prompt, ImmutableSet.of(), reply);
     }
 
     private void ask(
             BenchNode node,
             String path,
-            PlaceAsked.Kind kind,
+            PlacementRequest.Kind kind,
             String fingerprint,
             Optional<PromptShape> prompt,
             ImmutableSet<EndpointId> excluded,
-            Consumer<PlaceDecision> reply) {
+            Consumer<PlacementDecision> reply) {
         Route route = node.state(Deployment.class)
                 .orElseThrow()
                 .route("a.example", path)
                 .orElseThrow();
-        node.offer(new PlaceAsked(
+        node.offer(new PlacementRequest(
                 RequestId.of("r" + nextRequest++),
                 route,
                 route.pick(0),
--- a/src/test/java/org/yuccagw/daemon/VirtualLoad.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualLoad.java
@@ -19,12 +19,12 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.notice.EndpointNotice;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.notice.RateLimit;
 import org.yuccagw.core.placing.AttemptBegun;
 import org.yuccagw.core.placing.AttemptEnded;
 import org.yuccagw.core.placing.AttemptEnded.End;
-import org.yuccagw.core.placing.PlaceDecision;
+import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.stores.StoreAnswer;
 import org.yuccagw.core.stores.StoreCall;
 import org.yuccagw.standins.platform.PlatformDocuments;
@@ -135,7 +135,7 @@
     void tellAll(String engine, Duration backOff) {
         EndpointIncarnation start = EndpointIncarnation.of(EndpointId.of(engine), PlatformDocuments.FIRST_START_MILLIS);
         EndpointNotice notice = EndpointNotice.ofBackOff(backOff);
-        nodes.forEach(node -> node.offer(new NoticeHeard(start, notice, false)));
+        nodes.forEach(node -> node.offer(new NoticeReceived(start, notice, false)));
     }
 
     void takeAgain(String engine) {
@@ -189,16 +189,16 @@
         }
     }
 
-    private void onDecision(Call call, PlaceDecision decision) {
-        if (decision instanceof PlaceDecision.Placed placed) {
+    private void onDecision(Call call, PlacementDecision decision) {
+        if (decision instanceof PlacementDecision.Placed placed) {
             arrive(call, placed);
-        } else if (decision instanceof PlaceDecision.Refused refusal) {
+        } else if (decision instanceof PlacementDecision.Refused refusal) {
             long waited = (now() - call.askedNanos) / 1_000_000;
             refused.add(new Refused(waited, refusal.error().retryAfter()));
         }
     }
 
-    private void arrive(Call call, PlaceDecision.Placed placed) {
+    private void arrive(Call call, PlacementDecision.Placed placed) {
         String engine = placed.endpoint().id().value();
         EntryId entry = call.node.entry();
         arrivals.add(new Arrival(entry, engine, placed.endpoint().incarnation(), call.askedNanos, now()));
@@ -215,24 +215,24 @@
         });
     }
 
-    private void onHead(Call call, PlaceDecision.Placed placed) {
+    private void onHead(Call call, PlacementDecision.Placed placed) {
         String engine = placed.endpoint().id().value();
         EndpointIncarnation start = placed.endpoint().incarnation();
         if (leaving.contains(engine)) {
             heardLeavingNanos.putIfAbsent(new Heard(call.node.entry(), start), now());
-            call.node.offer(new NoticeHeard(start, EndpointNotice.ofLeaving(), false));
+            call.node.offer(new NoticeReceived(start, EndpointNotice.ofLeaving(), false));
         }
         Optional<RateLimit> limit = Optional.ofNullable(limits.get(engine));
         if (limit.isPresent() || placed.rateLimited()) {
-            call.node.offer(new NoticeHeard(start, EndpointNotice.ofRateLimit(limit), placed.rateLimited()));
+            call.node.offer(new NoticeReceived(start, EndpointNotice.ofRateLimit(limit), placed.rateLimited()));
         }
         call.node.offer(new AttemptBegun(placed.ticket()));
     }
 
-    private void onTurnedAway(Call call, PlaceDecision.Placed placed, Duration backOff) {
+    private void onTurnedAway(Call call, PlacementDecision.Placed placed, Duration backOff) {
         EndpointId engine = placed.endpoint().id();
         turnedAway.add(new TurnedAway(call.node.entry(), engine.value(), backOff, now()));
-        call.node.offer(new NoticeHeard(placed.endpoint().incarnation(), EndpointNotice.ofBackOff(backOff), false));
+        call.node.offer(new NoticeReceived(placed.endpoint().incarnation(), EndpointNotice.ofBackOff(backOff), false));
         call.node.offer(new AttemptEnded(placed.ticket(), End.SHED));
         call.failed.add(engine);
         if (call.sends < MOST_SENDS && !call.node.isDead()) {
--- a/src/test/java/org/yuccagw/fuzz/RandomBytesTest.java
+++ b/src/test/java/org/yuccagw/fuzz/RandomBytesTest.java
@@ -14,7 +14,7 @@
 import org.yuccagw.adapters.settings.EntrySettingsReader;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.request.ResumeToken;
-import org.yuccagw.daemon.ControlParts;
+import org.yuccagw.daemon.ControlComponents;
 
 /** Whatever bytes come in, the answer is a value or one of the closed list of errors, never anything else. */
 public class RandomBytesTest {
@@ -45,7 +45,7 @@
 
     @Test
     public void anyMessageOfAPeerIsReadOrRefused() throws Exception {
-        PeerCodec codec = ControlParts.codecs();
+        PeerCodec codec = ControlComponents.codecs();
         attack(new byte[64], 5, codec::decode, ROUNDS);
         byte[] gossip = {10, 7, 101, 110, 116, 114, 121, 45, 50, 16, 5, 82, 6, 16, 1, 26, 2, 101, 51};
         attack(gossip, 6, codec::decode, ROUNDS);
--- a/src/test/java/org/yuccagw/platform/EndpointNoticesTest.java
+++ b/src/test/java/org/yuccagw/platform/EndpointNoticesTest.java
@@ -13,7 +13,7 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
-import org.yuccagw.core.notice.NoticeHeard;
+import org.yuccagw.core.notice.NoticeReceived;
 
 public class EndpointNoticesTest {
     private static final EndpointIncarnation ENDPOINT = EndpointIncarnation.of(EndpointId.of("e1"), 1);
@@ -68,8 +68,8 @@
     @Test
     public void anotherEndpointAtTheAddressSaysNothingOfTheOneThatWasCalled() {
         HeaderMap headers = headers("Server-Leaving", "1");
-        NoticeHeard heard = new NoticeHeard(ENDPOINT, EndpointNotice.ofLeaving(), false);
-        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpAnswer(503, headers, new byte[0])), Optional.of(heard));
+        NoticeReceived received = new NoticeReceived(ENDPOINT, EndpointNotice.ofLeaving(), false);
+        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpAnswer(503, headers, new byte[0])), Optional.of(received));
         headers.put(new HttpString("Yuccagw-Instance-Id"), "e2");
         assertEquals(EndpointNotices.heard(ENDPOINT, new HttpAnswer(503, headers, new byte[0])), Optional.empty());
     }
