--- a/src/main/java/org/yuccagw/core/ratelimit/EndpointConstraints.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/EndpointConstraints.java
@@ -3,9 +3,9 @@
 import org.yuccagw.core.notice.NoticesComponent;
 
 /**
- * What endpoints ask of those that call them.
+ * The constraints that endpoints impose on the entries that call them.
  *
- * @param rateLimits of all entries together
- * @param notices of this entry, and whether they leave
+ * @param rateLimits rate limits that apply to all entries together
+ * @param notices back-offs requested of this entry, and endpoints that are leaving
  */
 public record EndpointConstraints(RateLimitsComponent rateLimits, NoticesComponent notices) {}
--- a/src/main/java/org/yuccagw/core/ratelimit/InternalCalls.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/InternalCalls.java
@@ -5,7 +5,10 @@
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.NoticesComponent;
 
-/** Calls of this entry to endpoints that are no caller's requests, such as for cache events or the state of engines. */
+/**
+ * Limits the calls of this entry to endpoints that don't serve a caller's request, such as those for cache events or
+ * for the state of engines.
+ */
 public final class InternalCalls {
     private final RateLimitsComponent rateLimits;
     private final NoticesComponent notices;
@@ -15,27 +18,27 @@
         this.notices = constraints.notices();
     }
 
-    /** Calls within what endpoints ask for. */
+    /** Creates the limiter from the constraints that endpoints requested. */
     public static InternalCalls of(EndpointConstraints constraints) {
         return new InternalCalls(constraints);
     }
 
-    /** Whether the endpoint asks for so few calls that all are needed for requests. */
+    /** Returns whether the endpoint accepts so few calls that all are needed for requests. */
     public boolean asksForFewer(EndpointIncarnation endpoint) {
         return rateLimits.isLimited(endpoint) || notices.backsOff(endpoint);
     }
 
-    /** Whether the endpoint bears a call now that can't wait for long. */
+    /** Returns whether the endpoint accepts an internal call now that can't be delayed for long. */
     public boolean mayMake(EndpointIncarnation endpoint) {
         return notices.bearsCall(endpoint);
     }
 
-    /** How long after a call the next one has to wait. */
+    /** Returns the minimum time between a call and the next one. */
     public Duration apart(EndpointIncarnation endpoint) {
         return Comparators.max(rateLimits.betweenCalls(endpoint), notices.backOffLeft(endpoint));
     }
 
-    /** Notes that a call is made now. */
+    /** Records that a call is made now. */
     public void made(EndpointIncarnation endpoint) {
         rateLimits.sendsCall(endpoint);
         notices.sendsCall(endpoint);
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitShares.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitShares.java
@@ -11,35 +11,42 @@
 import org.yuccagw.core.notice.RateLimit;
 
 /**
- * The entries that place requests on an endpoint, and how its rate limit is divided among them.
+ * The entries that place requests on an endpoint, and the division of its rate limit among them.
  *
- * <p>The limit is one for all, and an entry must be able to keep its part without asking anyone. Equal parts for all
- * would be of no use: 1.4 requests a second in eight parts is one request in 6 s at each, and as every part may begin
- * with a whole request, sixteen parts alone are more than the endpoint takes in 4 s. So:
+ * <p>The limit applies to all entries together, and an entry must be able to keep its share without communication.
+ * Equal shares for all entries don't work: a limit of 1.4 requests per second in eight shares permits each entry one
+ * request in 6 s, and as every share may start with a whole request, sixteen shares alone exceed what the endpoint
+ * accepts in 4 s. Therefore:
  *
  * <ol>
- *   <li>In a mesh only as many entries have a part as the limit has whole requests a second, one at least. They are the
- *       first ones of the endpoint's failure domain in an order of their own for each endpoint; if nobody is there, of
- *       all. Others hardly send there, and their parts would be lost. All entries that know the same others choose the
- *       same ones, and one that comes or goes changes one of them.
- *   <li>Where leads place, the first lead of the endpoint's failure domain has three quarters, the second one, to which
- *       entries turn when the first one is silent, the rest.
- *   <li>Nobody else has a part.
+ *   <li>In a mesh, the number of entries with a share is the limit in whole requests per second, at least one. They are
+ *       the first entries of the endpoint's failure domain, in a hash order that differs by endpoint; if the domain has
+ *       no entry, they are taken from all entries. Entries of other domains seldom send there, so their shares would be
+ *       wasted. All entries with the same view of the mesh select the same ones, and an entry that joins or leaves
+ *       changes one of them.
+ *   <li>Where leads place requests, the first lead of the endpoint's failure domain has three quarters of the limit.
+ *       The second lead, to which entries turn when the first one is silent, has the rest.
+ *   <li>No other entry has a share.
  * </ol>
  *
- * <p>Invariant: while all know the same, the parts come to {@link #SHARE_OF_LIMIT} of the limit. When one entry more
- * believes that it has a part, they come to twice that at limits under 2 and to one and a half times or less above.
+ * <p>Invariant: while all entries have the same view, the shares sum to {@link #SHARE_OF_LIMIT} of the limit. If one
+ * additional entry assumes that it has a share, they sum to twice that at limits under 2, and to at most one and a half
+ * times that at higher limits.
  *
- * <p>Example: of a limit of 1.4 one of three entries has 1.26 requests a second; of one of 12, each has 3.6.
+ * <p>Example: of a limit of 1.4 requests per second one of three entries has 1.26; of a limit of 12 each has 3.6.
  */
 public final class RateLimitShares {
-    /** The rest is for calls that don't wait for a part: state and orders of engines. */
+    /**
+     * The rest is reserved for calls that don't wait for a share: those for the state of engines and orders to them.
+     */
     static final double SHARE_OF_LIMIT = 0.9;
 
-    /** In requests a second; a smaller part would leave an endpoint idle while others have requests for it. */
-    private static final double LEAST_PART = 1;
+    /**
+     * In requests per second. A smaller share would leave an endpoint idle while other entries have requests for it.
+     */
+    private static final double MIN_SHARE_PER_SECOND = 1;
 
-    private static final double PART_OF_FIRST_LEAD = 0.75;
+    private static final double FIRST_LEAD_SHARE = 0.75;
 
     private final ImmutableList<EntryContact> mesh;
     private final ImmutableList<EntryId> leads;
@@ -49,58 +56,58 @@
         this.leads = ImmutableList.copyOf(leads);
     }
 
-    /** Every entry places, and each of these may have a part. */
+    /** Returns the shares where every entry places requests, and each of the given ones may have a share. */
     public static RateLimitShares ofMesh(List<EntryContact> entries) {
         return new RateLimitShares(entries, List.of());
     }
 
-    /** The leads of the endpoint's failure domain place, the first one first. */
+    /** Returns the shares where the leads of the endpoint's failure domain place requests, the first lead first. */
     public static RateLimitShares ofLeads(List<EntryId> leads) {
         return new RateLimitShares(List.of(), leads);
     }
 
-    /** It isn't known who places. */
+    /** Returns the shares where it isn't known which entries place requests. */
     public static RateLimitShares nobody() {
         return new RateLimitShares(List.of(), List.of());
     }
 
-    /** Requests a second that an entry may send to the endpoint, 0 if it has no part. */
-    double partOf(EntryId entry, ListedEndpoint endpoint, RateLimit limit) {
-        double all = limit.perSecond() * SHARE_OF_LIMIT;
+    /** Returns the requests per second that an entry may send to the endpoint; 0 if it has no share. */
+    double shareOf(EntryId entry, ListedEndpoint endpoint, RateLimit limit) {
+        double sharedLimit = limit.perSecond() * SHARE_OF_LIMIT;
         if (!leads.isEmpty()) {
-            return all * shareOfLead(leads.indexOf(entry));
+            return sharedLimit * leadShare(leads.indexOf(entry));
         }
-        ImmutableList<EntryId> owners = owners(endpoint, limit);
-        return owners.contains(entry) ? all / owners.size() : 0;
+        ImmutableList<EntryId> owners = shareOwners(endpoint, limit);
+        return owners.contains(entry) ? sharedLimit / owners.size() : 0;
     }
 
-    private static double shareOfLead(int place) {
-        return switch (place) {
-            case 0 -> PART_OF_FIRST_LEAD;
-            case 1 -> 1 - PART_OF_FIRST_LEAD;
+    private static double leadShare(int rank) {
+        return switch (rank) {
+            case 0 -> FIRST_LEAD_SHARE;
+            case 1 -> 1 - FIRST_LEAD_SHARE;
             default -> 0;
         };
     }
 
-    /** The entries of a mesh that have a part, all of the same size. */
-    ImmutableList<EntryId> owners(ListedEndpoint endpoint, RateLimit limit) {
-        long parts = Math.max(1, (long) (limit.perSecond() / LEAST_PART));
-        return near(endpoint).stream()
-                .sorted(Comparator.comparingInt((EntryContact entry) -> order(entry.entry(), endpoint))
+    /** Returns the entries of a mesh that have a share. All shares are equal. */
+    ImmutableList<EntryId> shareOwners(ListedEndpoint endpoint, RateLimit limit) {
+        long shareCount = Math.max(1, (long) (limit.perSecond() / MIN_SHARE_PER_SECOND));
+        return eligibleEntries(endpoint).stream()
+                .sorted(Comparator.comparingInt((EntryContact entry) -> hashOrder(entry.entry(), endpoint))
                         .thenComparing(EntryContact::entry))
-                .limit(parts)
+                .limit(shareCount)
                 .map(EntryContact::entry)
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private List<EntryContact> near(ListedEndpoint endpoint) {
-        List<EntryContact> near = mesh.stream()
+    private List<EntryContact> eligibleEntries(ListedEndpoint endpoint) {
+        List<EntryContact> sameDomain = mesh.stream()
                 .filter(entry -> entry.domain().equals(endpoint.domain()))
                 .toList();
-        return near.isEmpty() ? mesh : near;
+        return sameDomain.isEmpty() ? mesh : sameDomain;
     }
 
-    private static int order(EntryId entry, ListedEndpoint endpoint) {
+    private static int hashOrder(EntryId entry, ListedEndpoint endpoint) {
         return Hashing.murmur3_32_fixed()
                 .hashString(endpoint.id().value() + ' ' + entry.value(), StandardCharsets.UTF_8)
                 .asInt();
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitUpdate.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitUpdate.java
@@ -6,10 +6,10 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /**
- * What answers of an endpoint told the sending entry of its limit.
+ * The rate limit of an endpoint as learned by the sending entry from its answers.
  *
- * @param limit empty if it has none any more
- * @param ageMillis since the answer, in milliseconds
+ * @param limit empty if the endpoint no longer has one
+ * @param ageMillis time since the answer, in milliseconds
  */
 public record RateLimitUpdate(EndpointIncarnation endpoint, Optional<RateLimit> limit, long ageMillis)
         implements PeerMessage {}
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimiter.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimiter.java
@@ -3,40 +3,43 @@
 import java.time.Duration;
 
 /**
- * A token bucket that begins empty. It holds what comes in within {@link #BURST}, one token at least, so that in any
- * time an entry sends its rate times that time and no more than that besides.
+ * A token bucket that starts empty. It holds the tokens of {@link #BURST}, at least one, so that in any period an entry
+ * sends at most its rate times the period, plus that number of requests.
  */
 final class RateLimiter {
-    /** Requests come in no order; without this an entry would miss its part whenever two come close together. */
+    /**
+     * Requests arrive at random times. Without a burst an entry couldn't use its whole share if two arrived close
+     * together.
+     */
     private static final Duration BURST = Duration.ofMillis(500);
 
     private double tokens;
-    private long filledNanos;
+    private long refilledNanos;
 
     private RateLimiter(long nowNanos) {
-        filledNanos = nowNanos;
+        refilledNanos = nowNanos;
     }
 
-    /** An empty one. */
-    static RateLimiter from(long nowNanos) {
+    /** Returns an empty bucket. */
+    static RateLimiter startingAt(long nowNanos) {
         return new RateLimiter(nowNanos);
     }
 
-    /** Whether a request may be sent now at so many a second. */
+    /** Returns whether a request may be sent now at the given rate. */
     boolean allows(double perSecond, long nowNanos) {
-        fill(perSecond, nowNanos);
+        refill(perSecond, nowNanos);
         return tokens >= 1;
     }
 
-    /** Takes a token; for a call that can't wait also one that isn't there yet. */
-    void take() {
+    /** Consumes a token. A call that can't wait may consume a token that isn't available yet. */
+    void consume() {
         tokens -= 1;
     }
 
-    private void fill(double perSecond, long nowNanos) {
-        double most = Math.max(1, perSecond * BURST.toMillis() / 1_000);
-        double come = perSecond * (nowNanos - filledNanos) / 1e9;
-        tokens = Math.min(most, tokens + come);
-        filledNanos = nowNanos;
+    private void refill(double perSecond, long nowNanos) {
+        double capacity = Math.max(1, perSecond * BURST.toMillis() / 1_000);
+        double added = perSecond * (nowNanos - refilledNanos) / 1e9;
+        tokens = Math.min(capacity, tokens + added);
+        refilledNanos = nowNanos;
     }
 }
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
@@ -26,56 +26,60 @@
 import org.yuccagw.core.peers.UpdateBroadcaster;
 
 /**
- * Which endpoints ask for fewer requests, and whether this entry may send one more there.
+ * Maintains the rate limits of endpoints and decides whether this entry may send one more request to an endpoint.
  *
- * <p>An endpoint names its limit in its answers, so an entry hears of it by its own requests or from the entry whose
- * answer it was. The cases:
+ * <p>An endpoint states its limit in its answers, so an entry learns of it by its own requests or from the entry that
+ * received the answer. The cases:
  *
  * <ol>
- *   <li>A limit that is new or has changed is told to all that place requests at once. A lead passes on what its
- *       followers tell, and tells them of the endpoints of its failure domain, since they decide alone when it dies.
- *   <li>So is one that whoever placed the request didn't know, be it news here or not: a lead that has started again
- *       knows of none.
- *   <li>Whoever still hears it tells it again every {@link #INTERVAL}, for those that have just started and for lost
- *       messages.
- *   <li>An answer without it ends it, if the request was sent after the limit was known and nobody has heard it for
- *       {@link #STILL_NAMED}; answers overtake each other. That is told, too.
- *   <li>News older than the end is passed over.
- *   <li>What was known ends with the incarnation of the endpoint.
+ *   <li>A limit that is new or has changed is broadcast at once to all entries that place requests. A lead forwards
+ *       what its followers report, and sends them the limits of the endpoints of its failure domain, since they decide
+ *       alone when the lead fails.
+ *   <li>A limit that was unknown to the entry that placed the request is broadcast as well, whether it is new here or
+ *       not: a lead that has restarted knows none.
+ *   <li>An entry that continues to receive a limit broadcasts it again every {@link #BROADCAST_INTERVAL}, for newly
+ *       started entries and for lost messages.
+ *   <li>An answer without a limit ends the limit if the request was sent after the limit was known and no entry has
+ *       received it for {@link #MIN_AGE_TO_END}, since answers may overtake each other. The end is broadcast, too.
+ *   <li>An update that is older than the end is ignored.
+ *   <li>A limit ends with the incarnation of the endpoint.
  * </ol>
  *
- * <p>Invariant: this entry sends its part of a known limit at most, as {@link RateLimitShares} divides it. Some part is
- * always somebody's, so that there are answers that can tell of the end.
+ * <p>Invariant: this entry sends at most its share of a known limit, as divided by {@link RateLimitShares}. At least
+ * one entry always has a share, so that there are answers that can report the end of the limit.
  */
 public final class RateLimitsComponent implements ControlComponent {
-    private static final Duration INTERVAL = Duration.ofSeconds(2);
+    private static final Duration BROADCAST_INTERVAL = Duration.ofSeconds(2);
 
-    /** An endpoint that is called once a second or less often is still heard. */
-    private static final Duration HEARD_LATELY = Duration.ofSeconds(4);
+    /** Long enough to receive answers from an endpoint that is called once per second or less often. */
+    private static final Duration LOCAL_REPORT_AGE_LIMIT = Duration.ofSeconds(4);
 
-    private static final Duration STILL_NAMED = Duration.ofSeconds(1);
+    private static final Duration MIN_AGE_TO_END = Duration.ofSeconds(1);
 
-    /** What endpoints bear beyond their limit for a moment is twice as much. */
-    private static final double SHARE_OF_CALLS = 0.5;
+    /** For a moment, endpoints tolerate twice their limit. */
+    private static final double INTERNAL_CALL_SHARE = 0.5;
 
-    /** New weights can't wait for longer. */
-    private static final Duration LONGEST_BETWEEN_CALLS = Duration.ofSeconds(2);
+    /** Loading of new weights can't be delayed for longer. */
+    private static final Duration MAX_INTERNAL_CALL_INTERVAL = Duration.ofSeconds(2);
 
-    /** By then no message of before is on its way. */
-    private static final Duration ENDS_KEPT = Duration.ofSeconds(10);
+    /** No earlier message is in flight after this time. */
+    private static final Duration END_RETENTION = Duration.ofSeconds(10);
 
-    /** Followers need it only when they decide alone, and lose messages seldom. */
+    /** Followers need the limits only when they decide alone, and messages are seldom lost. */
     private static final Duration FOLLOWERS_INTERVAL = Duration.ofSeconds(20);
 
-    /** Nobody tells of it any more, so nobody has called the endpoint or the news of its end was lost. */
-    private static final Duration UNHEARD_KEPT = Duration.ofSeconds(60);
+    /**
+     * No entry has reported the limit for this time, so no entry has called the endpoint, or the update about its end
+     * was lost.
+     */
+    private static final Duration UNREPORTED_RETENTION = Duration.ofSeconds(60);
 
-    /** A registration may lapse while the key-value service is away. */
-    private static final Duration UNLISTED_KEPT = Duration.ofSeconds(10);
+    /** A registration may lapse while the key-value service is unavailable. */
+    private static final Duration UNLISTED_RETENTION = Duration.ofSeconds(10);
 
     private final Fleet fleet;
-    private final Map<EndpointIncarnation, Limited> limited = new HashMap<>();
-    private final Map<EndpointIncarnation, Long> endedNanos = new HashMap<>();
+    private final Map<EndpointIncarnation, LimitedEndpoint> limitedEndpoints = new HashMap<>();
+    private final Map<EndpointIncarnation, Long> endNanos = new HashMap<>();
     private final Map<EndpointId, FailureDomain> domains = new HashMap<>();
     private ControlContext context;
     private boolean tickScheduled;
@@ -86,7 +90,7 @@
     }
 
     /**
-     * The limits that one entry knows of.
+     * Creates the rate limits of one entry.
      *
      * @param fleet the other entries
      */
@@ -96,181 +100,185 @@
 
     /** The other entries. */
     public interface Fleet extends UpdateBroadcaster {
-        /** Who places requests on the endpoint. */
+        /** Returns the shares of the entries that place requests on the endpoint. */
         RateLimitShares sendersTo(ListedEndpoint endpoint);
     }
 
-    /** An endpoint with a limit. */
-    private static final class Limited {
+    /** An endpoint with a rate limit. */
+    private static final class LimitedEndpoint {
         private final RecentCalls requests = new RecentCalls();
-        private final RecentCalls calls = new RecentCalls();
+        private final RecentCalls internalCalls = new RecentCalls();
         private final RateLimiter limiter;
         private RateLimit limit;
-        private long namedNanos;
-        private long toldFollowersNanos;
-        private Optional<Long> heardHereNanos = Optional.empty();
+        private long reportedNanos;
+        private long sentToFollowersNanos;
+        private Optional<Long> receivedHereNanos = Optional.empty();
         private Optional<Long> unlistedNanos = Optional.empty();
 
-        private Limited(RateLimit limit, long nowNanos, long namedNanos) {
+        private LimitedEndpoint(RateLimit limit, long nowNanos, long reportedNanos) {
             this.limit = limit;
-            this.namedNanos = namedNanos;
-            this.limiter = RateLimiter.from(nowNanos);
+            this.reportedNanos = reportedNanos;
+            this.limiter = RateLimiter.startingAt(nowNanos);
         }
     }
 
     @Override
-    public void start(ControlContext startContext) {
-        context = startContext;
+    public void start(ControlContext controlContext) {
+        context = controlContext;
         startedNanos = context.nowNanos();
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof NoticeReceived heard) {
-            hear(heard);
-        } else if (event instanceof PeerReceived received && received.message() instanceof RateLimitUpdate news) {
-            learn(received.from(), news);
+        if (event instanceof NoticeReceived received) {
+            onNotice(received);
+        } else if (event instanceof PeerReceived received && received.message() instanceof RateLimitUpdate update) {
+            onUpdate(received.from(), update);
         } else if (event instanceof KeyValueRecordUpdated updated
                 && updated.record() instanceof KeyValueRecord.EndpointListed listed) {
-            list(listed.endpoint());
+            onListed(listed.endpoint());
         } else if (event instanceof KeyValueRecordRemoved removed
                 && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
-            unlist(subject.endpoint());
+            onUnlisted(subject.endpoint());
         }
     }
 
     @Override
     public void contribute(ControlSnapshot.Builder snapshot) {
-        snapshot.put(RateLimitsSnapshot.class, new RateLimitsSnapshot(limited.size()));
+        snapshot.put(RateLimitsSnapshot.class, new RateLimitsSnapshot(limitedEndpoints.size()));
     }
 
-    // ---- What others ask.
+    // State for other components
 
-    /** Whether the endpoint names a limit, as far as this entry knows. */
+    /** Returns whether the endpoint has a known limit. */
     public boolean isLimited(EndpointIncarnation endpoint) {
-        return limited.containsKey(endpoint);
+        return limitedEndpoints.containsKey(endpoint);
     }
 
-    /** Whether no endpoint names a limit, as far as this entry knows. */
+    /** Returns whether no endpoint has a known limit. */
     public boolean isEmpty() {
-        return limited.isEmpty();
+        return limitedEndpoints.isEmpty();
     }
 
-    /** Requests a second that this entry may send to an endpoint with a limit. */
+    /** Returns the requests per second that this entry may send to an endpoint with a limit. */
     public double part(ListedEndpoint endpoint) {
-        return partOf(endpoint, limited.get(endpoint.incarnation()));
+        return currentShare(endpoint, limitedEndpoints.get(endpoint.incarnation()));
     }
 
-    /** The entries of a mesh that have a part of the limit of an endpoint. */
-    public List<EntryId> owners(ListedEndpoint endpoint) {
-        Limited known = limited.get(endpoint.incarnation());
-        return fleet.sendersTo(endpoint).owners(endpoint, known.limit);
+    /** Returns the entries of a mesh that have a share of the limit of an endpoint. */
+    public List<EntryId> shareOwners(ListedEndpoint endpoint) {
+        LimitedEndpoint known = limitedEndpoints.get(endpoint.incarnation());
+        return fleet.sendersTo(endpoint).shareOwners(endpoint, known.limit);
     }
 
-    /** Whether this entry may send one more request there now. */
+    /** Returns whether this entry may send the endpoint one more request now. */
     public boolean allows(ListedEndpoint endpoint) {
-        Limited known = limited.get(endpoint.incarnation());
-        return known == null || known.limiter.allows(partOf(endpoint, known), context.nowNanos());
+        LimitedEndpoint known = limitedEndpoints.get(endpoint.incarnation());
+        return known == null || known.limiter.allows(currentShare(endpoint, known), context.nowNanos());
     }
 
-    /** Notes that a request is sent there now. */
+    /** Records that a request is sent to the endpoint now. */
     public void sendsRequest(EndpointIncarnation endpoint) {
-        Limited known = limited.get(endpoint);
+        LimitedEndpoint known = limitedEndpoints.get(endpoint);
         if (known != null) {
             known.requests.add(context.nowNanos());
-            known.limiter.take();
+            known.limiter.consume();
         }
     }
 
-    /** How far apart calls that are no requests have to be, if the endpoint has a limit. */
+    /** Returns the minimum time between two internal calls to the endpoint; zero if it has no limit. */
     public Duration betweenCalls(EndpointIncarnation endpoint) {
-        Limited known = limited.get(endpoint);
+        LimitedEndpoint known = limitedEndpoints.get(endpoint);
         if (known == null) {
             return Duration.ZERO;
         }
-        Duration share = Duration.ofMillis((long) (1_000 / (known.limit.perSecond() * SHARE_OF_CALLS)));
-        return Comparators.min(share, LONGEST_BETWEEN_CALLS);
+        Duration interval = Duration.ofMillis((long) (1_000 / (known.limit.perSecond() * INTERNAL_CALL_SHARE)));
+        return Comparators.min(interval, MAX_INTERNAL_CALL_INTERVAL);
     }
 
-    /** Notes a call that is no caller's request, such as one for cache events or for the state of an engine. */
+    /**
+     * Records an internal call, which serves no caller's request, such as one for cache events or for the state of an
+     * engine.
+     */
     public void sendsCall(EndpointIncarnation endpoint) {
-        Limited known = limited.get(endpoint);
+        LimitedEndpoint known = limitedEndpoints.get(endpoint);
         if (known != null) {
-            known.calls.add(context.nowNanos());
-            known.limiter.take();
+            known.internalCalls.add(context.nowNanos());
+            known.limiter.consume();
         }
     }
 
-    private double partOf(ListedEndpoint endpoint, Limited known) {
+    private double currentShare(ListedEndpoint endpoint, LimitedEndpoint known) {
         if (context.nowNanos() - startedNanos < PeersComponent.FLEET_UNKNOWN.toNanos()) {
             return 0;
         }
-        return fleet.sendersTo(endpoint).partOf(context.self().entry(), endpoint, known.limit);
+        return fleet.sendersTo(endpoint).shareOf(context.self().entry(), endpoint, known.limit);
     }
 
-    // ---- What endpoints and other entries tell.
+    // Updates from endpoints and other entries
 
-    private void hear(NoticeReceived heard) {
-        Optional<RateLimit> limit = heard.notice().rateLimit();
+    private void onNotice(NoticeReceived received) {
+        Optional<RateLimit> limit = received.notice().rateLimit();
         if (limit.isPresent()) {
-            hearOf(limit.get(), heard);
-        } else if (heard.limitForeseen()) {
-            hearOfNone(heard.endpoint());
+            onLimit(limit.get(), received);
+        } else if (received.limitKnownAtPlacement()) {
+            onNoLimit(received.endpoint());
         }
     }
 
-    private void hearOf(RateLimit limit, NoticeReceived heard) {
+    private void onLimit(RateLimit limit, NoticeReceived received) {
         long now = context.nowNanos();
-        boolean news = name(heard.endpoint(), limit, now, context.self().entry());
-        Limited known = limited.get(heard.endpoint());
-        known.heardHereNanos = Optional.of(now);
-        if (news || !heard.limitForeseen()) {
-            fleet.tell(newsOf(heard.endpoint(), known));
+        boolean changed =
+                applyLimit(received.endpoint(), limit, now, context.self().entry());
+        LimitedEndpoint known = limitedEndpoints.get(received.endpoint());
+        known.receivedHereNanos = Optional.of(now);
+        if (changed || !received.limitKnownAtPlacement()) {
+            fleet.tell(updateOf(received.endpoint(), known));
         }
     }
 
-    private void hearOfNone(EndpointIncarnation endpoint) {
-        boolean knownToOthersOnly = !limited.containsKey(endpoint);
-        if (knownToOthersOnly
-                || endAsOf(endpoint, context.nowNanos(), context.self().entry())) {
+    private void onNoLimit(EndpointIncarnation endpoint) {
+        boolean unknownHere = !limitedEndpoints.containsKey(endpoint);
+        if (unknownHere
+                || endIfOutdated(endpoint, context.nowNanos(), context.self().entry())) {
             fleet.tell(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
     }
 
-    private void learn(EntryId from, RateLimitUpdate news) {
-        long asOf = context.nowNanos() - news.ageMillis() * 1_000_000;
-        boolean changed = news.limit().isPresent()
-                ? isAfterEnd(news.endpoint(), asOf)
-                        && name(news.endpoint(), news.limit().get(), asOf, from)
-                : endAsOf(news.endpoint(), asOf, from);
+    private void onUpdate(EntryId from, RateLimitUpdate update) {
+        long asOfNanos = context.nowNanos() - update.ageMillis() * 1_000_000;
+        boolean changed = update.limit().isPresent()
+                ? isAfterEnd(update.endpoint(), asOfNanos)
+                        && applyLimit(update.endpoint(), update.limit().get(), asOfNanos, from)
+                : endIfOutdated(update.endpoint(), asOfNanos, from);
         if (!fleet.speaksFor(from)) {
             return;
         }
-        if (limited.containsKey(news.endpoint())) {
-            limited.get(news.endpoint()).heardHereNanos = Optional.of(context.nowNanos());
+        if (limitedEndpoints.containsKey(update.endpoint())) {
+            limitedEndpoints.get(update.endpoint()).receivedHereNanos = Optional.of(context.nowNanos());
         }
         if (changed) {
-            fleet.tell(news);
+            fleet.tell(update);
         }
     }
 
     private boolean isAfterEnd(EndpointIncarnation endpoint, long asOfNanos) {
-        Long ended = endedNanos.get(endpoint);
-        return ended == null || asOfNanos - ended > 0;
+        Long endedNanos = endNanos.get(endpoint);
+        return endedNanos == null || asOfNanos - endedNanos > 0;
     }
 
-    /** Takes over a limit; whether that is news. */
-    private boolean name(EndpointIncarnation endpoint, RateLimit limit, long asOfNanos, EntryId from) {
-        Limited known = limited.get(endpoint);
+    /** Applies a limit. Returns whether the limit is new or has changed. */
+    private boolean applyLimit(EndpointIncarnation endpoint, RateLimit limit, long asOfNanos, EntryId from) {
+        LimitedEndpoint known = limitedEndpoints.get(endpoint);
         if (known == null) {
-            Limited first = new Limited(limit, context.nowNanos(), asOfNanos);
-            limited.put(endpoint, first);
-            tellFollowers(endpoint, first);
-            tickLater();
-        } else if (asOfNanos - known.namedNanos < 0) {
+            LimitedEndpoint added = new LimitedEndpoint(limit, context.nowNanos(), asOfNanos);
+            limitedEndpoints.put(endpoint, added);
+            sendToFollowers(endpoint, added);
+            scheduleTick();
+        } else if (asOfNanos - known.reportedNanos < 0) {
             return false;
         } else {
-            known.namedNanos = asOfNanos;
+            known.reportedNanos = asOfNanos;
             if (limit.equals(known.limit)) {
                 return false;
             }
@@ -284,123 +292,125 @@
         return true;
     }
 
-    private boolean endAsOf(EndpointIncarnation endpoint, long asOfNanos, EntryId from) {
-        Limited known = limited.get(endpoint);
-        boolean ends = known != null && asOfNanos - known.namedNanos >= STILL_NAMED.toNanos();
+    private boolean endIfOutdated(EndpointIncarnation endpoint, long asOfNanos, EntryId from) {
+        LimitedEndpoint known = limitedEndpoints.get(endpoint);
+        boolean ends = known != null && asOfNanos - known.reportedNanos >= MIN_AGE_TO_END.toNanos();
         if (ends) {
-            end(endpoint, from);
+            endLimit(endpoint, from);
         }
         return ends;
     }
 
-    private void end(EndpointIncarnation endpoint, EntryId from) {
-        Limited known = limited.remove(endpoint);
-        endedNanos.put(endpoint, context.nowNanos());
-        if (isNear(endpoint)) {
+    private void endLimit(EndpointIncarnation endpoint, EntryId from) {
+        LimitedEndpoint known = limitedEndpoints.remove(endpoint);
+        endNanos.put(endpoint, context.nowNanos());
+        if (isInLocalDomain(endpoint)) {
             fleet.tellFollowers(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
-        tickLater();
+        scheduleTick();
         context.perform(Decision.of("rate-limit-ended")
                 .with("endpoint", endpoint)
                 .with("per_second", known.limit)
                 .with("from", from)
-                .with("named_ms_ago", (context.nowNanos() - known.namedNanos) / 1_000_000));
+                .with("named_ms_ago", (context.nowNanos() - known.reportedNanos) / 1_000_000));
     }
 
-    // ---- Registrations.
+    // Registrations
 
-    private void list(ListedEndpoint endpoint) {
+    private void onListed(ListedEndpoint endpoint) {
         EndpointIncarnation incarnation = endpoint.incarnation();
         domains.put(endpoint.id(), endpoint.domain());
-        limited.keySet()
+        limitedEndpoints
+                .keySet()
                 .removeIf(known -> known.endpoint().equals(incarnation.endpoint()) && known.isBefore(incarnation));
-        Limited known = limited.get(incarnation);
+        LimitedEndpoint known = limitedEndpoints.get(incarnation);
         if (known != null) {
             known.unlistedNanos = Optional.empty();
         }
     }
 
-    private void unlist(EndpointId endpoint) {
+    private void onUnlisted(EndpointId endpoint) {
         domains.remove(endpoint);
-        limited.forEach((incarnation, known) -> {
+        limitedEndpoints.forEach((incarnation, known) -> {
             if (incarnation.endpoint().equals(endpoint)) {
                 known.unlistedNanos = Optional.of(context.nowNanos());
             }
         });
     }
 
-    // ---- Each interval.
+    // Periodic tasks
 
-    private void tickLater() {
+    private void scheduleTick() {
         if (!tickScheduled) {
             tickScheduled = true;
-            context.after(INTERVAL, this::tick);
+            context.after(BROADCAST_INTERVAL, this::tick);
         }
     }
 
     private void tick() {
         tickScheduled = false;
-        forget();
-        limited.forEach((endpoint, known) -> {
-            tellAgain(endpoint, known);
-            tellFollowersAgain(endpoint, known);
+        removeExpired();
+        limitedEndpoints.forEach((endpoint, known) -> {
+            rebroadcast(endpoint, known);
+            sendToFollowersIfDue(endpoint, known);
             logUse(endpoint, known);
         });
-        if (!limited.isEmpty() || !endedNanos.isEmpty()) {
-            tickLater();
+        if (!limitedEndpoints.isEmpty() || !endNanos.isEmpty()) {
+            scheduleTick();
         }
     }
 
-    private void forget() {
+    private void removeExpired() {
         long now = context.nowNanos();
-        endedNanos.values().removeIf(ended -> now - ended > ENDS_KEPT.toNanos());
-        limited.values()
+        endNanos.values().removeIf(endedNanos -> now - endedNanos > END_RETENTION.toNanos());
+        limitedEndpoints
+                .values()
                 .removeIf(known -> known.unlistedNanos
-                                .filter(unlisted -> now - unlisted > UNLISTED_KEPT.toNanos())
+                                .filter(sinceNanos -> now - sinceNanos > UNLISTED_RETENTION.toNanos())
                                 .isPresent()
-                        || now - known.namedNanos > UNHEARD_KEPT.toNanos());
+                        || now - known.reportedNanos > UNREPORTED_RETENTION.toNanos());
     }
 
-    private void tellAgain(EndpointIncarnation endpoint, Limited known) {
-        known.heardHereNanos
-                .filter(heard -> context.nowNanos() - heard < HEARD_LATELY.toNanos())
-                .ifPresent(heard -> fleet.tell(newsOf(endpoint, known)));
+    private void rebroadcast(EndpointIncarnation endpoint, LimitedEndpoint known) {
+        known.receivedHereNanos
+                .filter(receivedNanos -> context.nowNanos() - receivedNanos < LOCAL_REPORT_AGE_LIMIT.toNanos())
+                .ifPresent(receivedNanos -> fleet.tell(updateOf(endpoint, known)));
     }
 
-    private void tellFollowersAgain(EndpointIncarnation endpoint, Limited known) {
-        if (context.nowNanos() - known.toldFollowersNanos >= FOLLOWERS_INTERVAL.toNanos()) {
-            tellFollowers(endpoint, known);
+    private void sendToFollowersIfDue(EndpointIncarnation endpoint, LimitedEndpoint known) {
+        if (context.nowNanos() - known.sentToFollowersNanos >= FOLLOWERS_INTERVAL.toNanos()) {
+            sendToFollowers(endpoint, known);
         }
     }
 
-    private void tellFollowers(EndpointIncarnation endpoint, Limited known) {
-        known.toldFollowersNanos = context.nowNanos();
-        if (isNear(endpoint)) {
-            fleet.tellFollowers(newsOf(endpoint, known));
+    private void sendToFollowers(EndpointIncarnation endpoint, LimitedEndpoint known) {
+        known.sentToFollowersNanos = context.nowNanos();
+        if (isInLocalDomain(endpoint)) {
+            fleet.tellFollowers(updateOf(endpoint, known));
         }
     }
 
-    private boolean isNear(EndpointIncarnation endpoint) {
+    private boolean isInLocalDomain(EndpointIncarnation endpoint) {
         return context.self().domain().equals(domains.get(endpoint.endpoint()));
     }
 
-    private RateLimitUpdate newsOf(EndpointIncarnation endpoint, Limited known) {
-        long ageMillis = (context.nowNanos() - known.namedNanos) / 1_000_000;
+    private RateLimitUpdate updateOf(EndpointIncarnation endpoint, LimitedEndpoint known) {
+        long ageMillis = (context.nowNanos() - known.reportedNanos) / 1_000_000;
         return new RateLimitUpdate(endpoint, Optional.of(known.limit), ageMillis);
     }
 
-    private void logUse(EndpointIncarnation endpoint, Limited known) {
+    private void logUse(EndpointIncarnation endpoint, LimitedEndpoint known) {
         long now = context.nowNanos();
         int requests = known.requests.count(now);
-        int calls = known.calls.count(now);
-        if (requests + calls > 0) {
+        int internalCalls = known.internalCalls.count(now);
+        if (requests + internalCalls > 0) {
             context.perform(Decision.of("rate-limit-use")
                     .with("endpoint", endpoint)
                     .with("per_second", known.limit)
-                    .with("named_ms_ago", (now - known.namedNanos) / 1_000_000)
+                    .with("named_ms_ago", (now - known.reportedNanos) / 1_000_000)
                     .with("requests", requests)
-                    .with("other_calls", calls)
-                    .with("within_ms", RecentCalls.SPAN.toMillis()));
+                    .with("other_calls", internalCalls)
+                    .with("within_ms", RecentCalls.WINDOW.toMillis()));
         }
     }
 }
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitsSnapshot.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitsSnapshot.java
@@ -1,11 +1,11 @@
 package org.yuccagw.core.ratelimit;
 
 /**
- * What traffic threads see of rate limits.
+ * The state of rate limits as published to the traffic threads.
  *
- * @param endpoints how many have one as far as this entry knows
+ * @param endpoints number of endpoints with a known limit
  */
 public record RateLimitsSnapshot(int endpoints) {
-    /** No endpoint has one. */
+    /** The state in which no endpoint has a limit. */
     public static final RateLimitsSnapshot NONE = new RateLimitsSnapshot(0);
 }
--- a/src/main/java/org/yuccagw/core/ratelimit/RecentCalls.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RecentCalls.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 
-/** How often something was called within the last {@link #SPAN}. */
+/** Counts the calls within the last {@link #WINDOW}. */
 final class RecentCalls {
-    /** Endpoints are judged by what they get in so long a time. */
-    static final Duration SPAN = Duration.ofSeconds(4);
+    /** Endpoints enforce their limit over a window of this length. */
+    static final Duration WINDOW = Duration.ofSeconds(4);
 
-    private final ArrayDeque<Long> calledNanos = new ArrayDeque<>();
+    private final ArrayDeque<Long> callNanos = new ArrayDeque<>();
 
     void add(long nowNanos) {
-        calledNanos.add(nowNanos);
+        callNanos.add(nowNanos);
     }
 
     int count(long nowNanos) {
-        while (!calledNanos.isEmpty() && nowNanos - calledNanos.peek() >= SPAN.toNanos()) {
-            calledNanos.remove();
+        while (!callNanos.isEmpty() && nowNanos - callNanos.peek() >= WINDOW.toNanos()) {
+            callNanos.remove();
         }
-        return calledNanos.size();
+        return callNanos.size();
     }
 }
--- a/src/main/java/org/yuccagw/core/ratelimit/package-info.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/package-info.java
@@ -1,2 +1,2 @@
-/** Endpoints that ask for fewer requests: what they ask for, and what this entry may still send them. */
+/** Rate limits of endpoints: which limits endpoints requested, and what this entry may still send to them. */
 package org.yuccagw.core.ratelimit;
--- a/src/test/java/org/yuccagw/core/placing/EngineCapacityTest.java
+++ b/src/test/java/org/yuccagw/core/placing/EngineCapacityTest.java
@@ -13,53 +13,53 @@
     private static final Duration LONG = Duration.ofMillis(800);
 
     @Test
-    public void anIdleEngineHasRoomForAnyPrompt() {
-        assertTrue(EngineCapacity.hasRoom(Work.NONE, need(99_000), MEMORY, 0, LONG, SHORT, true));
+    public void anIdleEngineAcceptsAnyPrompt() {
+        assertTrue(EngineCapacity.hasFreeCapacity(Work.NONE, plan(99_000), MEMORY, 0, LONG, SHORT, true));
     }
 
-    // Long prompts filled an engine's memory to the last block, and the short ones that came next waited for seconds
-    // until one of them ended.
+    // Guards against long prompts that fill an engine's memory to the last block, so that the short prompts that arrive
+    // next wait for seconds until one of the long ones ends.
     @Test
-    public void longPromptsLeaveMemoryToThoseOfTheShortestTarget() {
+    public void longPromptsLeaveMemoryForPromptsOfTheShortestTarget() {
         Work work = new Work(8, 84_000, 0);
-        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 0, LONG, SHORT, false));
-        assertTrue(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 0, SHORT, SHORT, false));
+        assertFalse(EngineCapacity.hasFreeCapacity(work, plan(2_000), MEMORY, 0, LONG, SHORT, false));
+        assertTrue(EngineCapacity.hasFreeCapacity(work, plan(2_000), MEMORY, 0, SHORT, SHORT, false));
     }
 
     @Test
-    public void aPromptGoesOnlyWhereItCanStillBeInTime() {
+    public void aPromptIsAcceptedOnlyIfItCanStartInTime() {
         Work work = new Work(1, 1_000, 1_000);
-        assertTrue(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 230, SHORT, SHORT, false));
-        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 250, SHORT, SHORT, false));
-        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 170, LONG, SHORT, false));
+        assertTrue(EngineCapacity.hasFreeCapacity(work, plan(2_000), MEMORY, 230, SHORT, SHORT, false));
+        assertFalse(EngineCapacity.hasFreeCapacity(work, plan(2_000), MEMORY, 250, SHORT, SHORT, false));
+        assertFalse(EngineCapacity.hasFreeCapacity(work, plan(2_000), MEMORY, 170, LONG, SHORT, false));
     }
 
     @Test
-    public void aLatePromptTakesOnlyWhatWouldStayIdle() {
+    public void aLatePromptUsesOnlyIdleCapacity() {
         Work work = new Work(1, 1_000, 1_000);
-        assertTrue(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 50, SHORT, SHORT, true));
-        assertFalse(EngineCapacity.hasRoom(work, need(2_000), MEMORY, 70, SHORT, SHORT, true));
+        assertTrue(EngineCapacity.hasFreeCapacity(work, plan(2_000), MEMORY, 50, SHORT, SHORT, true));
+        assertFalse(EngineCapacity.hasFreeCapacity(work, plan(2_000), MEMORY, 70, SHORT, SHORT, true));
     }
 
-    // Most samples under load are too slow, since something else delayed the answer.
+    // Under load most samples are too slow, because something other than the prefill delayed the answer.
     @Test
-    public void theReadSpeedIsLearnedFromUndisturbedSamples() {
-        ReadSpeed speed = new ReadSpeed();
+    public void thePrefillRateFollowsSamplesWithoutOtherDelays() {
+        PrefillRate prefillRate = new PrefillRate();
         for (int index = 0; index < 40; index++) {
-            speed.learn(6_600, index % 2 == 0 ? 100 : 400);
+            prefillRate.addSample(6_600, index % 2 == 0 ? 100 : 400);
         }
-        assertEquals(speed.tokensPerMilli(), 66, 8);
-        speed.learn(100, 1);
-        assertEquals(speed.tokensPerMilli(), 66, 8);
+        assertEquals(prefillRate.tokensPerMilli(), 66, 8);
+        prefillRate.addSample(100, 1);
+        assertEquals(prefillRate.tokensPerMilli(), 66, 8);
     }
 
     @Test
-    public void fetchingGoesOnWhileTheEngineReadsWhatWasSentBefore() {
-        assertEquals(new FirstToken(200, 130, 50).millis(), 250 + FirstToken.START_MILLIS);
-        assertEquals(new FirstToken(20, 130, 50).millis(), 180 + FirstToken.START_MILLIS);
+    public void fetchingOverlapsWithThePrefillOfEarlierPrompts() {
+        assertEquals(new FirstTokenEstimate(200, 130, 50).millis(), 250 + FirstTokenEstimate.START_MILLIS);
+        assertEquals(new FirstTokenEstimate(20, 130, 50).millis(), 180 + FirstTokenEstimate.START_MILLIS);
     }
 
-    private static PromptNeed need(long tokens) {
-        return new PromptNeed(tokens, 100, 0, 0, 0);
+    private static PrefillPlan plan(long tokens) {
+        return new PrefillPlan(tokens, 100, 0, 0, 0);
     }
 }
--- a/src/test/java/org/yuccagw/core/placing/UsualFaultsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/FaultBaselineTest.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.id.ServiceName;
 
-public class UsualFaultsTest {
+public class FaultBaselineTest {
     private static final FailureDomain DOMAIN = FailureDomain.of("a");
     private static final int CALLS = 3_000;
 
@@ -33,67 +33,67 @@
                 0);
     }
 
-    private static List<EndpointState> three() {
+    private static List<EndpointState> threeEndpoints() {
         return new ArrayList<>(List.of(endpoint("one"), endpoint("two"), endpoint("three")));
     }
 
     private static EndpointState cheapest(List<EndpointState> endpoints, SplittableRandom random) {
-        Scoring scoring = new Scoring(DOMAIN);
-        UsualFaults faults = UsualFaults.of(endpoints);
+        EndpointScoring scoring = new EndpointScoring(DOMAIN);
+        FaultBaseline baseline = FaultBaseline.of(endpoints);
         EndpointState best = endpoints.get(0);
-        double least = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         for (EndpointState each : endpoints) {
-            double cost = scoring.ofPlainCall(each, faults, 0) + random.nextDouble();
-            if (cost < least) {
-                least = cost;
+            double cost = scoring.plainCallCost(each, baseline, 0) + random.nextDouble();
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best = each;
             }
         }
         return best;
     }
 
-    // A fifth of the calls fails with an error of the application wherever it runs. Calls fled from whichever endpoint
-    // had met two of them lately: the busiest of three endpoints got twice the mean of all.
+    // A fifth of the calls fails with an application error on every endpoint. Guards against avoiding each endpoint
+    // that recently had two such failures, by which the busiest of three endpoints received twice the mean load.
     @Test
-    public void callsThatFailEverywhereDoNotDriveOthersFromAnEndpoint() {
+    public void faultsOnAllEndpointsDoNotMoveCallsAway() {
         SplittableRandom random = new SplittableRandom(7);
-        List<EndpointState> endpoints = three();
+        List<EndpointState> endpoints = threeEndpoints();
         int[] calls = new int[endpoints.size()];
         for (int call = 0; call < CALLS; call++) {
             EndpointState chosen = cheapest(endpoints, random);
             calls[endpoints.indexOf(chosen)]++;
-            chosen.outcome(random.nextDouble() < 0.2);
+            chosen.recordOutcome(random.nextDouble() < 0.2);
         }
-        for (int got : calls) {
-            assertTrue(got < 1.25 * CALLS / endpoints.size(), "one got " + got + " of " + CALLS);
+        for (int count : calls) {
+            assertTrue(count < 1.25 * CALLS / endpoints.size(), "one endpoint received " + count + " of " + CALLS);
         }
     }
 
-    // One endpoint fails two of five calls while its health check is good; the others fail one of seven.
+    // One endpoint fails 55 % of its calls although its health check succeeds; the others fail 14 %.
     @Test
-    public void anEndpointThatFailsFarMoreThanTheOthersIsAvoided() {
+    public void anEndpointWithFarMoreFaultsThanTheOthersIsAvoided() {
         SplittableRandom random = new SplittableRandom(7);
-        List<EndpointState> endpoints = three();
-        int onBad = 0;
+        List<EndpointState> endpoints = threeEndpoints();
+        int callsOnFaulty = 0;
         for (int call = 0; call < CALLS; call++) {
             EndpointState chosen = cheapest(endpoints, random);
-            boolean bad = chosen == endpoints.get(0);
-            onBad += bad ? 1 : 0;
-            chosen.outcome(random.nextDouble() < (bad ? 0.55 : 0.14));
+            boolean faulty = chosen == endpoints.get(0);
+            callsOnFaulty += faulty ? 1 : 0;
+            chosen.recordOutcome(random.nextDouble() < (faulty ? 0.55 : 0.14));
         }
-        assertTrue(onBad < 0.2 * CALLS, "the bad one got " + onBad + " of " + CALLS);
+        assertTrue(callsOnFaulty < 0.2 * CALLS, "the faulty endpoint received " + callsOnFaulty + " of " + CALLS);
     }
 
     @Test
-    public void whereNoOtherFailsEachFaultCounts() {
-        List<EndpointState> endpoints = three();
+    public void everyFaultCountsIfNoOtherEndpointFails() {
+        List<EndpointState> endpoints = threeEndpoints();
         for (int call = 0; call < 40; call++) {
-            endpoints.get(0).outcome(true);
-            endpoints.get(1).outcome(false);
-            endpoints.get(2).outcome(false);
+            endpoints.get(0).recordOutcome(true);
+            endpoints.get(1).recordOutcome(false);
+            endpoints.get(2).recordOutcome(false);
         }
-        UsualFaults faults = UsualFaults.of(endpoints);
-        assertTrue(faults.beyond(endpoints.get(0)) > 0.3, "beyond: " + faults.beyond(endpoints.get(0)));
-        assertEquals(faults.beyond(endpoints.get(1)), 0.0);
+        FaultBaseline baseline = FaultBaseline.of(endpoints);
+        assertTrue(baseline.excess(endpoints.get(0)) > 0.3, "excess: " + baseline.excess(endpoints.get(0)));
+        assertEquals(baseline.excess(endpoints.get(1)), 0.0);
     }
 }
--- a/src/test/java/org/yuccagw/core/placing/PromptNeedsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
@@ -44,65 +44,68 @@
 import org.yuccagw.core.stores.StoreCall;
 import org.yuccagw.core.stores.StoresComponent;
 
-public class PromptNeedsTest {
-    private static final FailureDomain NEAR = FailureDomain.of("near");
+public class PrefillPlannerTest {
+    private static final FailureDomain STORE_DOMAIN = FailureDomain.of("near");
     private static final ServiceName SERVICE = ServiceName.of("engines");
     private static final EngineTraits ENGINE = new EngineTraits(8, 50_000, 1_000, 1_000, 12, ImmutableList.of("model"));
-    private static final CacheStore STORE =
-            new CacheStore(StoreId.of("store"), NetworkAddress.of("127.0.0.1", 1), NEAR, 100_000, 4_000, 12, true, 6);
+    private static final CacheStore STORE = new CacheStore(
+            StoreId.of("store"), NetworkAddress.of("127.0.0.1", 1), STORE_DOMAIN, 100_000, 4_000, 12, true, 6);
     private static final PromptShape PROMPT = new PromptShape(
             "model", 5_200, 50, ImmutableList.of(new PromptPart("session", 5_000), new PromptPart("own", 200)));
 
-    private PromptNeeds needs;
+    private PrefillPlanner planner;
 
     @BeforeMethod
-    public void startTheEntry() {
+    public void startEntry() {
         ControlBench bench = ControlBench.of(3);
         bench.onAction((action, input) -> answer(bench, action, input));
         StoresComponent stores = StoresComponent.of(() -> List.of(EntryId.of("entry-1")));
         EngineCachesComponent caches =
                 EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
-        BenchNode node = bench.start("entry-1", NEAR, List.of(stores, caches));
+        BenchNode node = bench.start("entry-1", STORE_DOMAIN, List.of(stores, caches));
         node.offer(new ConfigurationComponent.Applied(deployment()));
         bench.runFor(Duration.ofSeconds(1));
-        needs = new PromptNeeds(stores, caches);
+        planner = new PrefillPlanner(stores, caches);
     }
 
-    // Newer weights are named, and the parts that lie in the stores are of the older ones. An engine that still runs
-    // the older ones looked as if it had to compute everything, and prompts crowded the few that had loaded.
+    // Newer weights have been named, and the parts in the stores belong to the older ones. Guards against planning
+    // as if an engine that still runs the older weights has to compute everything: prompts then crowd the few engines
+    // that have loaded the newer ones.
     @Test
-    public void whatLiesInStoresCountsForTheWeightsThatTheEngineRuns() {
-        PromptNeed older = needs.of(asked(), engine("near", 1), ENGINE, false);
-        assertEquals(older.fetchTokens(), 5_000);
-        assertEquals(older.readTokens(), 200);
-        PromptNeed newer = needs.of(asked(), engine("near", 2), ENGINE, false);
+    public void storedPartsCountForTheWeightsThatTheEngineRuns() {
+        PrefillPlan outdated = planner.plan(request(), engine("near", 1), ENGINE, false);
+        assertEquals(outdated.fetchTokens(), 5_000);
+        assertEquals(outdated.prefillTokens(), 200);
+        PrefillPlan newer = planner.plan(request(), engine("near", 2), ENGINE, false);
         assertEquals(newer.fetchTokens(), 0);
-        assertEquals(newer.readTokens(), 5_200);
-        assertEquals(newer.sharedReadTokens(), 5_000);
+        assertEquals(newer.prefillTokens(), 5_200);
+        assertEquals(newer.sharedPrefillTokens(), 5_000);
     }
 
     @Test
     public void aTransferBetweenFailureDomainsTakesTwiceAsLong() {
-        double near = needs.of(asked(), engine("near", 1), ENGINE, false).fetchMillis();
-        double far = needs.of(asked(), engine("far", 1), ENGINE, false).fetchMillis();
-        assertEquals(near, 6 + 40, 0.1);
-        assertEquals(far, 6 + 80, 0.1);
+        double sameDomain =
+                planner.plan(request(), engine("near", 1), ENGINE, false).fetchMillis();
+        double otherDomain =
+                planner.plan(request(), engine("far", 1), ENGINE, false).fetchMillis();
+        assertEquals(sameDomain, 6 + 40, 0.1);
+        assertEquals(otherDomain, 6 + 80, 0.1);
     }
 
     @Test
-    public void anEngineOfWhichNothingIsKnownHoldsThePartsOfTheSessionsThatAreSentThere() {
-        assertEquals(needs.of(asked(), engine("near", 1), ENGINE, true).readTokens(), 200);
-        assertEquals(needs.of(asked(), engine("near", 1), ENGINE, true).fetchTokens(), 0);
+    public void anEngineOfUnknownCacheIsAssumedToHoldThePartsOfItsSessions() {
+        assertEquals(planner.plan(request(), engine("near", 1), ENGINE, true).prefillTokens(), 200);
+        assertEquals(planner.plan(request(), engine("near", 1), ENGINE, true).fetchTokens(), 0);
     }
 
     private static boolean answer(ControlBench bench, ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges ask) {
-            StoreAnswer.Change held = new StoreAnswer.Change(true, "s.1", "session", 5_000, "model");
+        if (action instanceof StoreCall.AskChanges query) {
+            StoreAnswer.Change storedPart = new StoreAnswer.Change(true, "s.1", "session", 5_000, "model");
             bench.time()
                     .after(
                             Duration.ofMillis(100),
                             () -> input.offer(new StoreAnswer.Changes(
-                                    ask.store().id(), 1, 1, false, 1_000, ImmutableList.of(held))));
+                                    query.store().id(), 1, 1, false, 1_000, ImmutableList.of(storedPart))));
             return true;
         }
         return action instanceof Decision;
@@ -122,7 +125,7 @@
                 0);
     }
 
-    private static PlacementRequest asked() {
+    private static PlacementRequest request() {
         Route route = new Route(
                 "prompts",
                 "a.example",
--- a/src/test/java/org/yuccagw/core/placing/WaitingRequestsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/RequestQueueTest.java
@@ -23,68 +23,68 @@
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
 
-public class WaitingRequestsTest {
+public class RequestQueueTest {
     private static final ServiceName SERVICE = ServiceName.of("engines");
     private static final long MILLI = 1_000_000;
 
-    // Workspaces share one priority. Short grading prompts, told to be urgent, waited behind drafts five times as long,
-    // since only the workspace's priority was looked at.
+    // All workspaces share one priority. Guards against short, urgent grading prompts that wait behind drafts five
+    // times as long because only the workspace's priority is compared.
     @Test
-    public void ofOneWorkspacePriorityTheMoreUrgentRouteComesFirst() {
-        WaitingRequests waiting = new WaitingRequests();
-        waiting.add(WaitingRequests.of(asked("draft", 2, 800, 1), 0));
-        waiting.add(WaitingRequests.of(asked("grade", 0, 400, 1), 1));
-        assertEquals(offered(waiting, 2), List.of("grade", "draft"));
+    public void withinOneWorkspacePriorityTheMoreUrgentRouteComesFirst() {
+        RequestQueue queue = new RequestQueue();
+        queue.add(RequestQueue.of(request("draft", 2, 800, 1), 0));
+        queue.add(RequestQueue.of(request("grade", 0, 400, 1), 1));
+        assertEquals(offered(queue, 2), List.of("grade", "draft"));
     }
 
     @Test
-    public void theWorkspacesPriorityGoesBeforeTheRoutes() {
-        WaitingRequests waiting = new WaitingRequests();
-        waiting.add(WaitingRequests.of(asked("grade of an ordinary workspace", 0, 400, 1), 0));
-        waiting.add(WaitingRequests.of(asked("draft of an urgent workspace", 2, 800, 0), 1));
-        assertEquals(offered(waiting, 2), List.of("draft of an urgent workspace", "grade of an ordinary workspace"));
+    public void theWorkspacePriorityPrecedesTheRoutePriority() {
+        RequestQueue queue = new RequestQueue();
+        queue.add(RequestQueue.of(request("grade of an ordinary workspace", 0, 400, 1), 0));
+        queue.add(RequestQueue.of(request("draft of an urgent workspace", 2, 800, 0), 1));
+        assertEquals(offered(queue, 2), List.of("draft of an urgent workspace", "grade of an ordinary workspace"));
     }
 
-    // In an order by arrival every request behind a backlog is late. One that is late already yields.
+    // In an order by arrival every request behind a backlog is late. A request that is late already has to give way.
     @Test
-    public void aLateRequestYieldsToOneThatCanStillBeInTime() {
-        WaitingRequests waiting = new WaitingRequests();
-        waiting.add(WaitingRequests.of(asked("late", 0, 400, 1), 0));
-        waiting.add(WaitingRequests.of(asked("in time", 2, 800, 1), 300 * MILLI));
-        assertEquals(offered(waiting, 500 * MILLI), List.of("in time", "late"));
+    public void aLateRequestComesAfterOneThatCanStartInTime() {
+        RequestQueue queue = new RequestQueue();
+        queue.add(RequestQueue.of(request("late", 0, 400, 1), 0));
+        queue.add(RequestQueue.of(request("in time", 2, 800, 1), 300 * MILLI));
+        assertEquals(offered(queue, 500 * MILLI), List.of("in time", "late"));
     }
 
     @Test
-    public void aRequestThatHasWaitedForHalfOfItsCallersPatienceIsGivenBack() {
-        WaitingRequests waiting = new WaitingRequests();
-        waiting.add(WaitingRequests.of(asked("draft", 2, 800, 1), 0));
+    public void aRequestExpiresAfterHalfOfItsCallersTimeout() {
+        RequestQueue queue = new RequestQueue();
+        queue.add(RequestQueue.of(request("draft", 2, 800, 1), 0));
         List<String> expired = new ArrayList<>();
-        waiting.offerAll(1_700 * MILLI, each -> false, each -> expired.add(name(each)));
+        queue.offerAll(1_700 * MILLI, each -> false, each -> expired.add(name(each)));
         assertTrue(expired.isEmpty(), expired.toString());
-        waiting.offerAll(1_800 * MILLI, each -> false, each -> expired.add(name(each)));
+        queue.offerAll(1_800 * MILLI, each -> false, each -> expired.add(name(each)));
         assertEquals(expired, List.of("draft"));
-        assertTrue(waiting.isEmpty());
+        assertTrue(queue.isEmpty());
     }
 
     @Test
-    public void urgencyOfAnEngineKeepsTheOrderOfWorkspacesAndRoutes() {
-        assertEquals(new Rank(0, 2).urgency(), 2);
-        assertEquals(new Rank(1, 0).urgency(), 3);
-        assertEquals(new Rank(1, 7).urgency(), 5);
-        assertEquals(new Rank(9, 9).urgency(), 9);
+    public void theUrgencyForAnEngineKeepsTheOrderOfWorkspacesAndRoutes() {
+        assertEquals(new RequestPriority(0, 2).urgency(), 2);
+        assertEquals(new RequestPriority(1, 0).urgency(), 3);
+        assertEquals(new RequestPriority(1, 7).urgency(), 5);
+        assertEquals(new RequestPriority(9, 9).urgency(), 9);
     }
 
-    private static List<String> offered(WaitingRequests waiting, long nowNanos) {
+    private static List<String> offered(RequestQueue queue, long nowNanos) {
         List<String> offered = new ArrayList<>();
-        waiting.offerAll(nowNanos, each -> offered.add(name(each)), each -> {});
+        queue.offerAll(nowNanos, each -> offered.add(name(each)), each -> {});
         return offered;
     }
 
-    private static String name(WaitingRequests.Waiting waiting) {
-        return waiting.asked().request().value();
+    private static String name(RequestQueue.QueuedRequest queued) {
+        return queued.request().request().value();
     }
 
-    private static PlacementRequest asked(String name, int routePriority, int targetMillis, int workspacePriority) {
+    private static PlacementRequest request(String name, int routePriority, int targetMillis, int workspacePriority) {
         Route route = new Route(
                 name,
                 "a.example",
--- a/src/test/java/org/yuccagw/core/placing/RetryAllowanceTest.java
+++ b/src/test/java/org/yuccagw/core/placing/RetryAllowanceTest.java
@@ -22,52 +22,52 @@
 
     @Test
     public void allEntriesTogetherStayWithinRatioAndSlack() {
-        int repeats = 0;
+        int retries = 0;
         for (int entry = 0; entry < ENTRIES; entry++) {
             RetryAllowance allowance = RetryAllowance.of(0.2, 56, WINDOW);
             for (int request = 0; request < 100; request++) {
                 allowance.countRequest(0);
             }
-            while (allowance.take(0, ENTRIES)) {
-                repeats++;
+            while (allowance.tryConsume(0, ENTRIES)) {
+                retries++;
             }
         }
-        assertTrue(repeats <= 0.2 * ENTRIES * 100 + 56, repeats + " repeats");
-        assertTrue(repeats >= 0.5 * (0.2 * ENTRIES * 100 + 56), repeats + " repeats");
+        assertTrue(retries <= 0.2 * ENTRIES * 100 + 56, retries + " retries");
+        assertTrue(retries >= 0.5 * (0.2 * ENTRIES * 100 + 56), retries + " retries");
     }
 
     @Test
-    public void whatWasTakenComesBackAfterTheWindow() {
+    public void theAllowanceIsAvailableAgainAfterTheWindow() {
         RetryAllowance allowance = RetryAllowance.of(0, 56, WINDOW);
-        int taken = 0;
-        while (allowance.take(0, ENTRIES)) {
-            taken++;
+        int consumed = 0;
+        while (allowance.tryConsume(0, ENTRIES)) {
+            consumed++;
         }
-        assertTrue(taken > 0);
-        assertFalse(allowance.take(WINDOW.toNanos() / 2, ENTRIES));
-        assertTrue(allowance.take(WINDOW.toNanos() + WINDOW.toNanos() / 5, ENTRIES));
+        assertTrue(consumed > 0);
+        assertFalse(allowance.tryConsume(WINDOW.toNanos() / 2, ENTRIES));
+        assertTrue(allowance.tryConsume(WINDOW.toNanos() + WINDOW.toNanos() / 5, ENTRIES));
     }
 
-    // Two connections broke for reasons of their own while the same harmless request ran, an answer between them.
+    // Two connections broke for unrelated reasons while the same harmless request ran, with an answer in between.
     @Test
-    public void aWholeAnswerClearsTheSuspicionOfARequest() {
+    public void aCompleteAnswerClearsTheFailuresOfARequest() {
         SuspectRequests suspects = new SuspectRequests();
-        suspects.add("f", start("e1", 1), 0);
+        suspects.add("f", incarnation("e1", 1), 0);
         suspects.clear("f");
-        suspects.add("f", start("e2", 1), 1);
+        suspects.add("f", incarnation("e2", 1), 1);
         assertEquals(suspects.count("f", 2), 1);
-        suspects.add("f", start("e2", 1), 3);
+        suspects.add("f", incarnation("e2", 1), 3);
         assertEquals(suspects.count("f", 4), 1);
-        suspects.add("f", start("e3", 1), 5);
-        assertEquals(suspects.count("f", 6), SuspectRequests.LIMIT);
+        suspects.add("f", incarnation("e3", 1), 5);
+        assertEquals(suspects.count("f", 6), SuspectRequests.MAX_FAILURES);
     }
 
-    private static EndpointIncarnation start(String endpoint, long startedMillis) {
+    private static EndpointIncarnation incarnation(String endpoint, long startedMillis) {
         return EndpointIncarnation.of(EndpointId.of(endpoint), startedMillis);
     }
 
     @Test
-    public void onlyAnIsolatedWorkspaceHasACacheOfItsOwnAndEveryVersionHas() {
+    public void cachesAreSeparateForIsolatedWorkspacesAndWeightVersions() {
         assertEquals(
                 CacheSalt.of(Optional.of(workspace("a", false)), Homes.ANYWHERE, 1),
                 CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 1));
--- a/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
@@ -5,14 +5,14 @@
 import org.yuccagw.core.notice.NoticesComponent;
 import org.yuccagw.core.port.PeerMessage;
 
-/** The surroundings of an entry that hears of no other one. */
+/** The environment of an entry that receives no messages from other entries. */
 public final class NoOthers implements RateLimitsComponent.Fleet {
     private NoOthers() {}
 
-    /** Calls to endpoints that ask for nothing. */
+    /** Returns internal calls to endpoints without constraints. */
     public static InternalCalls unlimitedCalls() {
-        NoOthers nobody = new NoOthers();
-        return InternalCalls.of(new EndpointConstraints(RateLimitsComponent.of(nobody), NoticesComponent.of(nobody)));
+        NoOthers noPeers = new NoOthers();
+        return InternalCalls.of(new EndpointConstraints(RateLimitsComponent.of(noPeers), NoticesComponent.of(noPeers)));
     }
 
     @Override
@@ -21,10 +21,10 @@
     }
 
     @Override
-    public void tell(PeerMessage news) {}
+    public void tell(PeerMessage update) {}
 
     @Override
-    public void tellFollowers(PeerMessage news) {}
+    public void tellFollowers(PeerMessage update) {}
 
     @Override
     public boolean speaksFor(EntryId from) {
--- a/src/test/java/org/yuccagw/core/ratelimit/RateLimitSharesTest.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/RateLimitSharesTest.java
@@ -22,16 +22,21 @@
 import org.yuccagw.core.notice.RateLimit;
 
 public class RateLimitSharesTest {
-    private static final FailureDomain NEAR = FailureDomain.of("near");
-    private static final FailureDomain FAR = FailureDomain.of("far");
+    private static final FailureDomain SAME_DOMAIN = FailureDomain.of("near");
+    private static final FailureDomain OTHER_DOMAIN = FailureDomain.of("far");
     private static final NetworkAddress ANYWHERE = NetworkAddress.of("127.0.0.1", 9);
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
-    private static List<EntryContact> entries(int near, int far) {
+    private static List<EntryContact> entries(int sameDomain, int otherDomain) {
         List<EntryContact> entries = new ArrayList<>();
-        for (int index = 0; index < near + far; index++) {
+        for (int index = 0; index < sameDomain + otherDomain; index++) {
             entries.add(EntryContact.of(new EntryIdentity(
-                    EntryId.of("entry-" + index), 1, index < near ? NEAR : FAR, ANYWHERE, ANYWHERE, ANYWHERE)));
+                    EntryId.of("entry-" + index),
+                    1,
+                    index < sameDomain ? SAME_DOMAIN : OTHER_DOMAIN,
+                    ANYWHERE,
+                    ANYWHERE,
+                    ANYWHERE)));
         }
         return entries;
     }
@@ -41,7 +46,7 @@
                 EndpointIncarnation.of(EndpointId.of(id), 1),
                 ServiceName.of("service"),
                 ANYWHERE,
-                NEAR,
+                SAME_DOMAIN,
                 4,
                 false,
                 0,
@@ -55,7 +60,7 @@
     private static double sum(
             RateLimitShares shares, List<EntryContact> entries, ListedEndpoint endpoint, RateLimit limit) {
         return entries.stream()
-                .mapToDouble(entry -> shares.partOf(entry.entry(), endpoint, limit))
+                .mapToDouble(entry -> shares.shareOf(entry.entry(), endpoint, limit))
                 .sum();
     }
 
@@ -65,67 +70,76 @@
     }
 
     @Test(dataProvider = "limits")
-    public void thePartsOfAMeshComeToLessThanTheLimit(double perSecond) {
+    public void theSharesOfAMeshSumToLessThanTheLimit(double perSecond) {
         RateLimit limit = limit(perSecond);
         List<EntryContact> entries = entries(3, 5);
         double sum = sum(RateLimitShares.ofMesh(entries), entries, endpoint("e"), limit);
-        assertEquals(sum, limit.perSecond() * RateLimitShares.SHARE_OF_LIMIT, EXACT);
+        assertEquals(sum, limit.perSecond() * RateLimitShares.SHARE_OF_LIMIT, TOLERANCE);
     }
 
     @Test(dataProvider = "limits")
-    public void thePartsOfLeadsComeToLessThanTheLimit(double perSecond) {
+    public void theSharesOfLeadsSumToLessThanTheLimit(double perSecond) {
         RateLimit limit = limit(perSecond);
         List<EntryContact> entries = entries(5, 0);
         RateLimitShares shares = RateLimitShares.ofLeads(
                 entries.subList(0, 2).stream().map(EntryContact::entry).toList());
         assertEquals(
-                sum(shares, entries, endpoint("e"), limit), limit.perSecond() * RateLimitShares.SHARE_OF_LIMIT, EXACT);
+                sum(shares, entries, endpoint("e"), limit),
+                limit.perSecond() * RateLimitShares.SHARE_OF_LIMIT,
+                TOLERANCE);
     }
 
-    // Parts of a sixth of a request a second each begin with a whole request: eight of them are more than is taken.
+    // Eight shares of a sixth of a request per second each start with a whole request, which exceeds the limit.
     @Test
-    public void aSmallLimitIsOneEntrysPart() {
+    public void aSmallLimitHasASingleShare() {
         List<EntryContact> entries = entries(8, 8);
         assertEquals(
                 RateLimitShares.ofMesh(entries)
-                        .owners(endpoint("e"), limit(1.4))
+                        .shareOwners(endpoint("e"), limit(1.4))
                         .size(),
                 1);
     }
 
     @Test
-    public void entriesOfOtherFailureDomainsHaveAPartOnlyWhereNobodyElseIs() {
-        List<EntryContact> far = entries(0, 4);
-        assertEquals(RateLimitShares.ofMesh(far).owners(endpoint("e"), limit(9)).size(), 4);
+    public void entriesOfOtherFailureDomainsHaveAShareOnlyIfTheDomainHasNoEntry() {
+        List<EntryContact> otherDomain = entries(0, 4);
+        assertEquals(
+                RateLimitShares.ofMesh(otherDomain)
+                        .shareOwners(endpoint("e"), limit(9))
+                        .size(),
+                4);
         List<EntryContact> both = entries(3, 4);
         assertEquals(
-                RateLimitShares.ofMesh(both).owners(endpoint("e"), limit(9)).size(), 3);
+                RateLimitShares.ofMesh(both)
+                        .shareOwners(endpoint("e"), limit(9))
+                        .size(),
+                3);
     }
 
     @Test
-    public void anEntryThatGoesChangesOneOwnerAtMost() {
+    public void theLossOfAnEntryChangesAtMostOneOwner() {
         List<EntryContact> all = entries(8, 0);
-        for (EntryContact gone : all) {
+        for (EntryContact removed : all) {
             List<EntryContact> rest =
-                    all.stream().filter(entry -> !entry.equals(gone)).toList();
-            Set<EntryId> both = new HashSet<>(RateLimitShares.ofMesh(all).owners(endpoint("e"), limit(3)));
-            both.addAll(RateLimitShares.ofMesh(rest).owners(endpoint("e"), limit(3)));
+                    all.stream().filter(entry -> !entry.equals(removed)).toList();
+            Set<EntryId> both = new HashSet<>(RateLimitShares.ofMesh(all).shareOwners(endpoint("e"), limit(3)));
+            both.addAll(RateLimitShares.ofMesh(rest).shareOwners(endpoint("e"), limit(3)));
             assertTrue(both.size() <= 4, both.toString());
         }
     }
 
     @Test
-    public void differentEndpointsHaveDifferentOwners() {
+    public void differentEndpointsHaveDifferentShareOwners() {
         Set<EntryId> owners = new HashSet<>();
         for (int index = 0; index < 30; index++) {
-            owners.addAll(RateLimitShares.ofMesh(entries(4, 4)).owners(endpoint("e" + index), limit(1)));
+            owners.addAll(RateLimitShares.ofMesh(entries(4, 4)).shareOwners(endpoint("e" + index), limit(1)));
         }
         assertEquals(owners.size(), 4);
     }
 
     @Test
-    public void whereNobodyIsKnownToPlaceNobodyHasAPart() {
+    public void noEntryHasAShareIfThePlacingEntriesAreUnknown() {
         List<EntryContact> entries = entries(3, 0);
-        assertEquals(sum(RateLimitShares.nobody(), entries, endpoint("e"), limit(9)), 0, EXACT);
+        assertEquals(sum(RateLimitShares.nobody(), entries, endpoint("e"), limit(9)), 0, TOLERANCE);
     }
 }
