--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -116,10 +116,10 @@
     private static void writeStore(StoresRequested.StoreStatus store, ObjectNode node) {
         node.put("store", store.store().value());
         node.put("usable", store.usable());
-        node.put("memory_used_bytes", store.memory().used());
-        node.put("memory_capacity_bytes", store.memory().capacity());
-        node.put("disk_used_bytes", store.disk().used());
-        node.put("disk_capacity_bytes", store.disk().capacity());
+        node.put("memory_used_bytes", store.memory().usedBytes());
+        node.put("memory_capacity_bytes", store.memory().capacityBytes());
+        node.put("disk_used_bytes", store.disk().usedBytes());
+        node.put("disk_capacity_bytes", store.disk().capacityBytes());
         node.put("foreground_bytes", store.foregroundBytes());
         node.put("background_bytes", store.backgroundBytes());
         node.put("address", store.address().toString());
--- a/src/main/java/org/yuccagw/adapters/cache/CacheActions.java
+++ b/src/main/java/org/yuccagw/adapters/cache/CacheActions.java
@@ -11,8 +11,8 @@
 import org.yuccagw.adapters.http.HttpAnswer;
 import org.yuccagw.adapters.http.HttpCaller;
 import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.core.cache.CacheOrder;
-import org.yuccagw.core.cache.CacheOrder.StoreAddress;
+import org.yuccagw.core.cache.CacheCommand;
+import org.yuccagw.core.cache.CacheCommand.StoreAddress;
 import org.yuccagw.core.cache.EngineCacheUpdate;
 import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.control.ActionHandler;
@@ -21,7 +21,7 @@
 import org.yuccagw.core.control.ControlInput;
 
 /**
- * Carries out {@link CacheOrder}s by HTTP and gives their outcomes as events.
+ * Carries out {@link CacheCommand}s by HTTP and gives their outcomes as events.
  *
  * <p>Whatever goes wrong becomes an event too: an error status, a body that isn't the expected JSON, a connection that
  * fails or falls silent. Every order has exactly one outcome, but for deletions, which need none.
@@ -46,24 +46,24 @@
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
-        if (!(action instanceof CacheOrder order)) {
+        if (!(action instanceof CacheCommand order)) {
             return false;
         }
-        if (order instanceof CacheOrder.ExportBlocks export) {
+        if (order instanceof CacheCommand.ExportBlocks export) {
             export(export, input);
-        } else if (order instanceof CacheOrder.ReadCacheEvents read) {
+        } else if (order instanceof CacheCommand.ReadCacheEvents read) {
             ask(
                     HttpQuery.get(read.address(), "/v1/cache/events?after=" + read.after()),
                     answer -> CacheJson.events(read.endpoint(), answer),
                     reason -> new EngineCacheUpdate.ReadFailed(read.endpoint()),
                     input);
-        } else if (order instanceof CacheOrder.ReadCacheSnapshot read) {
+        } else if (order instanceof CacheCommand.ReadCacheSnapshot read) {
             ask(
                     HttpQuery.get(read.address(), "/v1/cache/snapshot"),
                     answer -> CacheJson.snapshot(read.endpoint(), answer),
                     reason -> new EngineCacheUpdate.ReadFailed(read.endpoint()),
                     input);
-        } else if (order instanceof CacheOrder.PrefetchBlocks prefetch) {
+        } else if (order instanceof CacheCommand.PrefetchBlocks prefetch) {
             imports.prefetch(prefetch);
         } else {
             performAtStore(order, input);
@@ -71,24 +71,24 @@
         return true;
     }
 
-    private void performAtStore(CacheOrder order, ControlInput input) {
-        if (order instanceof CacheOrder.LookUpBlocks lookUp) {
+    private void performAtStore(CacheCommand order, ControlInput input) {
+        if (order instanceof CacheCommand.LookUpBlocks lookUp) {
             lookUp(lookUp, input);
-        } else if (order instanceof CacheOrder.ReadStoreStatus read) {
+        } else if (order instanceof CacheCommand.ReadStoreStatus read) {
             askStore(
                     read.store(),
                     "/v1/status",
                     answer -> CacheJson.status(read.store().id(), answer),
                     input);
-        } else if (order instanceof CacheOrder.ReadUnsealed read) {
+        } else if (order instanceof CacheCommand.ReadUnsealed read) {
             askStore(
                     read.store(),
                     "/v1/unsealed",
                     answer -> CacheJson.unsealed(read.store().id(), answer),
                     input);
-        } else if (order instanceof CacheOrder.ReadStorePage read) {
+        } else if (order instanceof CacheCommand.ReadStorePage read) {
             readPage(read, input);
-        } else if (order instanceof CacheOrder.DeleteBlocks delete) {
+        } else if (order instanceof CacheCommand.DeleteBlocks delete) {
             InTurn.of(
                             delete.blocks(),
                             LANES,
@@ -99,12 +99,12 @@
                                             "/v1/blocks/" + block.key() + "?generation=" + block.generation()),
                                     done))
                     .run(deleted -> {});
-        } else if (order instanceof CacheOrder.MoveBlocks move) {
+        } else if (order instanceof CacheCommand.MoveBlocks move) {
             move(move, input);
         }
     }
 
-    private void export(CacheOrder.ExportBlocks export, ControlInput input) {
+    private void export(CacheCommand.ExportBlocks export, ControlInput input) {
         ObjectNode body = CacheJson.object()
                 .put("store", export.store().address().toString())
                 .put("writer", export.writer());
@@ -124,7 +124,7 @@
                 input);
     }
 
-    private void lookUp(CacheOrder.LookUpBlocks lookUp, ControlInput input) {
+    private void lookUp(CacheCommand.LookUpBlocks lookUp, ControlInput input) {
         ObjectNode body = CacheJson.object();
         body.set("blocks", CacheJson.keys(lookUp.blocks()));
         HttpQuery query = HttpQuery.json("POST", lookUp.store().address(), "/v1/lookup", CacheJson.write(body));
@@ -143,7 +143,7 @@
         });
     }
 
-    private void readPage(CacheOrder.ReadStorePage read, ControlInput input) {
+    private void readPage(CacheCommand.ReadStorePage read, ControlInput input) {
         String path = "/v1/blocks?after=" + read.afterKey() + "&limit=" + read.limit();
         askStore(
                 read.store(),
@@ -152,7 +152,7 @@
                 input);
     }
 
-    private void move(CacheOrder.MoveBlocks move, ControlInput input) {
+    private void move(CacheCommand.MoveBlocks move, ControlInput input) {
         InTurn.of(
                         move.blocks(),
                         LANES,
--- a/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
+++ b/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
@@ -16,7 +16,7 @@
 import org.yuccagw.adapters.http.HttpCaller;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.BlockKey;
-import org.yuccagw.core.cache.CacheOrder;
+import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.EngineCacheUpdate;
 import org.yuccagw.core.cache.EngineCacheUpdate.FailedBlock;
 import org.yuccagw.core.cache.EngineCacheUpdate.ImportFailure;
@@ -79,7 +79,7 @@
     }
 
     /** Imports ahead of any request. */
-    void prefetch(CacheOrder.PrefetchBlocks order) {
+    void prefetch(CacheCommand.PrefetchBlocks order) {
         Job job = new Job(order.endpoint(), order.store().id(), order.version().value(), order.blocks());
         start(job, order.store().address().toString(), order.deadline());
     }
--- a/src/main/java/org/yuccagw/bench/routing/StoreModel.java
+++ b/src/main/java/org/yuccagw/bench/routing/StoreModel.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.yuccagw.core.cache.BlockKey;
-import org.yuccagw.core.cache.CacheOrder;
+import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.StoreTier;
 import org.yuccagw.core.cache.StoreUpdate;
 import org.yuccagw.core.cache.StoredBlock;
@@ -125,8 +125,8 @@
         return sealed;
     }
 
-    void delete(List<CacheOrder.Generation> generations) {
-        for (CacheOrder.Generation named : generations) {
+    void delete(List<CacheCommand.Generation> generations) {
+        for (CacheCommand.Generation named : generations) {
             Held held = blocks.get(named.key());
             if (held != null && held.generation() == named.generation()) {
                 blocks.remove(named.key());
--- a/src/main/java/org/yuccagw/bench/routing/VirtualServing.java
+++ b/src/main/java/org/yuccagw/bench/routing/VirtualServing.java
@@ -13,8 +13,8 @@
 import org.HdrHistogram.Histogram;
 import org.yuccagw.bench.routing.PromptTrace.Arrival;
 import org.yuccagw.core.cache.BlockKey;
+import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.CacheComponent;
-import org.yuccagw.core.cache.CacheOrder;
 import org.yuccagw.core.cache.CacheSettings;
 import org.yuccagw.core.cache.CacheState;
 import org.yuccagw.core.cache.EngineCacheUpdate;
@@ -94,7 +94,7 @@
     }
 
     static VirtualServing of(Deployment deployment, PromptTrace trace, Scenario scenario, String policy, long seed) {
-        CacheSettings settings = RoutePolicies.cacheSettings(policy, CacheSettings.usual());
+        CacheSettings settings = RoutePolicies.cacheSettings(policy, CacheSettings.defaults());
         return new VirtualServing(deployment, trace, scenario, policy, settings, seed);
     }
 
@@ -275,23 +275,23 @@
     }
 
     private void perform(ControlAction action) {
-        if (action instanceof CacheOrder.ExportBlocks export) {
+        if (action instanceof CacheCommand.ExportBlocks export) {
             export(export);
-        } else if (action instanceof CacheOrder.ReadCacheEvents read) {
+        } else if (action instanceof CacheCommand.ReadCacheEvents read) {
             at(now + LOOKUP_NANOS, () -> handle(world.events(read, now)));
-        } else if (action instanceof CacheOrder.ReadCacheSnapshot read) {
+        } else if (action instanceof CacheCommand.ReadCacheSnapshot read) {
             at(now + LOOKUP_NANOS, () -> handle(world.snapshot(read.endpoint())));
-        } else if (action instanceof CacheOrder.ReadStoreStatus read) {
+        } else if (action instanceof CacheCommand.ReadStoreStatus read) {
             at(now + LOOKUP_NANOS, () -> handle(world.status(read.store().id())));
-        } else if (action instanceof CacheOrder.DeleteBlocks delete) {
+        } else if (action instanceof CacheCommand.DeleteBlocks delete) {
             world.store(delete.store().id()).delete(delete.blocks());
-        } else if (action instanceof CacheOrder.MoveBlocks move) {
+        } else if (action instanceof CacheCommand.MoveBlocks move) {
             List<StoredBlock> moved = world.store(move.store().id()).move(move.tier(), move.blocks());
             at(now, () -> handle(new StoreUpdate.BlocksMoved(move.store().id(), move.tier(), moved)));
         }
     }
 
-    private void export(CacheOrder.ExportBlocks export) {
+    private void export(CacheCommand.ExportBlocks export) {
         List<BlockKey> held = world.held(export.endpoint().id(), export.blocks());
         StoreModel store = world.store(export.store().id());
         if (store.isDead()) {
--- a/src/main/java/org/yuccagw/bench/routing/World.java
+++ b/src/main/java/org/yuccagw/bench/routing/World.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.yuccagw.core.cache.BlockKey;
-import org.yuccagw.core.cache.CacheOrder;
+import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.EngineCacheUpdate;
 import org.yuccagw.core.cache.EngineCacheUpdate.FailedBlock;
 import org.yuccagw.core.cache.EngineCacheUpdate.ImportFailure;
@@ -309,7 +309,7 @@
         return keys.subList(0, count);
     }
 
-    EngineCacheUpdate.EventsRead events(CacheOrder.ReadCacheEvents read, long now) {
+    EngineCacheUpdate.EventsRead events(CacheCommand.ReadCacheEvents read, long now) {
         Replica replica = replicas.get(read.endpoint());
         replica.log.removeIf(logged -> logged.event().sequence() <= read.after());
         List<ReplicaIndex.Event> events = replica.log.stream()
--- a/src/main/java/org/yuccagw/core/cache/BlockMultimap.java
+++ b/src/main/java/org/yuccagw/core/cache/BlockMultimap.java
@@ -4,87 +4,89 @@
 import java.util.function.IntPredicate;
 
 /**
- * A compact multimap from block fingerprints to small numbers: open addressing with linear probing over two arrays.
+ * A compact hash multimap from block fingerprints to small non-negative integers, with open addressing and linear
+ * probing over two arrays.
  *
- * <p>All pairs of one fingerprint lie on one unbroken run of the table, so a lookup walks from the home position to the
- * first empty place. Removal shifts later pairs back instead of leaving marks, so the runs stay short. A pair takes 12
- * bytes over the load factor.
+ * <p>No empty slot lies between the home slot of a fingerprint and any of its pairs, so a lookup probes from the home
+ * slot to the first empty slot. A removal shifts later pairs back and leaves no tombstone, which keeps probe sequences
+ * short. A pair takes 12 bytes divided by the load factor. Values are stored incremented by one, because 0 marks an
+ * empty slot.
  *
- * <p>Fingerprints are 64 of the 128 bits of a key. Two blocks with the same fingerprint are told apart nowhere here,
- * which is good enough for hints and for nothing else.
+ * <p>A fingerprint is the first 64 of the 128 bits of a key. Blocks with equal fingerprints are not distinguished, so
+ * the contents may be used as hints only.
  */
 final class BlockMultimap {
-    private static final int LEAST_CAPACITY = 1024;
-    private static final int LOAD_NUMERATOR = 5;
-    private static final int LOAD_DENOMINATOR = 8;
-    private static final int EMPTY = 0;
-
-    private final int mostPairs;
-    private final IntPredicate isAlive;
-    private long[] fingerprints = new long[LEAST_CAPACITY];
-    private int[] values = new int[LEAST_CAPACITY];
+    private static final int MIN_CAPACITY = 1024;
+    private static final int LOAD_FACTOR_NUMERATOR = 5;
+    private static final int LOAD_FACTOR_DENOMINATOR = 8;
+    private static final int EMPTY_SLOT = 0;
+
+    private final int maxPairs;
+    private final IntPredicate isValid;
+    private long[] fingerprints = new long[MIN_CAPACITY];
+    private int[] values = new int[MIN_CAPACITY];
     private int size;
-    private long dropped;
-    private long rebuilds;
+    private long droppedPairs;
+    private long rebuildCount;
 
-    private BlockMultimap(int mostPairs, IntPredicate isAlive) {
-        this.mostPairs = mostPairs;
-        this.isAlive = isAlive;
+    private BlockMultimap(int maxPairs, IntPredicate isValid) {
+        this.maxPairs = maxPairs;
+        this.isValid = isValid;
     }
 
     /**
-     * An empty multimap.
+     * Returns an empty multimap.
      *
-     * @param mostPairs over this many, new pairs are dropped and counted
-     * @param isAlive pairs whose number is no longer alive are swept out when the table is rebuilt
+     * @param maxPairs limit beyond which new pairs are dropped and counted
+     * @param isValid whether a value is still in use; other pairs are removed when the table is rebuilt
      */
-    static BlockMultimap of(int mostPairs, IntPredicate isAlive) {
-        return new BlockMultimap(mostPairs, isAlive);
+    static BlockMultimap of(int maxPairs, IntPredicate isValid) {
+        return new BlockMultimap(maxPairs, isValid);
     }
 
     int size() {
         return size;
     }
 
-    /** Pairs that were not taken because the table was full. */
-    long dropped() {
-        return dropped;
+    /** Returns how many pairs were dropped because the table was full. */
+    long droppedPairs() {
+        return droppedPairs;
     }
 
-    /** How often the table was rebuilt; after a rebuild no pair with a number that was dead before is left. */
-    long rebuilds() {
-        return rebuilds;
+    /** Returns how often the table was rebuilt. A rebuild removes all pairs whose value was invalid before it. */
+    long rebuildCount() {
+        return rebuildCount;
     }
 
     void put(BlockKey key, int value) {
         long fingerprint = fingerprintOf(key);
-        if (find(fingerprint, value) >= 0) {
+        if (findSlot(fingerprint, value) >= 0) {
             return;
         }
-        if ((long) (size + 1) * LOAD_DENOMINATOR > (long) values.length * LOAD_NUMERATOR) {
+        if ((long) (size + 1) * LOAD_FACTOR_DENOMINATOR > (long) values.length * LOAD_FACTOR_NUMERATOR) {
             rebuild();
         }
-        if (size >= mostPairs) {
-            dropped++;
+        if (size >= maxPairs) {
+            droppedPairs++;
             return;
         }
-        insert(fingerprint, value + 1);
+        insertPair(fingerprint, value + 1);
     }
 
     void remove(BlockKey key, int value) {
-        int position = find(fingerprintOf(key), value);
-        if (position >= 0) {
-            removeAt(position);
+        int slot = findSlot(fingerprintOf(key), value);
+        if (slot >= 0) {
+            removeSlot(slot);
         }
     }
 
     boolean contains(BlockKey key, int value) {
-        return find(fingerprintOf(key), value) >= 0;
+        return findSlot(fingerprintOf(key), value) >= 0;
     }
 
     void forEach(BlockKey key, IntConsumer action) {
         long fingerprint = fingerprintOf(key);
-        for (int i = home(fingerprint); values[i] != EMPTY; i = next(i)) {
+        for (int i = homeSlot(fingerprint); values[i] != EMPTY_SLOT; i = nextSlot(i)) {
             if (fingerprints[i] == fingerprint) {
                 action.accept(values[i] - 1);
             }
@@ -95,8 +97,8 @@
         return key.high();
     }
 
-    private int find(long fingerprint, int value) {
-        for (int i = home(fingerprint); values[i] != EMPTY; i = next(i)) {
+    private int findSlot(long fingerprint, int value) {
+        for (int i = homeSlot(fingerprint); values[i] != EMPTY_SLOT; i = nextSlot(i)) {
             if (fingerprints[i] == fingerprint && values[i] == value + 1) {
                 return i;
             }
@@ -104,61 +106,64 @@
         return -1;
     }
 
-    private void insert(long fingerprint, int stored) {
-        int i = home(fingerprint);
-        while (values[i] != EMPTY) {
-            i = next(i);
+    private void insertPair(long fingerprint, int storedValue) {
+        int i = homeSlot(fingerprint);
+        while (values[i] != EMPTY_SLOT) {
+            i = nextSlot(i);
         }
         fingerprints[i] = fingerprint;
-        values[i] = stored;
+        values[i] = storedValue;
         size++;
     }
 
-    /** Closes the hole at {@code hole}: a later pair moves into it if its home doesn't lie behind the hole. */
-    private void removeAt(int hole) {
-        int open = hole;
-        for (int i = next(open); values[i] != EMPTY; i = next(i)) {
-            int distanceFromHome = (i - home(fingerprints[i])) & (values.length - 1);
-            int distanceFromHole = (i - open) & (values.length - 1);
-            if (distanceFromHome >= distanceFromHole) {
-                fingerprints[open] = fingerprints[i];
-                values[open] = values[i];
-                open = i;
+    /**
+     * Removes the pair in a slot by backward shifting: a later pair of the same probe sequence moves into the free slot
+     * unless its home slot lies behind it.
+     */
+    private void removeSlot(int removedSlot) {
+        int freeSlot = removedSlot;
+        for (int i = nextSlot(freeSlot); values[i] != EMPTY_SLOT; i = nextSlot(i)) {
+            int distanceFromHome = (i - homeSlot(fingerprints[i])) & (values.length - 1);
+            int distanceFromFreeSlot = (i - freeSlot) & (values.length - 1);
+            if (distanceFromHome >= distanceFromFreeSlot) {
+                fingerprints[freeSlot] = fingerprints[i];
+                values[freeSlot] = values[i];
+                freeSlot = i;
             }
         }
-        values[open] = EMPTY;
+        values[freeSlot] = EMPTY_SLOT;
         size--;
     }
 
     private void rebuild() {
-        rebuilds++;
+        rebuildCount++;
         long[] oldFingerprints = fingerprints;
         int[] oldValues = values;
-        int alive = 0;
+        int validPairs = 0;
         for (int value : oldValues) {
-            if (value != EMPTY && isAlive.test(value - 1)) {
-                alive++;
+            if (value != EMPTY_SLOT && isValid.test(value - 1)) {
+                validPairs++;
             }
         }
         int capacity = values.length;
-        while ((long) (alive + 1) * LOAD_DENOMINATOR * 4 > (long) capacity * LOAD_NUMERATOR * 3) {
+        while ((long) (validPairs + 1) * LOAD_FACTOR_DENOMINATOR * 4 > (long) capacity * LOAD_FACTOR_NUMERATOR * 3) {
             capacity *= 2;
         }
         fingerprints = new long[capacity];
         values = new int[capacity];
         size = 0;
         for (int i = 0; i < oldValues.length; i++) {
-            if (oldValues[i] != EMPTY && isAlive.test(oldValues[i] - 1)) {
-                insert(oldFingerprints[i], oldValues[i]);
+            if (oldValues[i] != EMPTY_SLOT && isValid.test(oldValues[i] - 1)) {
+                insertPair(oldFingerprints[i], oldValues[i]);
             }
         }
     }
 
-    private int home(long fingerprint) {
+    private int homeSlot(long fingerprint) {
         return (int) (fingerprint ^ (fingerprint >>> 32)) & (values.length - 1);
     }
 
-    private int next(int position) {
-        return (position + 1) & (values.length - 1);
+    private int nextSlot(int slot) {
+        return (slot + 1) & (values.length - 1);
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/BlocksPlaced.java
+++ b/src/main/java/org/yuccagw/core/cache/BlocksPlaced.java
@@ -5,9 +5,9 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /**
- * An entry tells the others about a run of blocks that a store has now; a hint.
+ * Notifies other entries of a run of blocks that a store now holds. The message is a hint.
  *
- * @param startDepth blocks of the prompt before the run
+ * @param startDepth number of blocks of the prompt before the run
  */
 public record BlocksPlaced(PromptScope scope, int startDepth, StoreId store, List<StoreUpdate.Found> blocks)
         implements PeerMessage {
--- a/src/main/java/org/yuccagw/core/cache/CacheComponent.java
+++ b/src/main/java/org/yuccagw/core/cache/CacheComponent.java
@@ -21,15 +21,16 @@
 import org.yuccagw.core.membership.MembersChanged;
 
 /**
- * Keeps what is known of the caches, and decides what is exported, moved, evicted and fetched ahead.
+ * Tracks the contents of the engines' caches and of the cache stores, and decides which blocks are exported, moved
+ * between tiers, evicted and prefetched.
  *
- * <p>Nothing here decides what a request may read: the engine checks generation, length and checksum of every block
- * before it commits it, and a key of another workspace or weight version can't be named. All that is known here may be
- * wrong, and then costs time only.
+ * <p>The tracked state is a hint and may be wrong. Errors in it cost time but can't give a request a wrong block: the
+ * engine checks generation, length and checksum of each block before it commits it, and a request can't address a key
+ * of another workspace or weight version.
  */
 public final class CacheComponent implements ControlComponent {
     private final CacheState state;
-    private final ReplicaReader replicaReader;
+    private final CacheEventPoller eventPoller;
     private final ExportPlanner exports;
     private final StoreMaintenance maintenance;
     private final Prefetcher prefetcher;
@@ -37,21 +38,21 @@
 
     private CacheComponent(CacheState state) {
         this.state = state;
-        this.replicaReader = ReplicaReader.of(state);
+        this.eventPoller = CacheEventPoller.of(state);
         this.maintenance = StoreMaintenance.of(state);
         this.broadcaster = PlacementBroadcaster.of(state);
         this.exports = ExportPlanner.of(state, maintenance, broadcaster);
         this.prefetcher = Prefetcher.of(state);
     }
 
-    /** The part over the state that it shares with the route part. */
+    /** Returns a component on the state that it shares with the route component. */
     public static CacheComponent of(CacheState state) {
         return new CacheComponent(state);
     }
 
     @Override
     public void start(ControlContext context) {
-        replicaReader.start(context);
+        eventPoller.start(context);
         exports.start(context);
         maintenance.start(context);
     }
@@ -61,111 +62,116 @@
         if (event instanceof CatalogueChanged changed) {
             state.setCatalogue(changed.catalogue());
         } else if (event instanceof EndpointsChanged changed) {
-            takeEndpoints(changed.endpoints());
+            updateEndpoints(changed.endpoints());
         } else if (event instanceof PlatformListed listed) {
-            takeStores(listed);
+            updateStores(listed);
         } else if (event instanceof MembersChanged members) {
             if (members.entries().size() > 1) {
-                state.noteOtherEntries();
+                state.markOtherEntriesSeen();
             }
-            maintenance.takeMembers(members);
-            broadcaster.takeMembers(members);
+            maintenance.updateMembers(members);
+            broadcaster.updateMembers(members);
         } else if (event instanceof PromptServed served) {
-            state.replicas().learn(served.endpoint().id(), served.blocks());
-            exports.served(served, context);
-        } else if (event instanceof PrefetchRequested asked) {
-            prefetcher.asked(asked, context);
-        } else if (event instanceof EngineCacheUpdate news) {
-            takeReplicaNews(news, context);
-        } else if (event instanceof StoreUpdate news) {
-            takeStoreNews(news, context);
-        } else if (event instanceof StoresRequested asked) {
+            state.replicas().addBlocks(served.endpoint().id(), served.blocks());
+            exports.promptServed(served, context);
+        } else if (event instanceof PrefetchRequested requested) {
+            prefetcher.prefetchRequested(requested, context);
+        } else if (event instanceof EngineCacheUpdate update) {
+            handleEngineUpdate(update, context);
+        } else if (event instanceof StoreUpdate update) {
+            handleStoreUpdate(update, context);
+        } else if (event instanceof StoresRequested requested) {
             ImmutableList<StoresRequested.StoreStatus> status = state.stores().status(context.nowNanos());
-            context.reply(() -> asked.reply().accept(status));
+            context.reply(() -> requested.reply().accept(status));
         } else if (event instanceof PeerReceived received && received.message() instanceof BlocksPlaced placed) {
             broadcaster.received(placed, context);
         }
     }
 
-    private void takeReplicaNews(EngineCacheUpdate news, ControlContext context) {
-        if (news instanceof EngineCacheUpdate.ExportEnded ended) {
-            exports.ended(ended, context);
-        } else if (news instanceof EngineCacheUpdate.ImportEnded ended) {
-            takeImport(ended, context);
+    private void handleEngineUpdate(EngineCacheUpdate update, ControlContext context) {
+        if (update instanceof EngineCacheUpdate.ExportEnded ended) {
+            exports.exportEnded(ended, context);
+        } else if (update instanceof EngineCacheUpdate.ImportEnded ended) {
+            handleImportEnded(ended, context);
         } else {
-            replicaReader.handle(news, context);
+            eventPoller.handle(update, context);
         }
     }
 
-    private void takeStoreNews(StoreUpdate news, ControlContext context) {
-        Optional<StoreTable.Store> store = state.stores().find(news.store());
+    private void handleStoreUpdate(StoreUpdate update, ControlContext context) {
+        Optional<StoreTable.Store> store = state.stores().find(update.store());
         if (store.isEmpty()) {
             return;
         }
-        if (news instanceof StoreUpdate.Failed) {
-            store.get().fail(context.nowNanos());
+        if (update instanceof StoreUpdate.Failed) {
+            store.get().recordFailure(context.nowNanos());
             return;
         }
-        store.get().succeed();
-        if (news instanceof StoreUpdate.BlocksFound found) {
-            PlacementBroadcaster.note(state, found.store(), found.found());
+        store.get().recordSuccess();
+        if (update instanceof StoreUpdate.BlocksFound found) {
+            PlacementBroadcaster.recordCopies(state, found.store(), found.found());
         } else {
-            maintenance.handle(news, store.get(), context);
+            maintenance.handle(update, store.get(), context);
         }
     }
 
-    /** What an import showed: blocks that are there now, copies that are gone, a store that fails. */
-    private void takeImport(EngineCacheUpdate.ImportEnded ended, ControlContext context) {
+    /**
+     * Updates the state from the outcome of an import: the engine holds the committed blocks, lost or damaged copies
+     * are removed, and a failure of the store is recorded.
+     */
+    private void handleImportEnded(EngineCacheUpdate.ImportEnded ended, ControlContext context) {
         Map<BlockKey, EngineCacheUpdate.ImportFailure> failed = new HashMap<>();
         ended.failed().forEach(block -> failed.put(block.key(), block.reason()));
-        var keys = ended.asked().stream().map(StoredBlock::key).toList();
+        var requestedKeys = ended.requested().stream().map(StoredBlock::key).toList();
         state.replicas()
-                .learn(
+                .addBlocks(
                         ended.endpoint(),
-                        keys.stream().filter(key -> !failed.containsKey(key)).toList());
+                        requestedKeys.stream()
+                                .filter(key -> !failed.containsKey(key))
+                                .toList());
         prefetcher.importEnded(ended, context);
         Optional<StoreTable.Store> store = state.stores().find(ended.store());
         if (failed.containsValue(EngineCacheUpdate.ImportFailure.STORE)
                 || (ended.imported() == 0 && failed.containsValue(EngineCacheUpdate.ImportFailure.LATE))) {
-            store.ifPresent(lost -> lost.fail(context.nowNanos()));
+            store.ifPresent(failedStore -> failedStore.recordFailure(context.nowNanos()));
         } else if (ended.imported() > 0) {
-            store.ifPresent(StoreTable.Store::succeed);
+            store.ifPresent(StoreTable.Store::recordSuccess);
         }
-        Set<BlockKey> gone = failed.entrySet().stream()
+        Set<BlockKey> lostKeys = failed.entrySet().stream()
                 .filter(entry -> entry.getValue() == EngineCacheUpdate.ImportFailure.GONE
                         || entry.getValue() == EngineCacheUpdate.ImportFailure.DAMAGED)
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
-        if (!gone.isEmpty()) {
-            state.prompts().dropCopies(ended.store(), gone);
+        if (!lostKeys.isEmpty()) {
+            state.prompts().removeCopies(ended.store(), lostKeys);
         }
     }
 
-    /** Forgets what replicas held that are gone, restarted, or run other weights now. */
-    private void takeEndpoints(EndpointsSnapshot endpoints) {
-        for (EndpointStatus before : state.endpoints().byId().values()) {
-            EndpointStatus now = endpoints.byId().get(before.id());
-            boolean sameCache = now != null
-                    && now.incarnation() == before.incarnation()
-                    && (before.version().isEmpty() || now.version().equals(before.version()));
+    /** Removes the blocks of replicas that were removed, were restarted or changed their weight version. */
+    private void updateEndpoints(EndpointsSnapshot endpoints) {
+        for (EndpointStatus previous : state.endpoints().byId().values()) {
+            EndpointStatus current = endpoints.byId().get(previous.id());
+            boolean sameCache = current != null
+                    && current.incarnation() == previous.incarnation()
+                    && (previous.version().isEmpty() || current.version().equals(previous.version()));
             if (!sameCache) {
-                state.replicas().forget(before.id());
+                state.replicas().remove(previous.id());
             }
         }
         state.setEndpoints(endpoints);
-        replicaReader.takeEndpoints(
+        eventPoller.updateEndpoints(
                 endpoints.byId().keySet().stream().sorted().collect(Collectors.<EndpointId>toList()));
     }
 
-    private void takeStores(PlatformListed listed) {
-        var names = listed.vms().stream()
+    private void updateStores(PlatformListed listed) {
+        var listedStores = listed.vms().stream()
                 .filter(vm -> vm.kind() == VmKind.STORE)
                 .map(vm -> {
                     StoreId id = StoreId.of(vm.name());
-                    maintenance.listed(state.stores().list(id, vm.address()), vm.incarnation());
+                    maintenance.storeListed(state.stores().addOrUpdate(id, vm.address()), vm.incarnation());
                     return id;
                 })
                 .toList();
-        state.stores().retain(names);
+        state.stores().retainAll(listedStores);
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/CacheSettings.java
+++ b/src/main/java/org/yuccagw/core/cache/CacheSettings.java
@@ -3,33 +3,33 @@
 import java.time.Duration;
 
 /**
- * How the cache part behaves.
+ * Settings of the cache component.
  *
  * @param exports when blocks are copied to a store
- * @param eviction which copies go first when a store fills up
- * @param mostTreeBlocks blocks of prompts that may return, over all prompts
- * @param mostReplicaPairs pairs of block and replica
- * @param pollsPerSecond reads of cache events a second, over all replicas
- * @param exportsAtOnce exports that run at the same time on one store's link
- * @param exportDelay how long a prompt must stay away before it is worth exporting
- * @param exportPrice what a millisecond of a link is worth against a millisecond of prefill
- * @param exportDeadline longest time of one export
- * @param importDeadline longest time of one import before a request
- * @param lookUpDeadline longest wait for a store's word on a prompt that this entry doesn't know
+ * @param eviction which copies are evicted first when a store fills up
+ * @param maxTreeBlocks maximum number of blocks in the {@link PromptTree}, over all prompts
+ * @param maxReplicaPairs maximum number of pairs of block and replica in the {@link ReplicaIndex}
+ * @param pollsPerSecond maximum reads of cache events per second, over all replicas
+ * @param maxConcurrentExports maximum number of concurrent exports on the link of one store
+ * @param exportDelay time since the last use of a prompt after which it may be exported
+ * @param exportCostFactor cost of a millisecond of link time, in milliseconds of prefill
+ * @param exportDeadline longest duration of one export
+ * @param importDeadline longest duration of one import for a waiting request
+ * @param lookUpDeadline longest wait for the stores' answers about a prompt that is unknown to this entry
  */
 public record CacheSettings(
         ExportPolicy exports,
         EvictionPolicy eviction,
-        int mostTreeBlocks,
-        int mostReplicaPairs,
+        int maxTreeBlocks,
+        int maxReplicaPairs,
         double pollsPerSecond,
-        int exportsAtOnce,
+        int maxConcurrentExports,
         Duration exportDelay,
-        double exportPrice,
+        double exportCostFactor,
         Duration exportDeadline,
         Duration importDeadline,
         Duration lookUpDeadline) {
-    private static final CacheSettings USUAL = new CacheSettings(
+    private static final CacheSettings DEFAULTS = new CacheSettings(
             ExportPolicy.BY_VALUE,
             EvictionPolicy.BY_VALUE,
             1_500_000,
@@ -45,77 +45,81 @@
     /** When blocks are copied to a store. */
     public enum ExportPolicy {
         NEVER,
-        /** At once after each answer. */
+        /** Immediately after each answer. */
         ALWAYS,
-        /** When the expected saving passes the cost, the best first, only while no request waits for the link. */
+        /**
+         * If the expected saving exceeds the cost, in the order of their ratio, and only while no request waits for the
+         * link.
+         */
         BY_VALUE
     }
 
-    /** Which copies go first. */
+    /** Which copies are evicted first. */
     public enum EvictionPolicy {
         LEAST_RECENTLY_USED,
+        /** Those with the lowest Gittins index. */
         BY_VALUE
     }
 
-    public static CacheSettings usual() {
-        return USUAL;
+    public static CacheSettings defaults() {
+        return DEFAULTS;
     }
 
     public CacheSettings withPolicies(ExportPolicy newExports, EvictionPolicy newEviction) {
         return new CacheSettings(
                 newExports,
                 newEviction,
-                mostTreeBlocks,
-                mostReplicaPairs,
+                maxTreeBlocks,
+                maxReplicaPairs,
                 pollsPerSecond,
-                exportsAtOnce,
+                maxConcurrentExports,
                 exportDelay,
-                exportPrice,
+                exportCostFactor,
                 exportDeadline,
                 importDeadline,
                 lookUpDeadline);
     }
 
-    public CacheSettings withExports(int atOnce, Duration delay, double price) {
+    public CacheSettings withExports(int newMaxConcurrentExports, Duration newExportDelay, double newExportCostFactor) {
         return new CacheSettings(
                 exports,
                 eviction,
-                mostTreeBlocks,
-                mostReplicaPairs,
+                maxTreeBlocks,
+                maxReplicaPairs,
                 pollsPerSecond,
-                atOnce,
-                delay,
-                price,
+                newMaxConcurrentExports,
+                newExportDelay,
+                newExportCostFactor,
                 exportDeadline,
                 importDeadline,
                 lookUpDeadline);
     }
 
-    public CacheSettings withMemory(int treeBlocks, int replicaPairs) {
+    public CacheSettings withIndexLimits(int newMaxTreeBlocks, int newMaxReplicaPairs) {
         return new CacheSettings(
                 exports,
                 eviction,
-                treeBlocks,
-                replicaPairs,
+                newMaxTreeBlocks,
+                newMaxReplicaPairs,
                 pollsPerSecond,
-                exportsAtOnce,
+                maxConcurrentExports,
                 exportDelay,
-                exportPrice,
+                exportCostFactor,
                 exportDeadline,
                 importDeadline,
                 lookUpDeadline);
     }
 
-    public CacheSettings withPolls(double newPollsPerSecond) {
+    public CacheSettings withPollsPerSecond(double newPollsPerSecond) {
         return new CacheSettings(
                 exports,
                 eviction,
-                mostTreeBlocks,
-                mostReplicaPairs,
+                maxTreeBlocks,
+                maxReplicaPairs,
                 newPollsPerSecond,
-                exportsAtOnce,
+                maxConcurrentExports,
                 exportDelay,
-                exportPrice,
+                exportCostFactor,
                 exportDeadline,
                 importDeadline,
                 lookUpDeadline);
--- a/src/main/java/org/yuccagw/core/cache/CacheState.java
+++ b/src/main/java/org/yuccagw/core/cache/CacheState.java
@@ -9,14 +9,14 @@
 import org.yuccagw.core.id.ServiceName;
 
 /**
- * What the cache part and the route part know together; both run on the control thread.
+ * State shared by the cache component and the route component, both of which run on the control thread.
  *
- * <p>The cache part writes it from news of engines and stores, the route part reads it for each request and notes which
- * prompts arrive.
+ * <p>The cache component updates it from the reports of engines and stores. The route component reads it for each
+ * request and records which prompts are requested.
  */
 public final class CacheState {
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double FIRST_PREFILL_TOKENS_PER_MILLI = 8;
+    private static final double INITIAL_PREFILL_TOKENS_PER_MILLI = 8;
 
     private final CacheSettings settings;
     private final ReplicaIndex replicas;
@@ -26,21 +26,21 @@
     private final ImportsInProgress imports = new ImportsInProgress();
     private Catalogue catalogue = Catalogue.none();
     private EndpointsSnapshot endpoints = EndpointsSnapshot.empty();
-    private boolean otherEntries;
-    private OptionalDouble prefillSpeed = OptionalDouble.empty();
+    private boolean hasOtherEntries;
+    private OptionalDouble prefillTokensPerMilli = OptionalDouble.empty();
 
     private CacheState(CacheSettings settings) {
         this.settings = settings;
-        this.replicas = ReplicaIndex.of(settings.mostReplicaPairs());
-        this.prompts = PromptTree.of(settings.mostTreeBlocks(), forecast);
+        this.replicas = ReplicaIndex.of(settings.maxReplicaPairs());
+        this.prompts = PromptTree.of(settings.maxTreeBlocks(), forecast);
     }
 
     public static CacheState of(CacheSettings settings) {
         return new CacheState(settings);
     }
 
-    /** A span of monotonic time in seconds since the clock's own start. */
-    public static double seconds(long nowNanos) {
+    /** Converts a reading of the monotonic clock from nanoseconds to seconds. */
+    public static double toSeconds(long nowNanos) {
         return nowNanos / NANOS_PER_SECOND;
     }
 
@@ -80,100 +80,105 @@
         endpoints = newEndpoints;
     }
 
-    /** Whether prompts may have been served by entries other than this one. */
+    /** Returns whether entries other than this one may have served prompts. */
     public boolean hasOtherEntries() {
-        return otherEntries;
+        return hasOtherEntries;
     }
 
-    void noteOtherEntries() {
-        otherEntries = true;
+    void markOtherEntriesSeen() {
+        hasOtherEntries = true;
     }
 
-    /** Prompt tokens that a replica processes in a millisecond, as the route part learned it over all replicas. */
+    /**
+     * Returns the prefill speed of a replica in tokens per millisecond, as estimated by the route component over all
+     * replicas.
+     */
     public double prefillTokensPerMilli() {
-        return prefillSpeed.orElse(FIRST_PREFILL_TOKENS_PER_MILLI);
+        return prefillTokensPerMilli.orElse(INITIAL_PREFILL_TOKENS_PER_MILLI);
     }
 
-    public void learnPrefillSpeed(double tokensPerMilli) {
-        prefillSpeed = OptionalDouble.of(tokensPerMilli);
+    public void setPrefillTokensPerMilli(double tokensPerMilli) {
+        prefillTokensPerMilli = OptionalDouble.of(tokensPerMilli);
     }
 
-    /** The settings of a model service of the catalogue. */
+    /** Returns the model settings of a service of the catalogue; empty if the service is unknown or has no model. */
     public Optional<Service.ModelSettings> model(ServiceName service) {
         return catalogue.service(service).flatMap(Service::model);
     }
 
-    /** Whether new requests of the scope's service still use its weight version. */
+    /** Returns whether new requests to the scope's service still use the scope's weight version. */
     public boolean isCurrent(PromptScope scope) {
         return model(scope.service())
                 .map(model -> model.version().equals(scope.version()))
                 .orElse(false);
     }
 
-    /** Bytes of one block when it is moved. */
+    /** Returns the size of one block in a transfer, in bytes. */
     long blockBytes(PromptScope scope) {
         return model(scope.service())
                 .map(model -> (long) model.blockTokens() * model.bytesPerToken())
                 .orElse(0L);
     }
 
-    /** Milliseconds of prefill that one block saves. */
+    /** Returns the prefill time that a reused block saves, in milliseconds. */
     double blockPrefillMillis(PromptScope scope) {
         return model(scope.service())
                 .map(model -> model.blockTokens() / prefillTokensPerMilli())
                 .orElse(0.0);
     }
 
-    /** The value of keeping a node's blocks; nothing once their weight version is out of use. */
-    double index(PromptNode node, double nowSeconds) {
-        return isCurrent(node.scope()) ? prompts.index(node, nowSeconds) : 0;
+    /** Returns the Gittins index of a node's blocks, 0 once their weight version is no longer in use. */
+    double gittinsIndex(PromptNode node, double nowSeconds) {
+        return isCurrent(node.scope()) ? prompts.gittinsIndex(node, nowSeconds) : 0;
     }
 
     /**
-     * Whether the store should have a copy of the run. A run that many prompts share is wanted in every store, since
-     * what continues it is spread over all; any other in one, its home.
+     * Returns whether the store should receive a copy of the run or of the rest of it. A run that many prompts share is
+     * copied to every store, because the runs that continue it are distributed over all stores. Any other run is copied
+     * to its home store only.
      */
-    boolean isWantedIn(StoreTable.Store store, PromptNode node, long nowNanos) {
+    boolean needsCopyIn(StoreTable.Store store, PromptNode node, long nowNanos) {
         if (node.isShared()) {
-            return node.copyIn(store.id()).map(PromptNode.Copy::blocks).orElse(0) < node.blocks();
+            return node.copyIn(store.id()).map(PromptNode.Copy::blockCount).orElse(0) < node.blockCount();
         }
-        return node.storedBlocks() < node.blocks()
+        return node.maxCopyBlocks() < node.blockCount()
                 && homeStore(node, nowNanos).filter(home -> home == store).isPresent();
     }
 
     /**
-     * The store where a prompt's own blocks go: where their beginning or the run before them is, so that one import can
-     * bring all, else by rendezvous hashing over the usable stores, so that all entries choose the same.
+     * Returns the home store of a run that isn't shared: the usable store that holds a copy of the run or of the
+     * nearest unshared run before it, so that one import can transfer all of them. Without such a store it is chosen by
+     * rendezvous hashing over the usable stores, so that all entries choose the same one.
      */
     private Optional<StoreTable.Store> homeStore(PromptNode node, long nowNanos) {
-        PromptNode above = node;
-        while (above != null && !above.isShared()) {
-            for (PromptNode.Copy copy : above.copies()) {
+        PromptNode ancestor = node;
+        while (ancestor != null && !ancestor.isShared()) {
+            for (PromptNode.Copy copy : ancestor.copies()) {
                 Optional<StoreTable.Store> store = stores.find(copy.store());
                 if (store.isPresent() && store.get().isUsable(nowNanos)) {
                     return store;
                 }
             }
-            above = above.parent();
+            ancestor = ancestor.parent();
         }
-        return rendezvous(node.key(0), nowNanos);
+        return rendezvousStore(node.key(0), nowNanos);
     }
 
-    /** The usable store with the highest hash of itself and the key. */
-    Optional<StoreTable.Store> rendezvous(BlockKey key, long nowNanos) {
+    /** Returns the usable store with the highest rendezvous weight for the key. */
+    Optional<StoreTable.Store> rendezvousStore(BlockKey key, long nowNanos) {
         StoreTable.Store best = null;
-        long bestHash = Long.MIN_VALUE;
+        long bestWeight = Long.MIN_VALUE;
         for (StoreTable.Store store : stores.all()) {
-            long hash = Rendezvous.weight(store.id().value(), key);
-            if (store.isUsable(nowNanos) && (best == null || hash > bestHash)) {
+            long weight = Rendezvous.weight(store.id().value(), key);
+            if (store.isUsable(nowNanos) && (best == null || weight > bestWeight)) {
                 best = store;
-                bestHash = hash;
+                bestWeight = weight;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    /** Usable stores, for lookups. */
+    /** Returns the stores that may be used now. */
     public List<StoreTable.Store> usableStores(long nowNanos) {
         return stores.all().stream().filter(store -> store.isUsable(nowNanos)).toList();
     }
--- a/src/main/java/org/yuccagw/core/cache/EngineCacheUpdate.java
+++ b/src/main/java/org/yuccagw/core/cache/EngineCacheUpdate.java
@@ -7,10 +7,15 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.id.WeightVersion;
 
-/** What engines told of their caches, as events. */
+/** Events that report the state of the engines' caches and the outcomes of exports and imports. */
 public interface EngineCacheUpdate extends ControlEvent {
     EndpointId endpoint();
 
+    /**
+     * Cache events of an engine.
+     *
+     * @param lastSequence sequence number of the last event of the engine
+     */
     record EventsRead(EndpointId endpoint, long lastSequence, List<ReplicaIndex.Event> events)
             implements EngineCacheUpdate {
         public EventsRead {
@@ -18,6 +23,11 @@
         }
     }
 
+    /**
+     * The keys of all blocks that an engine holds.
+     *
+     * @param sequence sequence number of the last event that the snapshot includes
+     */
     record SnapshotRead(EndpointId endpoint, long sequence, Optional<WeightVersion> version, List<BlockKey> blocks)
             implements EngineCacheUpdate {
         public SnapshotRead {
@@ -25,15 +35,16 @@
         }
     }
 
-    /** Events or a snapshot could not be read. */
+    /** The cache events or the snapshot of an engine could not be read. */
     record ReadFailed(EndpointId endpoint) implements EngineCacheUpdate {}
 
     /**
      * An export ended.
      *
-     * @param exported blocks that are sealed in the store now, in the order of the prompt
-     * @param full whether the store had no room for the rest
-     * @param failure empty if the order was carried out
+     * @param number the number of the {@link CacheCommand.ExportBlocks}
+     * @param exported blocks that are now sealed in the store, in the order of the prompt
+     * @param full whether the store had no capacity for the other blocks
+     * @param failure empty if the command was carried out
      */
     record ExportEnded(
             long number, EndpointId endpoint, List<StoredBlock> exported, boolean full, Optional<String> failure)
@@ -43,34 +54,43 @@
         }
     }
 
-    /** Why an engine didn't commit a block. */
+    /** Why an engine didn't commit a block of an import. */
     enum ImportFailure {
-        /** The store has it no more, or has another generation. */
+        /** The store no longer holds the block, or holds another generation of it. */
         GONE,
-        /** Length or checksum didn't match. */
+        /** The length or the checksum didn't match. */
         DAMAGED,
-        /** The deadline passed. */
+        /** The deadline of the import passed. */
         LATE,
-        /** The engine has no room. */
+        /** The engine has no free capacity. */
         FULL,
-        /** The store failed or fell silent. */
+        /** The store failed or stopped sending bytes. */
         STORE
     }
 
+    /** A block that an engine didn't commit, with the reason. */
     record FailedBlock(BlockKey key, ImportFailure reason) {}
 
-    /** An import ended: before a request, or as a prefetch. */
+    /**
+     * An import ended, either one for a waiting request or a prefetch.
+     *
+     * @param requested all blocks of the import
+     * @param imported number of blocks that the engine committed
+     * @param bytes bytes transferred
+     * @param millis duration of the import, in milliseconds
+     * @param failed blocks that the engine didn't commit
+     */
     record ImportEnded(
             EndpointId endpoint,
             StoreId store,
-            List<StoredBlock> asked,
+            List<StoredBlock> requested,
             int imported,
             long bytes,
             long millis,
             List<FailedBlock> failed)
             implements EngineCacheUpdate {
         public ImportEnded {
-            asked = List.copyOf(asked);
+            requested = List.copyOf(requested);
             failed = List.copyOf(failed);
         }
     }
--- a/src/main/java/org/yuccagw/core/cache/ImportsInProgress.java
+++ b/src/main/java/org/yuccagw/core/cache/ImportsInProgress.java
@@ -9,21 +9,21 @@
 import org.yuccagw.core.id.EndpointId;
 
 /**
- * Imports that are on their way to engines, so that a second request for the same preamble waits for the first one's
- * fetch and doesn't put the same bytes on the link again.
+ * The imports in progress. A second request for the same preamble joins the import of the first one, so that the same
+ * bytes aren't transferred twice.
  */
 public final class ImportsInProgress {
     private final List<Import> imports = new ArrayList<>();
 
     ImportsInProgress() {}
 
-    /** One import on its way. */
+    /** One import in progress. */
     public static final class Import {
         private final EndpointId endpoint;
         private final StoreTable.Store store;
         private final StoreTier tier;
         private final long bytes;
-        private final long bytesAhead;
+        private final long queuedBytes;
         private final long expectedEndNanos;
         private final ImmutableList<StoredBlock> blocks;
         private final Set<BlockKey> keys;
@@ -32,17 +32,17 @@
                 EndpointId endpoint,
                 StoreTable.Store store,
                 StoreTier tier,
-                List<StoredBlock> stored,
+                List<StoredBlock> blocks,
                 long expectedEndNanos) {
             this.endpoint = endpoint;
             this.store = store;
             this.tier = tier;
-            this.bytes = stored.stream().mapToLong(StoredBlock::length).sum();
-            this.bytesAhead = store.bytesAhead();
+            this.bytes = blocks.stream().mapToLong(StoredBlock::length).sum();
+            this.queuedBytes = store.queuedBytes();
             this.expectedEndNanos = expectedEndNanos;
-            this.blocks = ImmutableList.copyOf(stored);
+            this.blocks = ImmutableList.copyOf(blocks);
             this.keys = new HashSet<>();
-            stored.forEach(block -> keys.add(block.key()));
+            blocks.forEach(block -> keys.add(block.key()));
         }
 
         public EndpointId endpoint() {
@@ -57,54 +57,57 @@
             return blocks;
         }
 
-        /** Milliseconds until it should be done, 0 once it is late. */
-        public double leftMillis(long nowNanos) {
+        /** Returns the predicted milliseconds until the import ends, 0 once the predicted end has passed. */
+        public double remainingMillis(long nowNanos) {
             return Math.max(0, (expectedEndNanos - nowNanos) / 1e6);
         }
 
-        public boolean brings(BlockKey key) {
+        /** Returns whether the block is part of the import. */
+        public boolean includes(BlockKey key) {
             return keys.contains(key);
         }
     }
 
-    /** An import begins; its bytes count as waiting on the store's link until {@link #end}. */
+    /** Adds an import. Its bytes count as queued on the store's link until {@link #end} or {@link #complete}. */
     public Import begin(
-            EndpointId endpoint, StoreTable.Store store, StoreTier tier, List<StoredBlock> stored, long nowNanos) {
-        long bytes = stored.stream().mapToLong(StoredBlock::length).sum();
-        long expectedEnd = nowNanos + (long) (store.fetchMillis(tier, bytes) * 1e6);
-        Import begun = new Import(endpoint, store, tier, stored, expectedEnd);
-        store.beginFetch(begun.bytes);
-        imports.add(begun);
-        return begun;
+            EndpointId endpoint, StoreTable.Store store, StoreTier tier, List<StoredBlock> blocks, long nowNanos) {
+        long bytes = blocks.stream().mapToLong(StoredBlock::length).sum();
+        long expectedEndNanos = nowNanos + (long) (store.fetchMillis(tier, bytes) * 1e6);
+        Import started = new Import(endpoint, store, tier, blocks, expectedEndNanos);
+        store.beginFetch(started.bytes);
+        imports.add(started);
+        return started;
     }
 
-    /** It ended, however; a second end of the same one does nothing. */
+    /** Removes an import that ended, with any outcome. Calls for an import that was removed have no effect. */
     public void end(Import ended) {
         if (imports.remove(ended)) {
             ended.store.endFetch(ended.bytes);
         }
     }
 
-    /** It ended with all its blocks after this time, which tells of the link's speed. */
-    public void endWhole(Import ended, double millis) {
+    /**
+     * Removes an import that transferred all its blocks, and updates the estimated rate of the link from its duration.
+     */
+    public void complete(Import ended, double millis) {
         if (imports.contains(ended)) {
-            ended.store.learnRate(ended.tier, ended.bytesAhead, ended.bytes, millis);
+            ended.store.updateRate(ended.tier, ended.queuedBytes, ended.bytes, millis);
         }
         end(ended);
     }
 
-    /** An import to the endpoint that brings the block. */
+    /** Returns an import to the endpoint that includes the block. */
     public Optional<Import> find(EndpointId endpoint, BlockKey block) {
-        for (Import running : imports) {
-            if (running.endpoint.equals(endpoint) && running.brings(block)) {
-                return Optional.of(running);
+        for (Import inProgress : imports) {
+            if (inProgress.endpoint.equals(endpoint) && inProgress.includes(block)) {
+                return Optional.of(inProgress);
             }
         }
         return Optional.empty();
     }
 
-    /** All that bring the block. */
-    public List<Import> bringing(BlockKey block) {
-        return imports.stream().filter(running -> running.brings(block)).toList();
+    /** Returns all imports that include the block. */
+    public List<Import> findAll(BlockKey block) {
+        return imports.stream().filter(inProgress -> inProgress.includes(block)).toList();
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/PlacementBroadcaster.java
+++ b/src/main/java/org/yuccagw/core/cache/PlacementBroadcaster.java
@@ -9,20 +9,21 @@
 import org.yuccagw.core.membership.MembersChanged;
 
 /**
- * Tells the other entries about new copies, within a budget of bytes a second; what passes it isn't told.
+ * Broadcasts new copies in stores to the other entries, within a budget of bytes per second. Messages beyond the budget
+ * are not sent.
  *
- * <p>Nobody depends on it: an entry that doesn't know of a copy asks the stores when the prompt returns. Telling saves
- * that question where there are few entries, and the budget bounds its cost where there are many.
+ * <p>The broadcast is an optimization: an entry that has no record of a copy queries the stores when the prompt
+ * returns. With few entries the broadcast saves this query; with many entries the budget bounds its cost.
  */
 final class PlacementBroadcaster {
-    private static final int BYTES_PER_BLOCK = 56;
-    private static final double BYTES_PER_SECOND = 1_000;
-    private static final double MOST_CREDIT = 8_000;
+    private static final int MESSAGE_BYTES_PER_BLOCK = 56;
+    private static final double BUDGET_BYTES_PER_SECOND = 1_000;
+    private static final double MAX_BUDGET_BYTES = 8_000;
 
     private final CacheState state;
-    private List<EntryId> others = List.of();
-    private double credit = MOST_CREDIT;
-    private double creditedSeconds;
+    private List<EntryId> aliveEntries = List.of();
+    private double budgetBytes = MAX_BUDGET_BYTES;
+    private double lastRefillSeconds;
 
     private PlacementBroadcaster(CacheState state) {
         this.state = state;
@@ -32,8 +33,8 @@
         return new PlacementBroadcaster(state);
     }
 
-    /** Takes copies into the tree, tier by tier. */
-    static void note(CacheState state, StoreId store, List<StoreUpdate.Found> found) {
+    /** Records copies in the tree, one run of blocks of the same tier at a time. */
+    static void recordCopies(CacheState state, StoreId store, List<StoreUpdate.Found> found) {
         int from = 0;
         for (int i = 1; i <= found.size(); i++) {
             if (i == found.size() || found.get(i).tier() != found.get(from).tier()) {
@@ -45,38 +46,42 @@
         }
     }
 
-    void takeMembers(MembersChanged members) {
-        others = members.entries().stream()
-                .filter(entry -> entry.state() == EntryStatus.State.ALIVE)
+    void updateMembers(MembersChanged members) {
+        aliveEntries = members.entries().stream()
+                .filter(status -> status.state() == EntryStatus.State.ALIVE)
                 .map(EntryStatus::entry)
                 .toList();
     }
 
-    /** Another entry's word: its prompts become known here, so that whoever keeps the store can weigh them. */
+    /**
+     * Records copies that another entry reported, and their prompts, so that the entry that maintains the store can
+     * compare their values.
+     */
     void received(BlocksPlaced placed, ControlContext context) {
         if (state.stores().find(placed.store()).isPresent()) {
             List<BlockKey> keys =
                     placed.blocks().stream().map(found -> found.block().key()).toList();
-            state.prompts().learn(keys, placed.startDepth(), placed.scope(), CacheState.seconds(context.nowNanos()));
-            note(state, placed.store(), placed.blocks());
+            state.prompts().addRun(keys, placed.startDepth(), placed.scope(), CacheState.toSeconds(context.nowNanos()));
+            recordCopies(state, placed.store(), placed.blocks());
         }
     }
 
-    void tell(PromptScope scope, int startDepth, StoreId store, List<StoredBlock> blocks, ControlContext context) {
-        earn(CacheState.seconds(context.nowNanos()));
+    void broadcast(PromptScope scope, int startDepth, StoreId store, List<StoredBlock> blocks, ControlContext context) {
+        refillBudget(CacheState.toSeconds(context.nowNanos()));
         List<StoreUpdate.Found> placed = new ArrayList<>();
         blocks.forEach(block -> placed.add(new StoreUpdate.Found(block, StoreTier.MEMORY)));
-        for (EntryId other : others) {
-            double cost = (double) blocks.size() * BYTES_PER_BLOCK;
-            if (!other.equals(context.self().entry()) && credit >= cost) {
-                credit -= cost;
-                context.send(other, new BlocksPlaced(scope, startDepth, store, placed));
+        for (EntryId entry : aliveEntries) {
+            double costBytes = (double) blocks.size() * MESSAGE_BYTES_PER_BLOCK;
+            if (!entry.equals(context.self().entry()) && budgetBytes >= costBytes) {
+                budgetBytes -= costBytes;
+                context.send(entry, new BlocksPlaced(scope, startDepth, store, placed));
             }
         }
     }
 
-    private void earn(double nowSeconds) {
-        credit = Math.min(MOST_CREDIT, credit + (nowSeconds - creditedSeconds) * BYTES_PER_SECOND);
-        creditedSeconds = nowSeconds;
+    private void refillBudget(double nowSeconds) {
+        budgetBytes =
+                Math.min(MAX_BUDGET_BYTES, budgetBytes + (nowSeconds - lastRefillSeconds) * BUDGET_BYTES_PER_SECOND);
+        lastRefillSeconds = nowSeconds;
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/PrefetchRequested.java
+++ b/src/main/java/org/yuccagw/core/cache/PrefetchRequested.java
@@ -5,10 +5,10 @@
 import org.yuccagw.core.control.ControlEvent;
 
 /**
- * A caller says that a prompt will soon be asked for, such as when a notebook is opened.
+ * A hint of a caller that it will soon request a prompt, for example because a notebook was opened.
  *
- * @param blocks keys of the prompt's whole blocks, as for a request
- * @param reply told how many blocks are being brought to an engine
+ * @param blocks keys of the whole blocks of the prompt, computed as for a request
+ * @param reply receives the number of blocks whose import into an engine was started
  */
 public record PrefetchRequested(PromptScope scope, ImmutableList<BlockKey> blocks, Consumer<Integer> reply)
         implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/cache/Prefetcher.java
+++ b/src/main/java/org/yuccagw/core/cache/Prefetcher.java
@@ -11,10 +11,10 @@
 import org.yuccagw.core.id.EndpointId;
 
 /**
- * Brings a prompt's stored blocks to an engine before the prompt is asked for, on a caller's hint.
+ * Imports the stored blocks of a prompt into an engine before the prompt is requested, on a hint of a caller.
  *
- * <p>Does nothing if an engine seems to hold as much already, or if the store's link has fetches for waiting requests:
- * those go first.
+ * <p>No import is started if an engine already seems to hold as many blocks, or while the store's link carries fetches
+ * for waiting requests, which have priority.
  */
 final class Prefetcher {
     private final CacheState state;
@@ -28,24 +28,24 @@
         return new Prefetcher(state);
     }
 
-    void asked(PrefetchRequested requested, ControlContext context) {
-        int begun = begin(requested.scope(), requested.blocks(), context);
-        context.reply(() -> requested.reply().accept(begun));
+    void prefetchRequested(PrefetchRequested requested, ControlContext context) {
+        int started = startImport(requested.scope(), requested.blocks(), context);
+        context.reply(() -> requested.reply().accept(started));
     }
 
     void importEnded(EngineCacheUpdate.ImportEnded ended, ControlContext context) {
-        List<ImportsInProgress.Import> there = running.getOrDefault(ended.endpoint(), List.of());
-        for (ImportsInProgress.Import prefetch : List.copyOf(there)) {
-            boolean same = !ended.asked().isEmpty()
-                    && prefetch.brings(ended.asked().get(0).key());
-            if (same) {
+        List<ImportsInProgress.Import> prefetches = running.getOrDefault(ended.endpoint(), List.of());
+        for (ImportsInProgress.Import prefetch : List.copyOf(prefetches)) {
+            boolean isSameImport = !ended.requested().isEmpty()
+                    && prefetch.includes(ended.requested().get(0).key());
+            if (isSameImport) {
                 state.imports().end(prefetch);
-                there.remove(prefetch);
+                prefetches.remove(prefetch);
             }
         }
     }
 
-    private int begin(PromptScope scope, ImmutableList<BlockKey> prompt, ControlContext context) {
+    private int startImport(PromptScope scope, ImmutableList<BlockKey> prompt, ControlContext context) {
         Optional<StoredPrefix> stored = StoredPrefix.find(state, prompt, 0, context.nowNanos());
         if (stored.isEmpty() || !state.isCurrent(scope)) {
             return 0;
@@ -53,26 +53,26 @@
         List<EndpointStatus> candidates = state.endpoints().takingNewWork(poolOf(scope)).stream()
                 .filter(endpoint -> endpoint.version().equals(Optional.of(scope.version())))
                 .toList();
-        int held = candidates.stream()
-                .mapToInt(endpoint -> state.replicas().prefix(endpoint.id(), prompt))
+        int heldBlocks = candidates.stream()
+                .mapToInt(endpoint -> state.replicas().prefixBlocks(endpoint.id(), prompt))
                 .max()
                 .orElse(Integer.MAX_VALUE);
         StoreTable.Store store = stored.get().store();
-        if (held >= stored.get().blocks().size() || store.foregroundBytes() > 0) {
+        if (heldBlocks >= stored.get().blocks().size() || store.foregroundBytes() > 0) {
             return 0;
         }
-        EndpointStatus target = preferred(candidates, prompt);
-        ImportsInProgress.Import begun = state.imports()
+        EndpointStatus target = preferredEndpoint(candidates, prompt);
+        ImportsInProgress.Import started = state.imports()
                 .begin(
                         target.id(),
                         store,
                         stored.get().slowestTier(),
                         stored.get().blocks(),
                         context.nowNanos());
-        running.computeIfAbsent(target.id(), id -> new ArrayList<>()).add(begun);
-        context.perform(new CacheOrder.PrefetchBlocks(
+        running.computeIfAbsent(target.id(), id -> new ArrayList<>()).add(started);
+        context.perform(new CacheCommand.PrefetchBlocks(
                 target,
-                new CacheOrder.StoreAddress(store.id(), store.address()),
+                new CacheCommand.StoreAddress(store.id(), store.address()),
                 scope.version(),
                 stored.get().blocks(),
                 state.settings().importDeadline()));
@@ -86,12 +86,12 @@
                 .orElse("");
     }
 
-    private static EndpointStatus preferred(List<EndpointStatus> candidates, ImmutableList<BlockKey> prompt) {
-        BlockKey name = PromptTree.affinityKey(prompt);
+    private static EndpointStatus preferredEndpoint(List<EndpointStatus> candidates, ImmutableList<BlockKey> prompt) {
+        BlockKey affinityKey = PromptTree.affinityKey(prompt);
         EndpointStatus best = candidates.get(0);
         for (EndpointStatus candidate : candidates) {
-            if (Rendezvous.weight(candidate.id().value(), name)
-                    > Rendezvous.weight(best.id().value(), name)) {
+            if (Rendezvous.weight(candidate.id().value(), affinityKey)
+                    > Rendezvous.weight(best.id().value(), affinityKey)) {
                 best = candidate;
             }
         }
--- a/src/main/java/org/yuccagw/core/cache/PromptNode.java
+++ b/src/main/java/org/yuccagw/core/cache/PromptNode.java
@@ -8,13 +8,15 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * A run of blocks that were always asked for together, with where copies of them are stored.
+ * A node of the {@link PromptTree}: a run of consecutive blocks that have always been requested together, and the
+ * stored copies of them.
  *
- * <p>A copy covers the first blocks of the run, all in one store, so a copy that lost its end is still of use.
+ * <p>A copy covers the first blocks of the run and is held by one store. A copy that has lost its last blocks can still
+ * be used.
  */
 public final class PromptNode {
     private static final int LONGS_PER_KEY = 2;
-    private static final int MOST_CHILDREN_OF_ONE_PROMPT = 16;
+    private static final int MAX_CHILDREN_OF_UNSHARED_RUN = 16;
 
     private final PromptScope scope;
     private PromptNode parent;
@@ -25,7 +27,7 @@
     private double lastUseSeconds;
     private int uses;
     private int children;
-    private int position = -1;
+    private int listPosition = -1;
     private boolean exporting;
 
     PromptNode(PromptScope scope, PromptNode parent, int startDepth, List<BlockKey> blocks) {
@@ -39,7 +41,7 @@
         }
     }
 
-    /** One stored copy of the run's first blocks. */
+    /** A stored copy of the first blocks of the run. */
     public static final class Copy {
         private final StoreId store;
         private StoreTier tier;
@@ -72,14 +74,15 @@
             return tier;
         }
 
-        void moveTo(StoreTier newTier) {
+        void setTier(StoreTier newTier) {
             tier = newTier;
         }
 
-        public int blocks() {
+        public int blockCount() {
             return generations.length;
         }
 
+        /** Returns the size of all blocks of the copy, in bytes. */
         public long bytes() {
             return (long) blockBytes * generations.length;
         }
@@ -88,15 +91,15 @@
             return blockBytes;
         }
 
-        private Copy followedBy(StoredBlock block) {
-            long[] moreGenerations = Arrays.copyOf(generations, generations.length + 1);
-            int[] moreChecksums = Arrays.copyOf(checksums, checksums.length + 1);
-            moreGenerations[generations.length] = block.generation();
-            moreChecksums[checksums.length] = (int) block.checksum();
-            return new Copy(store, tier, blockBytes, moreGenerations, moreChecksums);
+        private Copy withAppended(StoredBlock block) {
+            long[] newGenerations = Arrays.copyOf(generations, generations.length + 1);
+            int[] newChecksums = Arrays.copyOf(checksums, checksums.length + 1);
+            newGenerations[generations.length] = block.generation();
+            newChecksums[checksums.length] = (int) block.checksum();
+            return new Copy(store, tier, blockBytes, newGenerations, newChecksums);
         }
 
-        private Copy part(int from, int to) {
+        private Copy slice(int from, int to) {
             return new Copy(
                     store,
                     tier,
@@ -114,12 +117,12 @@
         return parent;
     }
 
-    /** Blocks of the prompt before this run. */
+    /** Returns the number of blocks of the prompt before this run. */
     public int startDepth() {
         return startDepth;
     }
 
-    public int blocks() {
+    public int blockCount() {
         return keys.length / LONGS_PER_KEY;
     }
 
@@ -127,10 +130,10 @@
         return BlockKey.of(keys[index * LONGS_PER_KEY], keys[index * LONGS_PER_KEY + 1]);
     }
 
-    /** The keys from the given index on. */
+    /** Returns the keys from the given index to the end of the run. */
     public ImmutableList<BlockKey> keysFrom(int from) {
         ImmutableList.Builder<BlockKey> list = ImmutableList.builder();
-        for (int i = from; i < blocks(); i++) {
+        for (int i = from; i < blockCount(); i++) {
             list.add(key(i));
         }
         return list.build();
@@ -140,21 +143,27 @@
         return keys[index * LONGS_PER_KEY] == key.high() && keys[index * LONGS_PER_KEY + 1] == key.low();
     }
 
+    /** Returns the time of the last use, in seconds of the monotonic clock. */
     public double lastUseSeconds() {
         return lastUseSeconds;
     }
 
+    /** Returns how often the run has been requested. */
     public int uses() {
         return uses;
     }
 
+    /** Returns the number of runs that continue this one. */
     public int children() {
         return children;
     }
 
-    /** Whether many prompts go on after this run in their own ways, as after the common beginning of a workspace. */
+    /**
+     * Returns whether many different prompts continue this run, as they do after a prefix that is common to a
+     * workspace.
+     */
     boolean isShared() {
-        return children > MOST_CHILDREN_OF_ONE_PROMPT;
+        return children > MAX_CHILDREN_OF_UNSHARED_RUN;
     }
 
     public List<Copy> copies() {
@@ -165,43 +174,44 @@
         return copies.stream().filter(copy -> copy.store.equals(store)).findFirst();
     }
 
-    /** Most blocks that any copy covers. */
-    public int storedBlocks() {
-        int most = 0;
+    /** Returns the number of blocks of the longest copy, 0 without a copy. */
+    public int maxCopyBlocks() {
+        int maxBlocks = 0;
         for (Copy copy : copies) {
-            most = Math.max(most, copy.blocks());
+            maxBlocks = Math.max(maxBlocks, copy.blockCount());
         }
-        return most;
+        return maxBlocks;
     }
 
-    /** The first blocks of a copy as the store names them, from one index up to another. */
-    public ImmutableList<StoredBlock> stored(Copy copy, int from, int to) {
+    /** Returns the blocks of a copy as the store identifies them, from one index up to but not including another. */
+    public ImmutableList<StoredBlock> storedBlocks(Copy copy, int from, int to) {
         ImmutableList.Builder<StoredBlock> list = ImmutableList.builder();
-        for (int i = from; i < Math.min(to, copy.blocks()); i++) {
+        for (int i = from; i < Math.min(to, copy.blockCount()); i++) {
             list.add(new StoredBlock(
                     key(i), copy.generations[i], copy.blockBytes, Integer.toUnsignedLong(copy.checksums[i])));
         }
         return list.build();
     }
 
+    /** Returns whether an export of the run to a store is in progress. */
     public boolean isExporting() {
         return exporting;
     }
 
-    void setExporting(boolean now) {
-        exporting = now;
+    void setExporting(boolean newExporting) {
+        exporting = newExporting;
     }
 
     ReturnForecast.Exposure exposure() {
         return exposure;
     }
 
-    int position() {
-        return position;
+    int listPosition() {
+        return listPosition;
     }
 
-    void setPosition(int newPosition) {
-        position = newPosition;
+    void setListPosition(int newListPosition) {
+        listPosition = newListPosition;
     }
 
     void addChild() {
@@ -212,27 +222,27 @@
         children--;
     }
 
-    void use(double nowSeconds, ReturnForecast.Exposure newExposure) {
+    void recordUse(double nowSeconds, ReturnForecast.Exposure newExposure) {
         lastUseSeconds = nowSeconds;
         uses++;
         exposure = newExposure;
     }
 
-    /** The use that a return would have as its number. */
-    int nextUse() {
+    /** Returns the number that the next use of the run will have. */
+    int nextUseNumber() {
         return uses + 1;
     }
 
     void addCopy(Copy copy) {
         removeCopy(copy.store);
-        List<Copy> grown = new ArrayList<>(copies);
-        grown.add(copy);
-        copies = List.copyOf(grown);
+        List<Copy> newCopies = new ArrayList<>(copies);
+        newCopies.add(copy);
+        copies = List.copyOf(newCopies);
     }
 
-    /** Index of the block in the run, -1 if it isn't one of it. */
+    /** Returns the index of the block in the run, -1 if the run doesn't contain it. */
     int indexOf(BlockKey key) {
-        for (int i = 0; i < blocks(); i++) {
+        for (int i = 0; i < blockCount(); i++) {
             if (hasKeyAt(i, key)) {
                 return i;
             }
@@ -240,11 +250,14 @@
         return -1;
     }
 
-    /** Lengthens the store's copy by the block that follows it, or begins one; a block behind a gap is ignored. */
+    /**
+     * Appends the next block to the store's copy, or starts a copy with the first block. Ignores a block after a gap.
+     */
     void extendCopy(StoreId store, StoreTier tier, int index, StoredBlock block) {
         Optional<Copy> copy = copyIn(store);
-        if (copy.map(Copy::blocks).orElse(0) == index) {
-            addCopy(copy.map(known -> known.followedBy(block)).orElseGet(() -> Copy.of(store, tier, List.of(block))));
+        if (copy.map(Copy::blockCount).orElse(0) == index) {
+            addCopy(copy.map(existing -> existing.withAppended(block))
+                    .orElseGet(() -> Copy.of(store, tier, List.of(block))));
         }
     }
 
@@ -252,22 +265,25 @@
         copies = copies.stream().filter(copy -> !copy.store.equals(store)).toList();
     }
 
-    /** Forgets the copy's blocks from {@code index} on, because one of them is gone. */
+    /** Removes the blocks from {@code index} on from the store's copy, because the store lost the first of them. */
     void truncateCopy(StoreId store, int index) {
-        Optional<Copy> cut = copyIn(store);
-        if (cut.isPresent() && index < cut.get().blocks()) {
+        Optional<Copy> existing = copyIn(store);
+        if (existing.isPresent() && index < existing.get().blockCount()) {
             removeCopy(store);
             if (index > 0) {
-                addCopy(cut.get().part(0, index));
+                addCopy(existing.get().slice(0, index));
             }
         }
     }
 
-    /** Cuts the run at {@code at}: the returned new node has the first part, this one and its children continue it. */
-    PromptNode splitHead(int at) {
-        PromptNode head = new PromptNode(scope, parent, startDepth, keysFrom(0).subList(0, at));
+    /**
+     * Splits the run at {@code splitIndex}. The returned new node has the blocks before the index and becomes the
+     * parent of this node, which keeps the other blocks and its children.
+     */
+    PromptNode splitHead(int splitIndex) {
+        PromptNode head = new PromptNode(scope, parent, startDepth, keysFrom(0).subList(0, splitIndex));
         head.copies = copies.stream()
-                .map(copy -> copy.part(0, Math.min(at, copy.blocks())))
+                .map(copy -> copy.slice(0, Math.min(splitIndex, copy.blockCount())))
                 .toList();
         head.exposure = exposure;
         head.lastUseSeconds = lastUseSeconds;
@@ -275,12 +291,12 @@
         head.children = 1;
         head.exporting = exporting;
         copies = copies.stream()
-                .filter(copy -> copy.blocks() > at)
-                .map(copy -> copy.part(at, copy.blocks()))
+                .filter(copy -> copy.blockCount() > splitIndex)
+                .map(copy -> copy.slice(splitIndex, copy.blockCount()))
                 .toList();
-        keys = Arrays.copyOfRange(keys, at * LONGS_PER_KEY, keys.length);
+        keys = Arrays.copyOfRange(keys, splitIndex * LONGS_PER_KEY, keys.length);
         parent = head;
-        startDepth += at;
+        startDepth += splitIndex;
         return head;
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/PromptScope.java
+++ b/src/main/java/org/yuccagw/core/cache/PromptScope.java
@@ -4,5 +4,8 @@
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.id.WorkspaceId;
 
-/** Who asks for a prompt and on what; the blocks of one scope share forecasts and are worthless in any other. */
+/**
+ * The workspace, request class, service and weight version of a prompt. Blocks can be reused only by requests of the
+ * same workspace, service and version; return forecasts are kept by workspace and class.
+ */
 public record PromptScope(WorkspaceId workspace, String className, ServiceName service, WeightVersion version) {}
--- a/src/main/java/org/yuccagw/core/cache/PromptServed.java
+++ b/src/main/java/org/yuccagw/core/cache/PromptServed.java
@@ -4,6 +4,8 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.endpoint.EndpointStatus;
 
-/** An engine gave the whole answer to a prompt, so it holds the prompt's blocks; raised by the route part. */
+/**
+ * An engine completed its answer to a prompt and therefore holds the prompt's blocks. Raised by the route component.
+ */
 public record PromptServed(EndpointStatus endpoint, PromptScope scope, ImmutableList<BlockKey> blocks)
         implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/cache/PromptTree.java
+++ b/src/main/java/org/yuccagw/core/cache/PromptTree.java
@@ -9,48 +9,51 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * The prompts that may return, as a tree of runs of blocks: prompts with the same beginning share its nodes.
+ * A radix tree over the block keys of the prompts that may be requested again. Each node holds a run of blocks, and
+ * prompts with a common prefix share the nodes of that prefix.
  *
- * <p>A block's key stands for everything up to it, so a node is found by its first key alone, and if a prompt has the
- * node's last key at the right depth, it has the whole run: a walk costs by nodes, not by blocks. Where a prompt leaves
- * a run in the middle, the run is cut in two there, and the point is found by binary search.
+ * <p>The key of a block depends on all blocks before it. A node can therefore be found by its first key alone, and a
+ * prompt that has the last key of a node at the same depth contains the whole run, so the cost of finding a path grows
+ * with the number of nodes and not with the number of blocks. Where a prompt deviates from a run, the run is split in
+ * two; the split index is found by binary search.
  *
- * <p>Example: prompts ABCD and ABXY give the node AB with the children CD and XY. When ABCD returns, AB and CD count as
- * returned after the time since each was last asked for.
+ * <p>Example: the prompts ABCD and ABXY give the node AB with the children CD and XY. When ABCD is requested again, a
+ * return is recorded for AB and for CD, each after the time since its own last use.
  *
- * <p>Bounded: over the limit of blocks, leaves go, the least valuable of a sample first, those with a stored copy last.
+ * <p>The number of blocks is limited. Beyond the limit leaves are evicted: of a random sample the leaf with the lowest
+ * Gittins index, and leaves with a stored copy only if the sample contains no other.
  */
 public final class PromptTree {
-    private static final int SAMPLE = 16;
-    private static final double AFFINITY_SHARE = 0.6;
-    private static final double COPY_KEEPS = 1e9;
+    private static final int SAMPLE_SIZE = 16;
+    private static final double AFFINITY_DEPTH_SHARE = 0.6;
+    private static final double STORED_COPY_BONUS = 1e9;
 
-    private final int mostBlocks;
+    private final int maxBlocks;
     private final ReturnForecast forecast;
     private final Map<BlockKey, PromptNode> byFirstKey = new HashMap<>();
     private final List<PromptNode> nodes = new ArrayList<>();
-    private long blocks;
+    private long blockCount;
 
-    private PromptTree(int mostBlocks, ReturnForecast forecast) {
-        this.mostBlocks = mostBlocks;
+    private PromptTree(int maxBlocks, ReturnForecast forecast) {
+        this.maxBlocks = maxBlocks;
         this.forecast = forecast;
     }
 
-    /** An empty tree that keeps about so many blocks at most. */
-    public static PromptTree of(int mostBlocks, ReturnForecast forecast) {
-        return new PromptTree(mostBlocks, forecast);
+    /** Returns an empty tree that holds about {@code maxBlocks} blocks at most. */
+    public static PromptTree of(int maxBlocks, ReturnForecast forecast) {
+        return new PromptTree(maxBlocks, forecast);
     }
 
-    public int nodes() {
+    public int nodeCount() {
         return nodes.size();
     }
 
-    public long blocks() {
-        return blocks;
+    public long blockCount() {
+        return blockCount;
     }
 
-    /** The nodes that the prompt goes through from its start; the last may agree in its first blocks only. */
-    public List<PromptNode> walk(List<BlockKey> prompt) {
+    /** Returns the nodes on the path of the prompt from its start. The last node may match in its first blocks only. */
+    public List<PromptNode> findPath(List<BlockKey> prompt) {
         List<PromptNode> path = new ArrayList<>();
         int depth = 0;
         while (depth < prompt.size()) {
@@ -59,8 +62,8 @@
                 return path;
             }
             path.add(node);
-            int end = depth + node.blocks();
-            if (end > prompt.size() || !node.hasKeyAt(node.blocks() - 1, prompt.get(end - 1))) {
+            int end = depth + node.blockCount();
+            if (end > prompt.size() || !node.hasKeyAt(node.blockCount() - 1, prompt.get(end - 1))) {
                 return path;
             }
             depth = end;
@@ -68,77 +71,86 @@
         return path;
     }
 
-    /** How many of the node's blocks the prompt has at the node's depth. */
-    public static int agreeing(PromptNode node, List<BlockKey> prompt) {
-        int agreed = 0;
-        int beyond = Math.min(node.blocks(), prompt.size() - node.startDepth()) + 1;
-        while (beyond - agreed > 1) {
-            int middle = (agreed + beyond) >>> 1;
+    /** Returns how many of the node's first blocks the prompt contains at the node's depth. */
+    public static int matchingBlocks(PromptNode node, List<BlockKey> prompt) {
+        int matching = 0;
+        int notMatching = Math.min(node.blockCount(), prompt.size() - node.startDepth()) + 1;
+        while (notMatching - matching > 1) {
+            int middle = (matching + notMatching) >>> 1;
             if (node.hasKeyAt(middle - 1, prompt.get(node.startDepth() + middle - 1))) {
-                agreed = middle;
+                matching = middle;
             } else {
-                beyond = middle;
+                notMatching = middle;
             }
         }
-        return agreed;
+        return matching;
     }
 
     /**
-     * A block of the prompt that all returns of its preamble share and other preambles of the workspace don't, as far
-     * as the prompt alone can tell: deep, but before the question at its end, at a depth that changes little when the
-     * question's length does.
+     * Returns a key by which all prompts with the same preamble are routed to the same endpoint. It should be common to
+     * all prompts with the preamble and to no other preamble of the workspace. As the end of the preamble isn't known,
+     * the block is chosen deep in the prompt but before the question at its end, at a depth that rarely changes with
+     * the length of the question.
      */
     public static BlockKey affinityKey(List<BlockKey> prompt) {
-        int depth = Integer.highestOneBit(Math.max(1, (int) (prompt.size() * AFFINITY_SHARE)));
+        int depth = Integer.highestOneBit(Math.max(1, (int) (prompt.size() * AFFINITY_DEPTH_SHARE)));
         return prompt.get(depth - 1);
     }
 
-    /** A prompt was asked for: what it shares with earlier ones returned, the rest is new. Gives its whole path. */
-    public List<PromptNode> arrive(
+    /**
+     * Records a request for a prompt: a return of the blocks that it shares with earlier prompts, and the addition of
+     * the others.
+     *
+     * @return the path of the whole prompt
+     */
+    public List<PromptNode> recordRequest(
             List<BlockKey> prompt, PromptScope scope, double nowSeconds, RandomGenerator random) {
         forecast.advance(nowSeconds);
-        List<PromptNode> path = walk(prompt);
-        cutLast(path, prompt);
+        List<PromptNode> path = findPath(prompt);
+        splitLast(path, prompt);
         int depth = 0;
-        PromptNode last = null;
+        PromptNode previous = null;
         for (PromptNode node : path) {
-            forecast.returned(node.exposure(), node.blocks(), nowSeconds);
-            use(node, nowSeconds);
-            last = node;
-            depth += node.blocks();
+            forecast.recordReturn(node.exposure(), node.blockCount(), nowSeconds);
+            recordUse(node, nowSeconds);
+            previous = node;
+            depth += node.blockCount();
         }
         if (depth < prompt.size()) {
-            PromptNode fresh = new PromptNode(scope, last, depth, prompt.subList(depth, prompt.size()));
-            add(fresh);
-            use(fresh, nowSeconds);
-            path.add(fresh);
+            PromptNode newNode = new PromptNode(scope, previous, depth, prompt.subList(depth, prompt.size()));
+            add(newNode);
+            recordUse(newNode, nowSeconds);
+            path.add(newNode);
         }
-        makeRoom(nowSeconds, random, path);
+        evictToLimit(nowSeconds, random, path);
         return path;
     }
 
-    /** A run of blocks that another entry saw; a known one is left as it is. */
-    void learn(List<BlockKey> run, int startDepth, PromptScope scope, double nowSeconds) {
+    /** Adds a run of blocks that was requested at another entry, unless a node with its first key exists. */
+    void addRun(List<BlockKey> run, int startDepth, PromptScope scope, double nowSeconds) {
         if (!run.isEmpty() && !byFirstKey.containsKey(run.get(0))) {
             PromptNode node = new PromptNode(scope, null, startDepth, run);
             add(node);
-            use(node, nowSeconds);
+            recordUse(node, nowSeconds);
         }
     }
 
-    /** The value of keeping the node's blocks: expected returns for each second that they take up space. */
-    public double index(PromptNode node, double nowSeconds) {
-        int group = forecast.group(node.scope().workspace(), node.scope().className(), node.uses());
-        return forecast.index(group, nowSeconds - node.lastUseSeconds());
+    /**
+     * Returns the value of keeping the node's blocks: the expected returns for each second for which they occupy
+     * storage.
+     */
+    public double gittinsIndex(PromptNode node, double nowSeconds) {
+        int group = forecast.groupNumber(node.scope().workspace(), node.scope().className(), node.uses());
+        return forecast.gittinsIndex(group, nowSeconds - node.lastUseSeconds());
     }
 
-    /** The chance that the node's blocks are asked for within the horizon. */
-    public double chanceWithin(PromptNode node, double nowSeconds, double horizonSeconds) {
-        int group = forecast.group(node.scope().workspace(), node.scope().className(), node.uses());
-        return forecast.chanceWithin(group, nowSeconds - node.lastUseSeconds(), horizonSeconds);
+    /** Returns the probability that the node's blocks are requested again within the horizon. */
+    public double returnProbability(PromptNode node, double nowSeconds, double horizonSeconds) {
+        int group = forecast.groupNumber(node.scope().workspace(), node.scope().className(), node.uses());
+        return forecast.returnProbability(group, nowSeconds - node.lastUseSeconds(), horizonSeconds);
     }
 
-    /** Notes copies of blocks that start the run of a known node; others are ignored. */
+    /** Records copies of blocks that match nodes from their first blocks on. Ignores other blocks. */
     public void addCopy(StoreId store, StoreTier tier, List<StoredBlock> stored) {
         int next = 0;
         while (next < stored.size()) {
@@ -147,22 +159,23 @@
                 next++;
                 continue;
             }
-            int count = 0;
-            while (count < node.blocks()
-                    && next + count < stored.size()
-                    && node.hasKeyAt(count, stored.get(next + count).key())) {
-                count++;
+            int matchingCount = 0;
+            while (matchingCount < node.blockCount()
+                    && next + matchingCount < stored.size()
+                    && node.hasKeyAt(
+                            matchingCount, stored.get(next + matchingCount).key())) {
+                matchingCount++;
             }
-            node.addCopy(PromptNode.Copy.of(store, tier, stored.subList(next, next + count)));
-            next += count;
+            node.addCopy(PromptNode.Copy.of(store, tier, stored.subList(next, next + matchingCount)));
+            next += matchingCount;
         }
     }
 
-    /** Notes copies of blocks that belong to the node, or to what was cut off its beginning since. */
-    void extendCopy(PromptNode last, StoreId store, StoreTier tier, List<StoredBlock> stored) {
+    /** Records copies of blocks of the node, or of the ancestors that have been split off its beginning since. */
+    void extendCopy(PromptNode lastNode, StoreId store, StoreTier tier, List<StoredBlock> stored) {
         for (StoredBlock block : stored) {
             int index = -1;
-            for (PromptNode node = last; node != null && index < 0; node = node.parent()) {
+            for (PromptNode node = lastNode; node != null && index < 0; node = node.parent()) {
                 index = node.indexOf(block.key());
                 if (index >= 0) {
                     node.extendCopy(store, tier, index, block);
@@ -171,12 +184,15 @@
         }
     }
 
-    /** Blocks of the store turned out to be gone: what follows them in a copy is of no use either. Walks all nodes. */
-    public void dropCopies(StoreId store, Set<BlockKey> gone) {
+    /**
+     * Removes blocks that the store no longer holds, and all blocks that follow them in the same copy, which can't be
+     * used without them. Scans all nodes.
+     */
+    public void removeCopies(StoreId store, Set<BlockKey> lostKeys) {
         for (PromptNode node : nodes) {
-            int stored = node.copyIn(store).map(PromptNode.Copy::blocks).orElse(0);
-            for (int i = 0; i < stored; i++) {
-                if (gone.contains(node.key(i))) {
+            int copyBlocks = node.copyIn(store).map(PromptNode.Copy::blockCount).orElse(0);
+            for (int i = 0; i < copyBlocks; i++) {
+                if (lostKeys.contains(node.key(i))) {
                     node.truncateCopy(store, i);
                     break;
                 }
@@ -184,39 +200,39 @@
         }
     }
 
-    /** All copies of the store are lost. */
-    public void dropStore(StoreId store) {
+    /** Removes all copies in the store. */
+    public void removeStoreCopies(StoreId store) {
         nodes.forEach(node -> node.removeCopy(store));
     }
 
-    /** A node chosen by chance, null if there is none. */
-    PromptNode sample(RandomGenerator random) {
+    /** Returns a random node, null if the tree is empty. */
+    PromptNode randomNode(RandomGenerator random) {
         return nodes.isEmpty() ? null : nodes.get(random.nextInt(nodes.size()));
     }
 
-    private void cutLast(List<PromptNode> path, List<BlockKey> prompt) {
+    private void splitLast(List<PromptNode> path, List<BlockKey> prompt) {
         if (path.isEmpty()) {
             return;
         }
         PromptNode last = path.get(path.size() - 1);
-        int agreed = agreeing(last, prompt);
-        if (agreed == last.blocks()) {
+        int matching = matchingBlocks(last, prompt);
+        if (matching == last.blockCount()) {
             return;
         }
-        PromptNode head = last.splitHead(agreed);
+        PromptNode head = last.splitHead(matching);
         byFirstKey.put(last.key(0), last);
         register(head);
         path.set(path.size() - 1, head);
     }
 
-    private void use(PromptNode node, double nowSeconds) {
-        int group = forecast.group(node.scope().workspace(), node.scope().className(), node.nextUse());
-        node.use(nowSeconds, forecast.begin(group, node.blocks(), nowSeconds));
+    private void recordUse(PromptNode node, double nowSeconds) {
+        int group = forecast.groupNumber(node.scope().workspace(), node.scope().className(), node.nextUseNumber());
+        node.recordUse(nowSeconds, forecast.addExposure(group, node.blockCount(), nowSeconds));
     }
 
     private void add(PromptNode node) {
         register(node);
-        blocks += node.blocks();
+        blockCount += node.blockCount();
         if (node.parent() != null) {
             node.parent().addChild();
         }
@@ -224,41 +240,42 @@
 
     private void register(PromptNode node) {
         byFirstKey.put(node.key(0), node);
-        node.setPosition(nodes.size());
+        node.setListPosition(nodes.size());
         nodes.add(node);
     }
 
-    private void makeRoom(double nowSeconds, RandomGenerator random, List<PromptNode> spared) {
-        while (blocks > mostBlocks) {
-            PromptNode least = null;
-            double leastIndex = Double.MAX_VALUE;
-            for (int i = 0; i < SAMPLE; i++) {
-                PromptNode node = sample(random);
-                if (node.children() > 0 || spared.contains(node)) {
+    private void evictToLimit(double nowSeconds, RandomGenerator random, List<PromptNode> excluded) {
+        while (blockCount > maxBlocks) {
+            PromptNode lowest = null;
+            double lowestIndex = Double.MAX_VALUE;
+            for (int i = 0; i < SAMPLE_SIZE; i++) {
+                PromptNode node = randomNode(random);
+                if (node.children() > 0 || excluded.contains(node)) {
                     continue;
                 }
-                // A node with a copy goes only if nothing else is left: a lookup at the store would find it again.
-                double index = index(node, nowSeconds) + (node.copies().isEmpty() ? 0 : COPY_KEEPS);
-                if (index < leastIndex) {
-                    least = node;
-                    leastIndex = index;
+                // A node with a copy is evicted only if the sample has no other leaf. Without its node the copy would
+                // be found only by another lookup at the store.
+                double index = gittinsIndex(node, nowSeconds) + (node.copies().isEmpty() ? 0 : STORED_COPY_BONUS);
+                if (index < lowestIndex) {
+                    lowest = node;
+                    lowestIndex = index;
                 }
             }
-            if (least == null) {
+            if (lowest == null) {
                 return;
             }
-            remove(least);
+            remove(lowest);
         }
     }
 
     private void remove(PromptNode node) {
         byFirstKey.remove(node.key(0));
-        PromptNode moved = nodes.remove(nodes.size() - 1);
-        if (moved != node) {
-            nodes.set(node.position(), moved);
-            moved.setPosition(node.position());
+        PromptNode lastNode = nodes.remove(nodes.size() - 1);
+        if (lastNode != node) {
+            nodes.set(node.listPosition(), lastNode);
+            lastNode.setListPosition(node.listPosition());
         }
-        blocks -= node.blocks();
+        blockCount -= node.blockCount();
         if (node.parent() != null) {
             node.parent().removeChild();
         }
--- a/src/main/java/org/yuccagw/core/cache/Rendezvous.java
+++ b/src/main/java/org/yuccagw/core/cache/Rendezvous.java
@@ -3,42 +3,43 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Rendezvous hashing: each holder has a weight for each block, and the highest wins. All entries compute the same
- * weights, so they agree without talking, and a holder that goes moves only its own blocks.
+ * Rendezvous (highest random weight) hashing of blocks. Each candidate, such as a store or an endpoint, has a weight
+ * for each block, and the candidate with the highest weight is chosen. All entries compute the same weights and so
+ * agree without communication. Removing a candidate reassigns only the blocks that were assigned to it.
  */
 public final class Rendezvous {
-    private static final long OFFSET = 0xcbf29ce484222325L;
-    private static final long PRIME = 0x100000001b3L;
-    private static final long MIX_FIRST = 0xff51afd7ed558ccdL;
-    private static final long MIX_SECOND = 0xc4ceb9fe1a85ec53L;
-    private static final int SHIFT = 33;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final long MIX_MULTIPLIER_1 = 0xff51afd7ed558ccdL;
+    private static final long MIX_MULTIPLIER_2 = 0xc4ceb9fe1a85ec53L;
+    private static final int MIX_SHIFT = 33;
 
     private Rendezvous() {}
 
-    /** A number for the holder's name, to be computed once and kept. */
-    public static long nameHash(String holder) {
-        long hash = OFFSET;
-        for (byte next : holder.getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ (next & 0xff)) * PRIME;
+    /** Returns the FNV-1a hash of a candidate's name, mixed once more. Callers compute it once for each name. */
+    public static long nameHash(String name) {
+        long hash = FNV_OFFSET_BASIS;
+        for (byte next : name.getBytes(StandardCharsets.UTF_8)) {
+            hash = (hash ^ (next & 0xff)) * FNV_PRIME;
         }
         return mix(hash);
     }
 
-    public static long weight(String holder, BlockKey block) {
-        return weight(nameHash(holder), block);
+    public static long weight(String name, BlockKey block) {
+        return weight(nameHash(name), block);
     }
 
     public static long weight(long nameHash, BlockKey block) {
         return mix(nameHash ^ block.low());
     }
 
-    /** The finalizer of MurmurHash3: every bit of the input changes half of the output's. */
+    /** The finalizer of MurmurHash3: each input bit changes half of the output bits on average. */
     private static long mix(long value) {
-        long mixed = value;
-        mixed ^= mixed >>> SHIFT;
-        mixed *= MIX_FIRST;
-        mixed ^= mixed >>> SHIFT;
-        mixed *= MIX_SECOND;
-        return mixed ^ (mixed >>> SHIFT);
+        long hash = value;
+        hash ^= hash >>> MIX_SHIFT;
+        hash *= MIX_MULTIPLIER_1;
+        hash ^= hash >>> MIX_SHIFT;
+        hash *= MIX_MULTIPLIER_2;
+        return hash ^ (hash >>> MIX_SHIFT);
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/ReplicaIndex.java
+++ b/src/main/java/org/yuccagw/core/cache/ReplicaIndex.java
@@ -9,166 +9,180 @@
 import org.yuccagw.core.id.EndpointId;
 
 /**
- * Which replicas seem to hold which blocks in their memory. Hints only: an engine decides itself what it reuses.
+ * An index of the blocks that the replicas hold in their caches, as known locally. The index is a hint: an engine
+ * decides itself which blocks it reuses.
  *
- * <p>It learns from two sources: cache events of the engines, which come late and with gaps, and answers that this
- * entry saw finish. A gap in the sequence may hide an eviction, so the replica is doubtful from there on, and what it
- * seems to hold counts for a part only, until a snapshot replaces all of it.
+ * <p>The index has two sources: the cache events of the engines, which arrive late and may have gaps, and the answers
+ * whose end this entry observed. A gap in the sequence numbers may hide an eviction. The state of the replica is then
+ * stale, and only a share of its apparent prefix is relied on until a snapshot replaces the state.
  *
- * <p>An engine can reuse a block only with everything before it, so its holding of one prompt is a prefix, and its
- * length is found by binary search. Forgetting a replica costs nothing: its number is retired, and pairs with a retired
- * number are swept out whenever the table is rebuilt.
+ * <p>An engine can reuse a block only together with all blocks before it. The reusable blocks of a prompt are therefore
+ * a prefix, whose length is found by binary search. Removing a replica takes constant time: its number is retired, and
+ * pairs with a retired number are removed when the table is rebuilt.
  */
 public final class ReplicaIndex {
-    /** Share of a doubtful replica's seeming prefix that is counted on. */
-    public static final double DOUBTFUL_SHARE = 0.5;
+    /** Share of the apparent prefix that is assumed to be held by a replica whose state is stale. */
+    public static final double STALE_PREFIX_SHARE = 0.5;
 
-    private static final int MOST_HOLDERS = 8;
-    private static final int CHECKS = 16;
+    private static final int MAX_HOLDERS = 8;
+    private static final int PREFIX_CHECKS = 16;
 
     private final Map<EndpointId, Replica> byEndpoint = new HashMap<>();
     private final List<Replica> byNumber = new ArrayList<>();
-    private final ArrayDeque<Retired> retired = new ArrayDeque<>();
+    private final ArrayDeque<RetiredNumber> retiredNumbers = new ArrayDeque<>();
     private final BlockMultimap holders;
 
-    private ReplicaIndex(int mostPairs) {
-        this.holders = BlockMultimap.of(mostPairs, number -> byNumber.get(number) != null);
+    private ReplicaIndex(int maxPairs) {
+        this.holders = BlockMultimap.of(maxPairs, number -> byNumber.get(number) != null);
     }
 
-    /** An empty index that holds at most so many pairs of block and replica. */
-    public static ReplicaIndex of(int mostPairs) {
-        return new ReplicaIndex(mostPairs);
+    /** Returns an empty index that holds at most {@code maxPairs} pairs of block and replica. */
+    public static ReplicaIndex of(int maxPairs) {
+        return new ReplicaIndex(maxPairs);
     }
 
-    /** One batch of cache events as it was read, with the numbers that the engine gave them. */
+    /**
+     * A cache event of an engine.
+     *
+     * @param sequence sequence number that the engine gave to the event
+     * @param stored whether the blocks were stored; otherwise they were removed
+     */
     public record Event(long sequence, boolean stored, List<BlockKey> blocks) {
         public Event {
             blocks = List.copyOf(blocks);
         }
     }
 
+    /** Returns the number of pairs of block and replica. */
     public int pairs() {
         return holders.size();
     }
 
+    /** Returns how many pairs were dropped because the index was full. */
     public long droppedPairs() {
-        return holders.dropped();
+        return holders.droppedPairs();
     }
 
-    /** The sequence after which events of the endpoint are wanted. */
-    public long sequence(EndpointId endpoint) {
+    /** Returns the sequence number after which the next events of the endpoint must be read. */
+    public long lastSequence(EndpointId endpoint) {
         Replica replica = byEndpoint.get(endpoint);
         return replica == null ? 0 : replica.sequence;
     }
 
-    /** Whether events were missed since the last snapshot. */
-    public boolean isDoubtful(EndpointId endpoint) {
+    /** Returns whether events were missed since the last snapshot, so that the state of the endpoint may be wrong. */
+    public boolean isStale(EndpointId endpoint) {
         Replica replica = byEndpoint.get(endpoint);
-        return replica != null && replica.doubtful;
+        return replica != null && replica.stale;
     }
 
-    /** An answer finished there: the engine held these blocks a moment ago. */
-    public void learn(EndpointId endpoint, List<BlockKey> blocks) {
-        int number = replica(endpoint).number;
+    /** Adds blocks that the endpoint holds, as shown by a completed answer or an import. */
+    public void addBlocks(EndpointId endpoint, List<BlockKey> blocks) {
+        int number = getOrCreate(endpoint).number;
         for (BlockKey block : blocks) {
             holders.put(block, number);
         }
     }
 
-    /** Takes events; true if a gap shows, so that a snapshot must be read. */
+    /**
+     * Applies events of an endpoint.
+     *
+     * @return whether the state is stale because of a gap, so that a snapshot must be read
+     */
     public boolean apply(EndpointId endpoint, long lastSequence, List<Event> events) {
-        Replica replica = replica(endpoint);
-        long expected = replica.sequence;
+        Replica replica = getOrCreate(endpoint);
+        long expectedSequence = replica.sequence;
         for (Event event : events) {
             if (event.sequence() <= replica.sequence) {
                 continue;
             }
-            expected++;
-            replica.doubtful |= event.sequence() != expected;
-            expected = event.sequence();
-            applyOne(replica, event);
+            expectedSequence++;
+            replica.stale |= event.sequence() != expectedSequence;
+            expectedSequence = event.sequence();
+            applyEvent(replica, event);
         }
-        replica.doubtful |= lastSequence != expected;
-        replica.sequence = Math.max(lastSequence, expected);
-        return replica.doubtful;
+        replica.stale |= lastSequence != expectedSequence;
+        replica.sequence = Math.max(lastSequence, expectedSequence);
+        return replica.stale;
     }
 
-    /** Replaces all that is held of the endpoint. */
+    /** Replaces the state of the endpoint by a snapshot. */
     public void replace(EndpointId endpoint, long sequence, List<BlockKey> blocks) {
-        forget(endpoint);
-        Replica replica = replica(endpoint);
+        remove(endpoint);
+        Replica replica = getOrCreate(endpoint);
         replica.sequence = sequence;
-        replica.doubtful = false;
-        learn(endpoint, blocks);
+        replica.stale = false;
+        addBlocks(endpoint, blocks);
     }
 
-    /** The endpoint is gone, or restarted, or changed its weights: nothing of it holds any more. */
-    public void forget(EndpointId endpoint) {
+    /** Removes the state of an endpoint that was removed, was restarted or changed its weights. */
+    public void remove(EndpointId endpoint) {
         Replica replica = byEndpoint.remove(endpoint);
         if (replica != null) {
             byNumber.set(replica.number, null);
-            retired.addLast(new Retired(replica.number, holders.rebuilds()));
+            retiredNumbers.addLast(new RetiredNumber(replica.number, holders.rebuildCount()));
         }
     }
 
-    /** How many of the prompt's first blocks the endpoint seems to hold. */
-    public int prefix(EndpointId endpoint, List<BlockKey> prompt) {
+    /** Returns how many of the prompt's first blocks the endpoint seems to hold. */
+    public int prefixBlocks(EndpointId endpoint, List<BlockKey> prompt) {
         Replica replica = byEndpoint.get(endpoint);
-        return replica == null ? 0 : prefix(replica.number, prompt);
+        return replica == null ? 0 : prefixBlocks(replica.number, prompt);
     }
 
     /**
-     * Names replicas that seem to hold a beginning of the prompt, those with the longest first, a bounded number.
+     * Calls the action for a limited number of replicas that seem to hold a prefix of the prompt, those with the
+     * longest prefixes first.
      *
-     * <p>Looks at halving depths from the whole prompt down to the first block, so that the cost doesn't grow with the
-     * number of replicas: a replica with a longer prefix shows no later than one with half of it.
+     * <p>Checks the holders at the depth of the whole prompt and then at repeatedly halved depths down to the first
+     * block, so that the cost doesn't grow with the number of replicas. A replica is found no later than one whose
+     * prefix is half as long.
      */
     public void forEachHolder(List<BlockKey> prompt, Consumer<EndpointId> action) {
-        List<Replica> seen = new ArrayList<>(MOST_HOLDERS);
-        for (int depth = prompt.size(); depth > 0 && seen.size() < MOST_HOLDERS; depth /= 2) {
+        List<Replica> found = new ArrayList<>(MAX_HOLDERS);
+        for (int depth = prompt.size(); depth > 0 && found.size() < MAX_HOLDERS; depth /= 2) {
             holders.forEach(prompt.get(depth - 1), number -> {
                 Replica replica = byNumber.get(number);
-                if (replica != null && seen.size() < MOST_HOLDERS && !seen.contains(replica)) {
-                    seen.add(replica);
+                if (replica != null && found.size() < MAX_HOLDERS && !found.contains(replica)) {
+                    found.add(replica);
                 }
             });
         }
-        seen.forEach(replica -> action.accept(replica.endpoint));
+        found.forEach(replica -> action.accept(replica.endpoint));
     }
 
     /**
-     * The length of the held prefix by binary search, then checked at a few places before its end.
+     * Finds the length of the held prefix by binary search and then checks it at a few depths before its end.
      *
-     * <p>Late events make holes: a removal that is read after the same blocks came back takes them out again, and a
-     * search that happens to land behind the hole would count what nobody can use. Where a check meets a hole, the
-     * search starts anew before it.
+     * <p>Late events make gaps in the state: a removal that is read after the same blocks were stored again removes
+     * them from the index, and a binary search that probes behind the gap would count blocks that can't be reused. If a
+     * check finds a gap, the search is repeated before it.
      */
-    private int prefix(int number, List<BlockKey> prompt) {
-        int held = search(number, prompt, prompt.size() + 1);
-        int step = Math.max(1, held / CHECKS);
-        for (int depth = step; depth < held; depth += step) {
+    private int prefixBlocks(int number, List<BlockKey> prompt) {
+        int heldBlocks = heldPrefix(number, prompt, prompt.size() + 1);
+        int step = Math.max(1, heldBlocks / PREFIX_CHECKS);
+        for (int depth = step; depth < heldBlocks; depth += step) {
             if (!holders.contains(prompt.get(depth - 1), number)) {
-                return search(number, prompt, depth);
+                return heldPrefix(number, prompt, depth);
             }
         }
-        return held;
+        return heldBlocks;
     }
 
-    private int search(int number, List<BlockKey> prompt, int firstNotHeld) {
-        int held = 0;
-        int beyond = firstNotHeld;
-        while (beyond - held > 1) {
-            int middle = (held + beyond) >>> 1;
+    private int heldPrefix(int number, List<BlockKey> prompt, int notHeldDepth) {
+        int heldBlocks = 0;
+        int notHeld = notHeldDepth;
+        while (notHeld - heldBlocks > 1) {
+            int middle = (heldBlocks + notHeld) >>> 1;
             if (holders.contains(prompt.get(middle - 1), number)) {
-                held = middle;
+                heldBlocks = middle;
             } else {
-                beyond = middle;
+                notHeld = middle;
             }
         }
-        return held;
+        return heldBlocks;
     }
 
-    private void applyOne(Replica replica, Event event) {
+    private void applyEvent(Replica replica, Event event) {
         for (BlockKey block : event.blocks()) {
             if (event.stored()) {
                 holders.put(block, replica.number);
@@ -178,31 +192,33 @@
         }
     }
 
-    private Replica replica(EndpointId endpoint) {
+    private Replica getOrCreate(EndpointId endpoint) {
         return byEndpoint.computeIfAbsent(endpoint, id -> {
-            Replica replica = new Replica(id, freeNumber());
+            Replica replica = new Replica(id, allocateNumber());
             byNumber.set(replica.number, replica);
             return replica;
         });
     }
 
-    /** A retired number is used again only once no pair can still bear it. */
-    private int freeNumber() {
-        Retired oldest = retired.peekFirst();
-        if (oldest != null && oldest.rebuilds < holders.rebuilds()) {
-            return retired.pollFirst().number;
+    /**
+     * Returns an unused number. A retired number is reused only after a rebuild has removed all pairs that contain it.
+     */
+    private int allocateNumber() {
+        RetiredNumber oldest = retiredNumbers.peekFirst();
+        if (oldest != null && oldest.rebuildCount < holders.rebuildCount()) {
+            return retiredNumbers.pollFirst().number;
         }
         byNumber.add(null);
         return byNumber.size() - 1;
     }
 
-    private record Retired(int number, long rebuilds) {}
+    private record RetiredNumber(int number, long rebuildCount) {}
 
     private static final class Replica {
         private final EndpointId endpoint;
         private final int number;
         private long sequence;
-        private boolean doubtful;
+        private boolean stale;
 
         private Replica(EndpointId endpoint, int number) {
             this.endpoint = endpoint;
--- a/src/main/java/org/yuccagw/core/cache/StoreMaintenance.java
+++ b/src/main/java/org/yuccagw/core/cache/StoreMaintenance.java
@@ -12,246 +12,253 @@
 import org.yuccagw.core.membership.MembersChanged;
 
 /**
- * Keeps the stores in order: reads how full they are, moves the least valuable blocks from memory to disk and evicts
- * them from there, and collects what dead writers left behind.
+ * Maintains the stores: reads their usage, moves the least valuable blocks from memory to disk, evicts the least
+ * valuable blocks from disk, and deletes the unsealed blocks of failed writers.
  *
- * <p>For each store one entry does this, the one with the highest hash among the live ones. Two at once, while they
- * disagree on who lives, do no harm: a deletion names a generation and is idempotent, a move is too.
+ * <p>Each store is maintained by one entry, chosen by rendezvous hashing among the entries that are alive. Entries with
+ * different membership views may maintain the same store at the same time. This is harmless, because deletions name a
+ * generation and both deletions and moves are idempotent.
  *
- * <p>The victim is the least valuable of a sample of runs, the deepest first among equals. A run is asked for whenever
- * one that continues it is, so it is worth at least as much: the ends of prompts go before their beginnings.
+ * <p>The victim of an eviction is the run with the lowest value in a random sample, the deepest one among runs of equal
+ * value. A run is requested whenever a run that continues it is requested, so it is worth at least as much, and the
+ * ends of prompts are evicted before their beginnings.
  */
 final class StoreMaintenance {
-    private static final Duration STEP = Duration.ofSeconds(1);
-    private static final int STEPS_BETWEEN_COLLECTIONS = 30;
-    private static final int STEPS_BETWEEN_OTHERS = 5;
-    private static final double MEMORY_HIGH = 0.90;
-    private static final double MEMORY_LOW = 0.85;
-    private static final double DISK_HIGH = 0.95;
-    private static final double DISK_LOW = 0.92;
-    private static final int PAGE = 256;
-    private static final int SAMPLE = 32;
-    private static final int MOST_TRIES = 512;
-    private static final double FLOOR_LEARNING = 0.3;
+    private static final Duration INTERVAL = Duration.ofSeconds(1);
+    private static final int INTERVALS_BETWEEN_COLLECTIONS = 30;
+    private static final int INTERVALS_BETWEEN_OTHER_STATUS_READS = 5;
+    private static final double MEMORY_HIGH_WATERMARK = 0.90;
+    private static final double MEMORY_LOW_WATERMARK = 0.85;
+    private static final double DISK_HIGH_WATERMARK = 0.95;
+    private static final double DISK_LOW_WATERMARK = 0.92;
+    private static final int PAGE_BLOCKS = 256;
+    private static final int SAMPLE_SIZE = 32;
+    private static final int MAX_SAMPLE_ATTEMPTS = 512;
+    private static final double THRESHOLD_SMOOTHING = 0.3;
 
     private final CacheState state;
     private final Map<StoreId, Long> incarnations = new HashMap<>();
-    private final Map<StoreId, Strays> strays = new HashMap<>();
-    private List<EntryId> live = List.of();
-    private long steps;
+    private final Map<StoreId, UntrackedBytes> pageReads = new HashMap<>();
+    private List<EntryId> aliveEntries = List.of();
+    private long intervalCount;
 
     private StoreMaintenance(CacheState state) {
         this.state = state;
     }
 
-    /** Bytes to free in a tier of blocks that aren't known here. */
-    private record Strays(StoreTier tier, long bytes) {}
+    /** Bytes to free in a tier by deleting blocks that the prompt tree doesn't contain. */
+    private record UntrackedBytes(StoreTier tier, long bytes) {}
 
     static StoreMaintenance of(CacheState state) {
         return new StoreMaintenance(state);
     }
 
     void start(ControlContext context) {
-        context.after(STEP, () -> {
-            step(context);
+        context.after(INTERVAL, () -> {
+            runMaintenance(context);
             start(context);
         });
     }
 
-    void takeMembers(MembersChanged members) {
-        live = members.entries().stream()
+    void updateMembers(MembersChanged members) {
+        aliveEntries = members.entries().stream()
                 .filter(entry -> entry.state() == EntryStatus.State.ALIVE)
                 .map(EntryStatus::entry)
                 .toList();
     }
 
-    /** The platform lists the store; a new incarnation of its VM has nothing of the old one. */
-    void listed(StoreTable.Store store, long incarnation) {
-        Long before = incarnations.put(store.id(), incarnation);
-        if (before != null && before != incarnation) {
-            state.prompts().dropStore(store.id());
+    /** Handles a store in the list of the platform. A new incarnation of its VM holds none of the earlier blocks. */
+    void storeListed(StoreTable.Store store, long incarnation) {
+        Long previous = incarnations.put(store.id(), incarnation);
+        if (previous != null && previous != incarnation) {
+            state.prompts().removeStoreCopies(store.id());
         }
     }
 
     void handle(StoreUpdate update, StoreTable.Store store, ControlContext context) {
         if (update instanceof StoreUpdate.StatusRead status) {
             store.setUsage(status.memory(), status.disk());
-            store.statedRate(status.linkBytesPerMilli());
-            makeRoom(store, context);
+            store.setReportedRate(status.linkBytesPerMilli());
+            freeCapacity(store, context);
         } else if (update instanceof StoreUpdate.UnsealedRead unsealed) {
-            collect(unsealed, store, context);
+            deleteOrphans(unsealed, store, context);
         } else if (update instanceof StoreUpdate.PageRead page) {
-            sweepStrays(page, store, context);
+            deleteUntracked(page, store, context);
         }
     }
 
-    /** Moves and evicts if a tier is over its mark. */
-    void makeRoom(StoreTable.Store store, ControlContext context) {
-        if (!keeps(store.id(), context)) {
+    /** Moves and evicts blocks if a tier exceeds its high watermark, or if the store reported that it is full. */
+    void freeCapacity(StoreTable.Store store, ControlContext context) {
+        if (!isMaintainer(store.id(), context)) {
             return;
         }
         StoreUpdate.Usage memory = store.usage(StoreTier.MEMORY);
         StoreUpdate.Usage disk = store.usage(StoreTier.DISK);
-        if (disk.over(DISK_HIGH) > 0) {
-            evict(store, StoreTier.DISK, disk.over(DISK_LOW), context);
-        } else if (disk.share() < DISK_LOW) {
-            store.setFloorIndex(0);
+        if (disk.bytesOver(DISK_HIGH_WATERMARK) > 0) {
+            evict(store, StoreTier.DISK, disk.bytesOver(DISK_LOW_WATERMARK), context);
+        } else if (disk.usedShare() < DISK_LOW_WATERMARK) {
+            store.setAdmissionThreshold(0);
         }
-        if (memory.over(MEMORY_HIGH) > 0 || store.isFull()) {
-            long wanted = Math.max(memory.over(MEMORY_LOW), 1);
-            if (disk.capacity() > 0) {
-                demote(store, wanted, context);
+        if (memory.bytesOver(MEMORY_HIGH_WATERMARK) > 0 || store.isFull()) {
+            long bytesToFree = Math.max(memory.bytesOver(MEMORY_LOW_WATERMARK), 1);
+            if (disk.capacityBytes() > 0) {
+                demoteToDisk(store, bytesToFree, context);
             } else {
-                evict(store, StoreTier.MEMORY, wanted, context);
+                evict(store, StoreTier.MEMORY, bytesToFree, context);
             }
         }
     }
 
-    private void step(ControlContext context) {
-        steps++;
-        if (steps % STEPS_BETWEEN_COLLECTIONS == 0) {
-            // A page that was asked for and never came must not keep the next one from being asked for.
-            strays.clear();
+    private void runMaintenance(ControlContext context) {
+        intervalCount++;
+        if (intervalCount % INTERVALS_BETWEEN_COLLECTIONS == 0) {
+            // A page whose answer was lost must not block further reads of pages.
+            pageReads.clear();
         }
         for (StoreTable.Store store : state.stores().all()) {
-            CacheOrder.StoreAddress address = new CacheOrder.StoreAddress(store.id(), store.address());
-            boolean keeps = keeps(store.id(), context);
-            if (keeps || steps % STEPS_BETWEEN_OTHERS == 0) {
-                context.perform(new CacheOrder.ReadStoreStatus(address));
+            CacheCommand.StoreAddress address = new CacheCommand.StoreAddress(store.id(), store.address());
+            boolean isMaintainer = isMaintainer(store.id(), context);
+            if (isMaintainer || intervalCount % INTERVALS_BETWEEN_OTHER_STATUS_READS == 0) {
+                context.perform(new CacheCommand.ReadStoreStatus(address));
             }
-            if (keeps && steps % STEPS_BETWEEN_COLLECTIONS == 0) {
-                context.perform(new CacheOrder.ReadUnsealed(address));
+            if (isMaintainer && intervalCount % INTERVALS_BETWEEN_COLLECTIONS == 0) {
+                context.perform(new CacheCommand.ReadUnsealed(address));
             }
         }
     }
 
-    /** A writer that died leaves blocks that it never seals. Twice the longest export later none can still come. */
-    private void collect(StoreUpdate.UnsealedRead unsealed, StoreTable.Store store, ControlContext context) {
-        long old = 2 * state.settings().exportDeadline().toMillis();
-        List<CacheOrder.Generation> orphans = unsealed.blocks().stream()
-                .filter(block -> block.ageMillis() > old)
-                .map(block -> new CacheOrder.Generation(block.key(), block.generation()))
+    /**
+     * Deletes the unsealed blocks of failed writers. After twice the longest duration of an export, no writer can still
+     * seal a block.
+     */
+    private void deleteOrphans(StoreUpdate.UnsealedRead unsealed, StoreTable.Store store, ControlContext context) {
+        long minAgeMillis = 2 * state.settings().exportDeadline().toMillis();
+        List<CacheCommand.Generation> orphans = unsealed.blocks().stream()
+                .filter(block -> block.ageMillis() > minAgeMillis)
+                .map(block -> new CacheCommand.Generation(block.key(), block.generation()))
                 .toList();
         if (!orphans.isEmpty()) {
             context.perform(
-                    new CacheOrder.DeleteBlocks(new CacheOrder.StoreAddress(store.id(), store.address()), orphans));
+                    new CacheCommand.DeleteBlocks(new CacheCommand.StoreAddress(store.id(), store.address()), orphans));
         }
     }
 
     private void evict(StoreTable.Store store, StoreTier tier, long bytes, ControlContext context) {
-        double nowSeconds = CacheState.seconds(context.nowNanos());
-        List<CacheOrder.Generation> freed = new ArrayList<>();
-        long left = bytes;
-        while (left > 0) {
-            PromptNode victim = victim(store, tier, context);
+        double nowSeconds = CacheState.toSeconds(context.nowNanos());
+        List<CacheCommand.Generation> deleted = new ArrayList<>();
+        long remainingBytes = bytes;
+        while (remainingBytes > 0) {
+            PromptNode victim = chooseVictim(store, tier, context);
             if (victim == null) {
-                askForStrays(store, tier, left, context);
+                readUntrackedPage(store, tier, remainingBytes, context);
                 break;
             }
             PromptNode.Copy copy = victim.copyIn(store.id()).orElseThrow();
-            victim.stored(copy, 0, copy.blocks())
-                    .forEach(block -> freed.add(new CacheOrder.Generation(block.key(), block.generation())));
-            left -= copy.bytes();
+            victim.storedBlocks(copy, 0, copy.blockCount())
+                    .forEach(block -> deleted.add(new CacheCommand.Generation(block.key(), block.generation())));
+            remainingBytes -= copy.bytes();
             store.addUsed(tier, -copy.bytes());
-            double index = state.index(victim, nowSeconds);
-            store.setFloorIndex(store.floorIndex() + FLOOR_LEARNING * (index - store.floorIndex()));
+            double gittinsIndex = state.gittinsIndex(victim, nowSeconds);
+            store.setAdmissionThreshold(
+                    store.admissionThreshold() + THRESHOLD_SMOOTHING * (gittinsIndex - store.admissionThreshold()));
             victim.removeCopy(store.id());
         }
-        if (!freed.isEmpty()) {
+        if (!deleted.isEmpty()) {
             context.perform(
-                    new CacheOrder.DeleteBlocks(new CacheOrder.StoreAddress(store.id(), store.address()), freed));
+                    new CacheCommand.DeleteBlocks(new CacheCommand.StoreAddress(store.id(), store.address()), deleted));
         }
     }
 
     /**
-     * The store is over its mark and no known run is there: it holds blocks that no entry knows of, such as after all
-     * entries were replaced. A page from a random place is read, and what it names of the tier goes; one that returns
-     * meanwhile was looked up and is known again.
+     * Reads a page of the store's blocks from a random key on, whose blocks of the tier are then deleted. Called if the
+     * store exceeds a watermark but no run with a copy in it was found, so that it holds blocks that no entry has a
+     * record of, for example after all entries were replaced. The blocks of a prompt that returns meanwhile are found
+     * by a lookup and recorded again.
      */
-    private void askForStrays(StoreTable.Store store, StoreTier tier, long bytes, ControlContext context) {
-        if (strays.putIfAbsent(store.id(), new Strays(tier, bytes)) == null) {
-            BlockKey place =
+    private void readUntrackedPage(StoreTable.Store store, StoreTier tier, long bytes, ControlContext context) {
+        if (pageReads.putIfAbsent(store.id(), new UntrackedBytes(tier, bytes)) == null) {
+            BlockKey afterKey =
                     BlockKey.of(context.random().nextLong(), context.random().nextLong());
-            context.perform(new CacheOrder.ReadStorePage(
-                    new CacheOrder.StoreAddress(store.id(), store.address()), place.toString(), PAGE));
+            context.perform(new CacheCommand.ReadStorePage(
+                    new CacheCommand.StoreAddress(store.id(), store.address()), afterKey.toString(), PAGE_BLOCKS));
         }
     }
 
-    private void sweepStrays(StoreUpdate.PageRead page, StoreTable.Store store, ControlContext context) {
-        Strays wanted = strays.remove(store.id());
-        if (wanted == null) {
+    private void deleteUntracked(StoreUpdate.PageRead page, StoreTable.Store store, ControlContext context) {
+        UntrackedBytes untracked = pageReads.remove(store.id());
+        if (untracked == null) {
             return;
         }
-        List<CacheOrder.Generation> freed = new ArrayList<>();
-        long left = wanted.bytes();
+        List<CacheCommand.Generation> deleted = new ArrayList<>();
+        long remainingBytes = untracked.bytes();
         for (StoreUpdate.Found found : page.blocks()) {
-            if (left > 0 && found.tier() == wanted.tier()) {
-                freed.add(new CacheOrder.Generation(
+            if (remainingBytes > 0 && found.tier() == untracked.tier()) {
+                deleted.add(new CacheCommand.Generation(
                         found.block().key(), found.block().generation()));
-                left -= found.block().length();
+                remainingBytes -= found.block().length();
             }
         }
-        store.addUsed(wanted.tier(), left - wanted.bytes());
-        if (!freed.isEmpty()) {
+        store.addUsed(untracked.tier(), remainingBytes - untracked.bytes());
+        if (!deleted.isEmpty()) {
             context.perform(
-                    new CacheOrder.DeleteBlocks(new CacheOrder.StoreAddress(store.id(), store.address()), freed));
+                    new CacheCommand.DeleteBlocks(new CacheCommand.StoreAddress(store.id(), store.address()), deleted));
         }
     }
 
-    private void demote(StoreTable.Store store, long bytes, ControlContext context) {
+    private void demoteToDisk(StoreTable.Store store, long bytes, ControlContext context) {
         List<StoredBlock> moved = new ArrayList<>();
-        long left = bytes;
-        while (left > 0) {
-            PromptNode victim = victim(store, StoreTier.MEMORY, context);
+        long remainingBytes = bytes;
+        while (remainingBytes > 0) {
+            PromptNode victim = chooseVictim(store, StoreTier.MEMORY, context);
             if (victim == null) {
                 break;
             }
             PromptNode.Copy copy = victim.copyIn(store.id()).orElseThrow();
-            moved.addAll(victim.stored(copy, 0, copy.blocks()));
-            copy.moveTo(StoreTier.DISK);
-            left -= copy.bytes();
+            moved.addAll(victim.storedBlocks(copy, 0, copy.blockCount()));
+            copy.setTier(StoreTier.DISK);
+            remainingBytes -= copy.bytes();
             store.addUsed(StoreTier.MEMORY, -copy.bytes());
             store.addUsed(StoreTier.DISK, copy.bytes());
         }
         if (!moved.isEmpty()) {
-            context.perform(new CacheOrder.MoveBlocks(
-                    new CacheOrder.StoreAddress(store.id(), store.address()), StoreTier.DISK, moved));
+            context.perform(new CacheCommand.MoveBlocks(
+                    new CacheCommand.StoreAddress(store.id(), store.address()), StoreTier.DISK, moved));
         }
     }
 
-    /** The least valuable of a sample of the runs with a copy there, null if none was met. */
-    private PromptNode victim(StoreTable.Store store, StoreTier tier, ControlContext context) {
-        double nowSeconds = CacheState.seconds(context.nowNanos());
-        PromptNode least = null;
-        double leastValue = Double.MAX_VALUE;
-        int sampled = 0;
-        for (int tried = 0; tried < MOST_TRIES && sampled < SAMPLE; tried++) {
-            PromptNode node = state.prompts().sample(context.random());
+    /** Returns the least valuable run of a sample of those with a copy in the tier, null if the sample is empty. */
+    private PromptNode chooseVictim(StoreTable.Store store, StoreTier tier, ControlContext context) {
+        double nowSeconds = CacheState.toSeconds(context.nowNanos());
+        PromptNode lowest = null;
+        double lowestValue = Double.MAX_VALUE;
+        int sampleCount = 0;
+        for (int attempts = 0; attempts < MAX_SAMPLE_ATTEMPTS && sampleCount < SAMPLE_SIZE; attempts++) {
+            PromptNode node = state.prompts().randomNode(context.random());
             if (node == null) {
                 return null;
             }
-            if (!isIn(node, store, tier)) {
+            if (!hasCopyIn(node, store, tier)) {
                 continue;
             }
-            sampled++;
+            sampleCount++;
             double value = value(node, nowSeconds);
-            boolean deeper = least != null && value == leastValue && node.startDepth() > least.startDepth();
-            if (value < leastValue || deeper) {
-                least = node;
-                leastValue = value;
+            boolean isDeeper = lowest != null && value == lowestValue && node.startDepth() > lowest.startDepth();
+            if (value < lowestValue || isDeeper) {
+                lowest = node;
+                lowestValue = value;
             }
         }
-        return least;
+        return lowest;
     }
 
     private double value(PromptNode node, double nowSeconds) {
         if (state.settings().eviction() == CacheSettings.EvictionPolicy.LEAST_RECENTLY_USED) {
             return node.lastUseSeconds();
         }
-        return state.index(node, nowSeconds);
+        return state.gittinsIndex(node, nowSeconds);
     }
 
-    private static boolean isIn(PromptNode node, StoreTable.Store store, StoreTier tier) {
+    private static boolean hasCopyIn(PromptNode node, StoreTable.Store store, StoreTier tier) {
         for (PromptNode.Copy copy : node.copies()) {
             if (copy.store().equals(store.id())) {
                 return copy.tier() == tier;
@@ -260,18 +267,18 @@
         return false;
     }
 
-    private boolean keeps(StoreId store, ControlContext context) {
+    private boolean isMaintainer(StoreId store, ControlContext context) {
         EntryId self = context.self().entry();
-        long own = keeperWeight(self, store);
-        for (EntryId entry : live) {
-            if (!entry.equals(self) && keeperWeight(entry, store) > own) {
+        long ownWeight = maintainerWeight(self, store);
+        for (EntryId entry : aliveEntries) {
+            if (!entry.equals(self) && maintainerWeight(entry, store) > ownWeight) {
                 return false;
             }
         }
         return true;
     }
 
-    private static long keeperWeight(EntryId entry, StoreId store) {
+    private static long maintainerWeight(EntryId entry, StoreId store) {
         return Rendezvous.weight(entry.value(), BlockKey.of(0, Rendezvous.nameHash(store.value())));
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/StoreTable.java
+++ b/src/main/java/org/yuccagw/core/cache/StoreTable.java
@@ -9,20 +9,20 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * What is known of the cache stores: where they are, how fast their links move blocks, what moves on them now, and how
- * full they are.
+ * The cache stores as known locally: their addresses, the rates and current loads of their links, and the usage of
+ * their tiers.
  *
- * <p>A link's speed is learned for each tier from finished imports: all bytes that were on the link when the import
- * began and its own, over the time that it took. A store that failed is left alone for a time that doubles with each
- * failure in a row, so that a dead one costs few deadlines.
+ * <p>The rate of a link is estimated for each tier from completed imports: the bytes of the import and the bytes that
+ * were queued on the link when it began, divided by the duration of the import. A store that failed isn't used during a
+ * back-off that doubles with each consecutive failure, so that a failed store makes few requests wait for a deadline.
  */
 public final class StoreTable {
-    private static final double LEARNING_RATE = 0.2;
-    private static final double FIRST_BYTES_PER_MILLI = 250_000;
-    private static final double FIRST_DISK_SHARE = 0.5;
-    private static final long FIRST_PAUSE_NANOS = 1_000_000_000L;
-    private static final int MOST_DOUBLINGS = 6;
-    private static final double LEAST_MILLIS = 0.5;
+    private static final double RATE_SMOOTHING_EXPONENT = 0.2;
+    private static final double INITIAL_BYTES_PER_MILLI = 250_000;
+    private static final double INITIAL_DISK_RATE_RATIO = 0.5;
+    private static final long INITIAL_BACK_OFF_NANOS = 1_000_000_000L;
+    private static final int MAX_BACK_OFF_DOUBLINGS = 6;
+    private static final double MIN_SAMPLE_MILLIS = 0.5;
 
     private final TreeMap<StoreId, Store> stores = new TreeMap<>();
 
@@ -40,14 +40,14 @@
         return Optional.ofNullable(stores.get(id));
     }
 
-    /** The platform lists the store. */
-    Store list(StoreId id, NetworkAddress address) {
+    /** Adds a store that the platform lists, or updates its address. */
+    Store addOrUpdate(StoreId id, NetworkAddress address) {
         Store store = stores.computeIfAbsent(id, Store::new);
         store.address = address;
         return store;
     }
 
-    void retain(Collection<StoreId> listed) {
+    void retainAll(Collection<StoreId> listed) {
         stores.keySet().retainAll(listed);
     }
 
@@ -55,7 +55,7 @@
         return ImmutableList.copyOf(stores.keySet());
     }
 
-    /** All stores as operators see them. */
+    /** Returns the states of all stores for an operator. */
     ImmutableList<StoresRequested.StoreStatus> status(long nowNanos) {
         return stores.values().stream()
                 .map(store -> new StoresRequested.StoreStatus(
@@ -69,7 +69,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** One store. */
+    /** The state of one store. */
     public static final class Store {
         private final StoreId id;
         private final EnumMap<StoreTier, Double> bytesPerMilli = new EnumMap<>(StoreTier.class);
@@ -77,18 +77,18 @@
         private long foregroundBytes;
         private long backgroundBytes;
         private int exports;
-        private int failures;
-        private long pausedUntilNanos = Long.MIN_VALUE;
+        private int consecutiveFailures;
+        private long backOffUntilNanos = Long.MIN_VALUE;
         private StoreUpdate.Usage memory = StoreUpdate.Usage.unknown();
         private StoreUpdate.Usage disk = StoreUpdate.Usage.unknown();
-        private double floorIndex;
-        private boolean rateKnown;
+        private double admissionThreshold;
+        private boolean hasMeasuredRate;
         private boolean full;
 
         private Store(StoreId id) {
             this.id = id;
-            bytesPerMilli.put(StoreTier.MEMORY, FIRST_BYTES_PER_MILLI);
-            bytesPerMilli.put(StoreTier.DISK, FIRST_BYTES_PER_MILLI * FIRST_DISK_SHARE);
+            bytesPerMilli.put(StoreTier.MEMORY, INITIAL_BYTES_PER_MILLI);
+            bytesPerMilli.put(StoreTier.DISK, INITIAL_BYTES_PER_MILLI * INITIAL_DISK_RATE_RATIO);
         }
 
         public StoreId id() {
@@ -99,57 +99,67 @@
             return address;
         }
 
-        /** Whether it may be used now; false for a while after failures. */
+        /** Returns whether the store may be used now. False during the back-off after a failure. */
         public boolean isUsable(long nowNanos) {
-            return nowNanos >= pausedUntilNanos;
+            return nowNanos >= backOffUntilNanos;
         }
 
-        /** It failed: leave it alone for a while, longer with each failure in a row. */
-        void fail(long nowNanos) {
+        /**
+         * Records a failure and starts a back-off of 1 s, doubled for each consecutive failure up to 64 s. Failures
+         * during a back-off don't extend it.
+         */
+        void recordFailure(long nowNanos) {
             if (isUsable(nowNanos)) {
-                pausedUntilNanos = nowNanos + (FIRST_PAUSE_NANOS << Math.min(failures, MOST_DOUBLINGS));
-                failures++;
+                backOffUntilNanos =
+                        nowNanos + (INITIAL_BACK_OFF_NANOS << Math.min(consecutiveFailures, MAX_BACK_OFF_DOUBLINGS));
+                consecutiveFailures++;
             }
         }
 
-        void succeed() {
-            failures = 0;
-            pausedUntilNanos = Long.MIN_VALUE;
+        /** Ends the back-off. */
+        void recordSuccess() {
+            consecutiveFailures = 0;
+            backOffUntilNanos = Long.MIN_VALUE;
         }
 
-        /** Milliseconds until so many bytes have arrived, behind all that is on the link already. */
+        /** Returns the predicted milliseconds of a fetch, including the transfer of the bytes queued on the link. */
         public double fetchMillis(StoreTier tier, long bytes) {
-            return (bytesAhead() + bytes) / bytesPerMilli.get(tier);
+            return (queuedBytes() + bytes) / bytesPerMilli.get(tier);
         }
 
-        /** Milliseconds that the link needs for these bytes alone. */
-        public double linkMillis(StoreTier tier, long bytes) {
+        /**
+         * Returns the predicted milliseconds for which the link transfers the bytes, without the bytes queued on it.
+         */
+        public double transferMillis(StoreTier tier, long bytes) {
             return bytes / bytesPerMilli.get(tier);
         }
 
+        /** Returns the bytes of the fetches in progress, for waiting requests and prefetches. */
         public long foregroundBytes() {
             return foregroundBytes;
         }
 
-        /** Bytes that a transfer which begins now has before it. */
-        public long bytesAhead() {
+        /** Returns the bytes queued on the link before a transfer that begins now. */
+        public long queuedBytes() {
             return foregroundBytes + backgroundBytes;
         }
 
+        /** Returns the bytes of the exports in progress. */
         public long backgroundBytes() {
             return backgroundBytes;
         }
 
+        /** Returns the number of exports in progress. */
         public int exports() {
             return exports;
         }
 
-        /** A fetch for a waiting request begins. */
+        /** Adds the bytes of a fetch that begins to the load of the link. */
         public void beginFetch(long bytes) {
             foregroundBytes += bytes;
         }
 
-        /** It ended, however. */
+        /** Removes the bytes of a fetch that ended, with any outcome. */
         public void endFetch(long bytes) {
             foregroundBytes = Math.max(0, foregroundBytes - bytes);
         }
@@ -164,22 +174,32 @@
             exports = Math.max(0, exports - 1);
         }
 
-        /** An import took this long, with so many bytes ahead of it when it began. */
-        public void learnRate(StoreTier tier, long bytesAhead, long bytes, double millis) {
-            double sample = (bytesAhead + bytes) / Math.max(LEAST_MILLIS, millis);
-            double known = bytesPerMilli.get(tier);
-            bytesPerMilli.put(tier, known * Math.pow(sample / known, LEARNING_RATE));
-            rateKnown = true;
-        }
-
-        /** The store's own word on its link, taken until imports have shown its speed. */
-        void statedRate(double statedBytesPerMilli) {
-            if (!rateKnown && statedBytesPerMilli > 0) {
-                bytesPerMilli.put(StoreTier.MEMORY, statedBytesPerMilli);
-                bytesPerMilli.put(StoreTier.DISK, statedBytesPerMilli * FIRST_DISK_SHARE);
+        /**
+         * Updates the estimated rate of a tier from a completed import.
+         *
+         * @param queuedBytes bytes that were queued on the link when the import began
+         * @param bytes bytes of the import
+         * @param millis duration of the import
+         */
+        public void updateRate(StoreTier tier, long queuedBytes, long bytes, double millis) {
+            double sampleBytesPerMilli = (queuedBytes + bytes) / Math.max(MIN_SAMPLE_MILLIS, millis);
+            double currentBytesPerMilli = bytesPerMilli.get(tier);
+            bytesPerMilli.put(
+                    tier,
+                    currentBytesPerMilli
+                            * Math.pow(sampleBytesPerMilli / currentBytesPerMilli, RATE_SMOOTHING_EXPONENT));
+            hasMeasuredRate = true;
+        }
+
+        /** Sets the link rate that the store reports. It is used until an import has been measured. */
+        void setReportedRate(double reportedBytesPerMilli) {
+            if (!hasMeasuredRate && reportedBytesPerMilli > 0) {
+                bytesPerMilli.put(StoreTier.MEMORY, reportedBytesPerMilli);
+                bytesPerMilli.put(StoreTier.DISK, reportedBytesPerMilli * INITIAL_DISK_RATE_RATIO);
             }
         }
 
+        /** Returns the estimated rate of the link for a tier, in bytes per millisecond. */
         public double bytesPerMilli(StoreTier tier) {
             return bytesPerMilli.get(tier);
         }
@@ -202,15 +222,19 @@
             }
         }
 
-        /** The value that blocks must pass to be worth a place: that of the last ones evicted, 0 with room. */
-        public double floorIndex() {
-            return floorIndex;
+        /**
+         * Returns the Gittins index that blocks must exceed to be exported to the store: a moving average over the
+         * blocks evicted last, 0 while the store has free capacity.
+         */
+        public double admissionThreshold() {
+            return admissionThreshold;
         }
 
-        void setFloorIndex(double index) {
-            floorIndex = index;
+        void setAdmissionThreshold(double gittinsIndex) {
+            admissionThreshold = gittinsIndex;
         }
 
+        /** Returns whether the store refused blocks of an export for lack of capacity since its usage was last read. */
         public boolean isFull() {
             return full;
         }
--- a/src/main/java/org/yuccagw/core/cache/StoreTier.java
+++ b/src/main/java/org/yuccagw/core/cache/StoreTier.java
@@ -1,16 +1,16 @@
 package org.yuccagw.core.cache;
 
-/** Where a store keeps a block. */
+/** The storage tier of a block in a cache store. */
 public enum StoreTier {
     MEMORY,
     DISK;
 
-    /** The name in the stores' protocol. */
+    /** Returns the name of the tier in the protocol of the stores. */
     public String text() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    /** Reads the name in the stores' protocol; anything but {@code memory} counts as the slower tier. */
+    /** Parses a name of the protocol of the stores. Any name but {@code memory} is read as the slower tier. */
     public static StoreTier of(String text) {
         return text.equals("memory") ? MEMORY : DISK;
     }
--- a/src/main/java/org/yuccagw/core/cache/StoredPrefix.java
+++ b/src/main/java/org/yuccagw/core/cache/StoredPrefix.java
@@ -6,37 +6,40 @@
 import java.util.Optional;
 
 /**
- * Blocks of a prompt that one store has without a gap, from some depth on.
+ * Consecutive blocks of a prompt that one store holds without a gap, from a given depth on.
  *
- * @param from depth of the first one
- * @param ends depths at which the prefix may be cut with little loss, growing; the last is its whole length
+ * @param startDepth depth of the first block
+ * @param cutPoints depths at which a fetch may end, in ascending order: the ends of the runs of the {@link PromptTree}.
+ *     The last one is the end of the prefix.
  */
 public record StoredPrefix(
-        StoreTable.Store store, int from, ImmutableList<StoredBlock> blocks, ImmutableList<End> ends) {
+        StoreTable.Store store, int startDepth, ImmutableList<StoredBlock> blocks, ImmutableList<CutPoint> cutPoints) {
 
     /**
-     * A place to cut.
+     * A depth at which a fetch of the prefix may end.
      *
-     * @param depth of the first block that isn't fetched
-     * @param memoryBytes bytes up to there in the memory tier
-     * @param diskBytes bytes up to there in the disk tier
+     * @param depth depth of the first block that isn't fetched
+     * @param memoryBytes bytes before that depth in the memory tier
+     * @param diskBytes bytes before that depth in the disk tier
      */
-    public record End(int depth, long memoryBytes, long diskBytes) {}
+    public record CutPoint(int depth, long memoryBytes, long diskBytes) {}
 
-    /** The longest one that starts at {@code from}, in whichever usable store has it. */
-    public static Optional<StoredPrefix> find(CacheState state, List<BlockKey> prompt, int from, long nowNanos) {
-        return find(state, prompt, state.prompts().walk(prompt), from, nowNanos);
+    /** Returns the longest stored prefix from {@code startDepth} on over all usable stores. */
+    public static Optional<StoredPrefix> find(CacheState state, List<BlockKey> prompt, int startDepth, long nowNanos) {
+        return find(state, prompt, state.prompts().findPath(prompt), startDepth, nowNanos);
     }
 
-    /** As {@link #find(CacheState, List, int, long)}, with the prompt's path through the tree. */
+    /**
+     * Variant of {@link #find(CacheState, List, int, long)} for a caller that has found the prompt's path in the tree.
+     */
     public static Optional<StoredPrefix> find(
-            CacheState state, List<BlockKey> prompt, List<PromptNode> path, int from, long nowNanos) {
+            CacheState state, List<BlockKey> prompt, List<PromptNode> path, int startDepth, long nowNanos) {
         StoredPrefix longest = null;
         for (StoreTable.Store store : state.stores().all()) {
             if (!store.isUsable(nowNanos)) {
                 continue;
             }
-            StoredPrefix found = inStore(store, prompt, path, from);
+            StoredPrefix found = findInStore(store, prompt, path, startDepth);
             if (found != null && (longest == null || found.blocks.size() > longest.blocks.size())) {
                 longest = found;
             }
@@ -44,61 +47,63 @@
         return Optional.ofNullable(longest);
     }
 
-    /** The first blocks up to a depth. */
-    public ImmutableList<StoredBlock> upTo(int depth) {
-        return blocks.subList(0, depth - from);
+    /** Returns the blocks before a depth. */
+    public ImmutableList<StoredBlock> blocksUpTo(int depth) {
+        return blocks.subList(0, depth - startDepth);
     }
 
-    /** The tier that decides how long the whole takes. */
+    /** Returns the slowest tier that holds a block of the prefix. */
     public StoreTier slowestTier() {
-        return ends.get(ends.size() - 1).diskBytes() > 0 ? StoreTier.DISK : StoreTier.MEMORY;
+        return cutPoints.get(cutPoints.size() - 1).diskBytes() > 0 ? StoreTier.DISK : StoreTier.MEMORY;
     }
 
-    /** Predicted milliseconds until everything up to there has arrived, behind the fetches on the link now. */
-    public double fetchMillis(End end) {
-        double memory = end.memoryBytes() > 0 ? store.linkMillis(StoreTier.MEMORY, end.memoryBytes()) : 0;
-        double disk = end.diskBytes() > 0 ? store.linkMillis(StoreTier.DISK, end.diskBytes()) : 0;
+    /** Returns the predicted milliseconds of a fetch up to the cut point, including the bytes queued on the link. */
+    public double fetchMillis(CutPoint cutPoint) {
+        double memory = cutPoint.memoryBytes() > 0 ? store.transferMillis(StoreTier.MEMORY, cutPoint.memoryBytes()) : 0;
+        double disk = cutPoint.diskBytes() > 0 ? store.transferMillis(StoreTier.DISK, cutPoint.diskBytes()) : 0;
         return memory + disk + store.fetchMillis(StoreTier.MEMORY, 0);
     }
 
-    /** As {@link #fetchMillis(End)} for the end at or behind the depth. */
+    /** Returns the predicted milliseconds of a fetch up to the first cut point at or behind the depth. */
     public double fetchMillis(int depth) {
-        for (End end : ends) {
-            if (end.depth() >= depth) {
-                return fetchMillis(end);
+        for (CutPoint cutPoint : cutPoints) {
+            if (cutPoint.depth() >= depth) {
+                return fetchMillis(cutPoint);
             }
         }
-        return fetchMillis(ends.get(ends.size() - 1));
+        return fetchMillis(cutPoints.get(cutPoints.size() - 1));
     }
 
-    private static StoredPrefix inStore(
-            StoreTable.Store store, List<BlockKey> prompt, List<PromptNode> path, int from) {
+    private static StoredPrefix findInStore(
+            StoreTable.Store store, List<BlockKey> prompt, List<PromptNode> path, int startDepth) {
         ImmutableList.Builder<StoredBlock> blocks = ImmutableList.builder();
-        List<End> ends = new ArrayList<>();
-        int depth = from;
+        List<CutPoint> cutPoints = new ArrayList<>();
+        int depth = startDepth;
         long memoryBytes = 0;
         long diskBytes = 0;
         for (PromptNode node : path) {
-            if (node.startDepth() + node.blocks() <= depth) {
+            if (node.startDepth() + node.blockCount() <= depth) {
                 continue;
             }
             Optional<PromptNode.Copy> copy = node.copyIn(store.id());
-            int agreed = PromptTree.agreeing(node, prompt);
-            int end = node.startDepth()
-                    + Math.min(agreed, copy.map(PromptNode.Copy::blocks).orElse(0));
-            if (end <= depth) {
+            int matching = PromptTree.matchingBlocks(node, prompt);
+            int endDepth = node.startDepth()
+                    + Math.min(matching, copy.map(PromptNode.Copy::blockCount).orElse(0));
+            if (endDepth <= depth) {
                 break;
             }
-            blocks.addAll(node.stored(copy.get(), depth - node.startDepth(), end - node.startDepth()));
-            long bytes = (long) (end - depth) * copy.get().blockBytes();
+            blocks.addAll(node.storedBlocks(copy.get(), depth - node.startDepth(), endDepth - node.startDepth()));
+            long bytes = (long) (endDepth - depth) * copy.get().blockBytes();
             memoryBytes += copy.get().tier() == StoreTier.MEMORY ? bytes : 0;
             diskBytes += copy.get().tier() == StoreTier.DISK ? bytes : 0;
-            depth = end;
-            ends.add(new End(depth, memoryBytes, diskBytes));
-            if (end < node.startDepth() + node.blocks()) {
+            depth = endDepth;
+            cutPoints.add(new CutPoint(depth, memoryBytes, diskBytes));
+            if (endDepth < node.startDepth() + node.blockCount()) {
                 break;
             }
         }
-        return ends.isEmpty() ? null : new StoredPrefix(store, from, blocks.build(), ImmutableList.copyOf(ends));
+        return cutPoints.isEmpty()
+                ? null
+                : new StoredPrefix(store, startDepth, blocks.build(), ImmutableList.copyOf(cutPoints));
     }
 }
--- a/src/main/java/org/yuccagw/core/cache/StoresRequested.java
+++ b/src/main/java/org/yuccagw/core/cache/StoresRequested.java
@@ -7,19 +7,20 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * An operator wants to know what this entry holds true of the cache stores. The reply comes exactly once.
+ * Requests the state of the cache stores as known to this entry, for an operator. The reply is given exactly once.
  *
- * <p>An event and no part of the snapshot, since operators ask rarely and links change with every fetch.
+ * <p>The state is requested by an event and isn't part of the published snapshot, because operators query it rarely
+ * while the load of the links changes with every fetch.
  */
 public record StoresRequested(Consumer<ImmutableList<StoreStatus>> reply) implements ControlEvent {
     /**
-     * One store.
+     * The state of one store.
      *
-     * @param usable false for a while after failures
-     * @param memory its faster tier, as last reported
-     * @param disk its slower tier
-     * @param foregroundBytes bytes on its link now for requests that wait
-     * @param backgroundBytes bytes on its link now for exports
+     * @param usable false during the back-off after failures
+     * @param memory usage of the faster tier, as last reported
+     * @param disk usage of the slower tier, as last reported
+     * @param foregroundBytes bytes now in transfer on its link for waiting requests
+     * @param backgroundBytes bytes now in transfer on its link for exports
      */
     public record StoreStatus(
             StoreId store,
--- a/src/main/java/org/yuccagw/core/cache/package-info.java
+++ b/src/main/java/org/yuccagw/core/cache/package-info.java
@@ -1,2 +1,2 @@
-/** The cache behind the engines: block identity, what is where, what is worth keeping and moving. */
+/** The prefix cache: block keys, indexes of copies in engines and stores, export, eviction and prefetch. */
 package org.yuccagw.core.cache;
--- a/src/main/java/org/yuccagw/core/placing/EndpointChoice.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointChoice.java
@@ -103,7 +103,7 @@
         List<EndpointState> near =
                 candidates.stream().filter(each -> !scoring.isFar(each)).toList();
         List<EndpointState> pool = near.isEmpty() ? candidates : near;
-        return prompt.session()
+        return prompt.sessionPart()
                 .flatMap(part -> pool.stream()
                         .max(Comparator.comparingLong(candidate ->
                                 Scoring.sessionWeight(part, candidate.listed().id()))));
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -431,7 +431,7 @@
         PlacementRequest asked = request.asked();
         EndpointState endpoint = chosen.endpoint();
         long ticket = nextTicket++;
-        long tokens = asked.prompt().map(prompt -> (long) prompt.tokens()).orElse(0L);
+        long tokens = asked.prompt().map(prompt -> (long) prompt.totalTokens()).orElse(0L);
         Work work = Work.ofOne(tokens, chosen.need().map(PromptNeed::readTokens).orElse(0));
         boolean alone = endpoint.work().unreadTokens() == 0;
         endpoint.add(work);
@@ -463,7 +463,7 @@
                 .with(
                         "session",
                         asked.prompt()
-                                .flatMap(PromptShape::session)
+                                .flatMap(PromptShape::sessionPart)
                                 .map(PromptPart::id)
                                 .orElse(""))
                 .with(
--- a/src/main/java/org/yuccagw/core/placing/PromptNeeds.java
+++ b/src/main/java/org/yuccagw/core/placing/PromptNeeds.java
@@ -55,7 +55,7 @@
         }
         int read = Math.max(0, prompt.promptTokens() - held - fetched);
         int sharedRead = tokensOf(shared.subList(index, shared.size()));
-        return new PromptNeed(prompt.tokens(), read, sharedRead, fetched, millis);
+        return new PromptNeed(prompt.totalTokens(), read, sharedRead, fetched, millis);
     }
 
     /** How many shared parts at the beginning of the prompt the endpoint holds, as far as known. */
--- a/src/main/java/org/yuccagw/core/prompt/PromptPart.java
+++ b/src/main/java/org/yuccagw/core/prompt/PromptPart.java
@@ -1,8 +1,9 @@
 package org.yuccagw.core.prompt;
 
 /**
- * One part of a prompt. Prompts that begin with the same parts share them.
+ * A part of a prompt. Prompts that begin with the same parts share the cached blocks of these parts.
  *
- * @param id the same for the same content
+ * @param id identifies the content: equal contents have equal ids
+ * @param tokens size of the part
  */
 public record PromptPart(String id, int tokens) {}
--- a/src/main/java/org/yuccagw/core/prompt/package-info.java
+++ b/src/main/java/org/yuccagw/core/prompt/package-info.java
@@ -1,2 +1,2 @@
-/** The shape of a prompt: its size and the parts that other prompts share. */
+/** The size of a prompt and its parts, which other prompts may share. */
 package org.yuccagw.core.prompt;
--- a/src/main/java/org/yuccagw/core/routing/Placement.java
+++ b/src/main/java/org/yuccagw/core/routing/Placement.java
@@ -29,7 +29,7 @@
     /** Blocks of a stored prefix up to a depth of the prompt. */
     record Fetch(StoredPrefix prefix, int depth) {
         List<StoredBlock> blocks() {
-            return prefix.upTo(depth);
+            return prefix.blocksUpTo(depth);
         }
     }
 
--- a/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
+++ b/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
@@ -130,7 +130,7 @@
 
     private static void addTargetsOfImports(RoutingView view, Set<EndpointStatus> chosen) {
         BlockKey name = PromptTree.affinityKey(view.question().blocks());
-        for (ImportsInProgress.Import running : view.cache().imports().bringing(name)) {
+        for (ImportsInProgress.Import running : view.cache().imports().findAll(name)) {
             view.candidates().find(running.endpoint()).ifPresent(chosen::add);
         }
     }
@@ -147,14 +147,14 @@
         Optional<ImportsInProgress.Import> running = view.cache().imports().find(endpoint.id(), blocks.get(held));
         if (running.isPresent()) {
             int depth = broughtDepth(running.get(), blocks, held);
-            double left = running.get().leftMillis(view.nowNanos());
+            double left = running.get().remainingMillis(view.nowNanos());
             return better(best, way(view, endpoint, Optional.empty(), running, depth, left, malus));
         }
         Optional<StoredPrefix> stored =
                 StoredPrefix.find(view.cache(), blocks, view.path(), surelyHeld(view, endpoint, held), view.nowNanos());
         if (stored.isPresent()) {
             double deadline = view.cache().settings().importDeadline().toMillis();
-            for (StoredPrefix.End end : stored.get().ends()) {
+            for (StoredPrefix.CutPoint end : stored.get().cutPoints()) {
                 double fetch = stored.get().fetchMillis(end);
                 if (fetch < deadline) {
                     Placement.Fetch part = new Placement.Fetch(stored.get(), end.depth());
@@ -169,9 +169,9 @@
     private static int heldBlocks(RoutingView view, EndpointStatus endpoint) {
         List<BlockKey> blocks = view.question().blocks();
         ReplicaIndex replicas = view.cache().replicas();
-        int held = replicas.prefix(endpoint.id(), blocks);
-        boolean doubtful = held > 0 && replicas.isDoubtful(endpoint.id());
-        return doubtful ? (int) (held * ReplicaIndex.DOUBTFUL_SHARE) : held;
+        int held = replicas.prefixBlocks(endpoint.id(), blocks);
+        boolean doubtful = held > 0 && replicas.isStale(endpoint.id());
+        return doubtful ? (int) (held * ReplicaIndex.STALE_PREFIX_SHARE) : held;
     }
 
     /**
@@ -180,11 +180,11 @@
      * replica is about to evict the rest, and events tell of it late.
      */
     private static int surelyHeld(RoutingView view, EndpointStatus endpoint, int held) {
-        if (view.cache().replicas().isDoubtful(endpoint.id())) {
+        if (view.cache().replicas().isStale(endpoint.id())) {
             return 0;
         }
         for (PromptNode node : view.path()) {
-            if (node.startDepth() < held && held < node.startDepth() + node.blocks()) {
+            if (node.startDepth() < held && held < node.startDepth() + node.blockCount()) {
                 return node.startDepth();
             }
         }
@@ -193,7 +193,7 @@
 
     private static int broughtDepth(ImportsInProgress.Import running, List<BlockKey> blocks, int from) {
         int depth = from;
-        while (depth < blocks.size() && running.brings(blocks.get(depth))) {
+        while (depth < blocks.size() && running.includes(blocks.get(depth))) {
             depth++;
         }
         return depth;
--- a/src/main/java/org/yuccagw/core/routing/RouteComponent.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteComponent.java
@@ -152,10 +152,10 @@
             return List.of();
         }
         if (!question.excluded().isEmpty()) {
-            return cache.prompts().walk(question.blocks());
+            return cache.prompts().findPath(question.blocks());
         }
-        double nowSeconds = CacheState.seconds(context.nowNanos());
-        return cache.prompts().arrive(question.blocks(), scope(question, service), nowSeconds, context.random());
+        double nowSeconds = CacheState.toSeconds(context.nowNanos());
+        return cache.prompts().recordRequest(question.blocks(), scope(question, service), nowSeconds, context.random());
     }
 
     private void decide(RouteRequested asked, ControlContext context) {
@@ -220,7 +220,7 @@
                 candidates(new SetName(service.pool(), version, onOtherVersion)),
                 service.model(),
                 cache.catalogue().requestClass(question.className()).orElse(UNKNOWN_CLASS),
-                cache.prompts().walk(question.blocks()),
+                cache.prompts().findPath(question.blocks()),
                 loads,
                 cache,
                 context.self().domain(),
@@ -268,7 +268,7 @@
     private Optional<ImportPlan> importPlan(Placement placement, ControlContext context) {
         if (placement.joined().isPresent()) {
             ImportsInProgress.Import joined = placement.joined().get();
-            Duration deadline = deadline(joined.leftMillis(context.nowNanos()));
+            Duration deadline = deadline(joined.remainingMillis(context.nowNanos()));
             ImmutableList<StoredBlock> blocks = joined.blocks();
             return Optional.of(
                     new ImportPlan(joined.store().id(), joined.store().address(), blocks, deadline, true));
@@ -321,7 +321,7 @@
         }
         int asked = attempt.placement.fetch().orElseThrow().blocks().size();
         if (imported.blocks() >= asked) {
-            cache.imports().endWhole(attempt.fetching.get(), (double) imported.millis());
+            cache.imports().complete(attempt.fetching.get(), (double) imported.millis());
         } else {
             cache.imports().end(attempt.fetching.get());
             int missing = asked - imported.blocks();
@@ -336,7 +336,7 @@
         }
         if (attempt.prefillTokens >= LEAST_TOKENS_TO_LEARN_SPEED) {
             load.learn(attempt.prefillTokens, (double) millis);
-            cache.learnPrefillSpeed(loads.usualTokensPerMilli());
+            cache.setPrefillTokensPerMilli(loads.usualTokensPerMilli());
         } else if (attempt.prefillTokens <= MOST_TOKENS_TO_LEARN_BASE) {
             load.learnBase((double) millis);
         }
--- a/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
@@ -94,7 +94,7 @@
     private static Optional<Placement> byAffinityWithImport(RoutingView view) {
         return affine(view).map(chosen -> {
             Question question = view.question();
-            int held = view.cache().replicas().prefix(chosen.id(), question.blocks());
+            int held = view.cache().replicas().prefixBlocks(chosen.id(), question.blocks());
             Optional<StoredPrefix> stored =
                     StoredPrefix.find(view.cache(), question.blocks(), view.path(), held, view.nowNanos());
             int depth = stored.map(prefix -> held + prefix.blocks().size()).orElse(held);
@@ -150,7 +150,7 @@
 
     private static long uncached(RoutingView view, EndpointStatus endpoint) {
         ReplicaIndex replicas = view.cache().replicas();
-        int held = replicas.prefix(endpoint.id(), view.question().blocks());
+        int held = replicas.prefixBlocks(endpoint.id(), view.question().blocks());
         return Math.max(0, view.question().promptTokens() - (long) held * view.blockTokens());
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/StoreQuestions.java
+++ b/src/main/java/org/yuccagw/core/routing/StoreQuestions.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import org.yuccagw.core.cache.BlockKey;
-import org.yuccagw.core.cache.CacheOrder;
+import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.CacheState;
 import org.yuccagw.core.cache.PromptNode;
 import org.yuccagw.core.cache.StoreTable;
@@ -50,7 +50,7 @@
         }
         int known = 0;
         for (PromptNode node : path) {
-            known += node.storedBlocks();
+            known += node.maxCopyBlocks();
         }
         if (blocks.size() - known < LEAST_BLOCKS) {
             return false;
@@ -59,7 +59,7 @@
         cache.replicas()
                 .forEachHolder(
                         blocks,
-                        id -> held[0] = Math.max(held[0], cache.replicas().prefix(id, blocks)));
+                        id -> held[0] = Math.max(held[0], cache.replicas().prefixBlocks(id, blocks)));
         return blocks.size() - held[0] >= LEAST_BLOCKS;
     }
 
@@ -75,8 +75,8 @@
         open.put(number, asked);
         asked.timer = context.after(cache.settings().lookUpDeadline(), () -> close(number));
         for (StoreTable.Store store : stores) {
-            context.perform(new CacheOrder.LookUpBlocks(
-                    number, new CacheOrder.StoreAddress(store.id(), store.address()), blocks));
+            context.perform(new CacheCommand.LookUpBlocks(
+                    number, new CacheCommand.StoreAddress(store.id(), store.address()), blocks));
         }
     }
 
--- a/src/main/java/org/yuccagw/daemon/ControlComponents.java
+++ b/src/main/java/org/yuccagw/daemon/ControlComponents.java
@@ -42,7 +42,7 @@
     public static ControlComponents of(EntryIdentity self) {
         CatalogueComponent catalogue = CatalogueComponent.of(CatalogueJson.create());
         ShardsComponent shards = ShardsComponent.of();
-        CacheState cache = CacheState.of(CacheSettings.usual());
+        CacheState cache = CacheState.of(CacheSettings.defaults());
         ControlCore core = ControlCore.of(
                 self,
                 new SplittableRandom(self.incarnation() ^ self.entry().hashCode()),
--- a/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
+++ b/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
@@ -19,7 +19,7 @@
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.BlockKey;
-import org.yuccagw.core.cache.CacheOrder;
+import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.EngineCacheUpdate;
 import org.yuccagw.core.cache.EngineCacheUpdate.ImportFailure;
 import org.yuccagw.core.cache.StoreUpdate;
@@ -87,27 +87,27 @@
     @Test
     public void whatTheStoreAndTheEngineTellIsRead() throws Exception {
         List<StoredBlock> stored = export();
-        perform(new CacheOrder.LookUpBlocks(7, storeAddress(), keys()));
+        perform(new CacheCommand.LookUpBlocks(7, storeAddress(), keys()));
         assertEquals(only(StoreUpdate.BlocksFound.class).found().size(), stored.size());
-        perform(new CacheOrder.ReadStoreStatus(storeAddress()));
-        assertTrue(only(StoreUpdate.StatusRead.class).memory().used() > 0);
-        perform(new CacheOrder.ReadCacheEvents(endpoint().id(), engine.address(), 0));
+        perform(new CacheCommand.ReadStoreStatus(storeAddress()));
+        assertTrue(only(StoreUpdate.StatusRead.class).memory().usedBytes() > 0);
+        perform(new CacheCommand.ReadCacheEvents(endpoint().id(), engine.address(), 0));
         assertTrue(only(EngineCacheUpdate.EventsRead.class).lastSequence() > 0);
-        perform(new CacheOrder.ReadCacheSnapshot(endpoint().id(), engine.address()));
+        perform(new CacheCommand.ReadCacheSnapshot(endpoint().id(), engine.address()));
         assertTrue(only(EngineCacheUpdate.SnapshotRead.class).blocks().containsAll(keys()));
     }
 
     @Test
     public void aDeletionIsIdempotent() throws Exception {
         List<StoredBlock> stored = export();
-        List<CacheOrder.Generation> generations = stored.stream()
-                .map(block -> new CacheOrder.Generation(block.key(), block.generation()))
+        List<CacheCommand.Generation> generations = stored.stream()
+                .map(block -> new CacheCommand.Generation(block.key(), block.generation()))
                 .toList();
         for (int i = 0; i < 2; i++) {
-            perform(new CacheOrder.DeleteBlocks(storeAddress(), generations));
+            perform(new CacheCommand.DeleteBlocks(storeAddress(), generations));
             await().atMost(LIMIT).until(() -> {
                 events.clear();
-                perform(new CacheOrder.LookUpBlocks(1, storeAddress(), keys()));
+                perform(new CacheCommand.LookUpBlocks(1, storeAddress(), keys()));
                 return only(StoreUpdate.BlocksFound.class).found().isEmpty();
             });
         }
@@ -206,8 +206,8 @@
                 .toList();
     }
 
-    private CacheOrder.ExportBlocks exportOrder() {
-        return new CacheOrder.ExportBlocks(1, endpoint(), storeAddress(), "writer-1", keys(), LIMIT);
+    private CacheCommand.ExportBlocks exportOrder() {
+        return new CacheCommand.ExportBlocks(1, endpoint(), storeAddress(), "writer-1", keys(), LIMIT);
     }
 
     private void complete() throws Exception {
@@ -243,7 +243,7 @@
         return done;
     }
 
-    private void perform(CacheOrder order) {
+    private void perform(CacheCommand order) {
         assertTrue(actions.perform(order, events::add));
     }
 
@@ -256,8 +256,8 @@
                 .orElseThrow();
     }
 
-    private CacheOrder.StoreAddress storeAddress() {
-        return new CacheOrder.StoreAddress(StoreId.of("store-0"), store.address());
+    private CacheCommand.StoreAddress storeAddress() {
+        return new CacheCommand.StoreAddress(StoreId.of("store-0"), store.address());
     }
 
     private EndpointStatus endpoint() {
