--- a/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
@@ -18,51 +18,51 @@
 
 public class CacheFailureTest {
     private static final List<BlockKey> PREAMBLE = CacheCore.prompt("notebook", 60);
-    private static final Duration AWAY = Duration.ofMinutes(30);
+    private static final Duration LONG_ABSENCE = Duration.ofMinutes(30);
 
-    // An engine dies while it writes a notebook's blocks to a store. The blocks stay unsealed: no reader sees them, but
-    // they take room, and in the end the store answers that it is full. Cause: nobody else knows of the dead writer's
-    // blocks. The entry that keeps the store deletes exactly those generations once no export can still be running.
+    // An engine fails while it writes blocks to a store. The blocks stay unsealed: no reader can use them, but they
+    // occupy storage until the store reports that it is full. No other engine deletes the blocks of the failed writer,
+    // so the entry that maintains the store must delete exactly these generations once no export can still be running.
     @Test
-    public void blocksOfAWriterThatDiedBeforeSealingAreCollected() {
+    public void unsealedBlocksOfAFailedWriterAreDeleted() {
         CacheCore core = CacheCore.usual(3);
         core.pass(Duration.ofSeconds(31));
-        assertTrue(core.actions(CacheOrder.ReadUnsealed.class).size() >= 2);
+        assertTrue(core.actions(CacheCommand.ReadUnsealed.class).size() >= 2);
         core.handle(new StoreUpdate.UnsealedRead(
                 CacheCore.store(0),
                 List.of(
                         new StoreUpdate.Unsealed(PREAMBLE.get(0), 5, "entry-1-1-1", 3_600_000),
                         new StoreUpdate.Unsealed(PREAMBLE.get(1), 6, "entry-1-1-2", 1_000))));
-        List<CacheOrder.DeleteBlocks> deletions = core.actions(CacheOrder.DeleteBlocks.class);
+        List<CacheCommand.DeleteBlocks> deletions = core.actions(CacheCommand.DeleteBlocks.class);
         assertEquals(deletions.size(), 1);
-        assertEquals(deletions.get(0).blocks(), List.of(new CacheOrder.Generation(PREAMBLE.get(0), 5)));
+        assertEquals(deletions.get(0).blocks(), List.of(new CacheCommand.Generation(PREAMBLE.get(0), 5)));
     }
 
-    // A recruiter's dossier returns, its blocks are fetched, and the store dies in the middle. The recruiter would wait
-    // for each further dossier too, deadline after deadline. Cause: the router still counts on the store. After the
-    // first failure it leaves the store alone, and the next dossiers are computed at once.
+    // A store fails during an import. If the router kept planning fetches from it, each further prompt would wait for a
+    // deadline as well. After the first failure the router must not use the store until its back-off has passed, and
+    // prompts are prefilled without a fetch.
     @Test
-    public void aStoreThatDiesDuringAnImportIsLeftAloneAtOnce() {
-        CacheCore core = storedAndGone();
+    public void aStoreThatFailsDuringAnImportIsNotUsedDuringItsBackOff() {
+        CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
-        core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.STORE));
+        core.handle(importFailed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.STORE));
         core.handle(new AttemptReport.Imported(chosen.attempt(), 0, 0, 40));
         assertFalse(core.route(PREAMBLE).importFirst().isPresent());
         core.pass(Duration.ofSeconds(2));
-        assertTrue(core.route(PREAMBLE).importFirst().isPresent(), "it is tried again after a while");
+        assertTrue(core.route(PREAMBLE).importFirst().isPresent(), "the store must be used again after the back-off");
     }
 
-    // A store frees a block while an engine reads it. The read that goes on finishes, a later one finds the block gone
-    // and the prompt is computed. Cause: the entry's knowledge is older than the store's. It must forget the block and
-    // all that follows it in that copy, else each return of the notebook asks for it in vain.
+    // A store deletes a block while an engine reads it. The read in progress completes, but a later one fails and the
+    // prompt is prefilled, because the entry's state of the store is out of date. The entry must remove the block and
+    // all blocks that follow it in the copy; otherwise each return of the prompt requests the block without success.
     @Test
-    public void aBlockThatIsGoneIsNotAskedForAgain() {
-        CacheCore core = storedAndGone();
+    public void aBlockThatTheStoreLostIsNotRequestedAgain() {
+        CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
         assertEquals(plan.blocks().size(), PREAMBLE.size());
-        BlockKey gone = plan.blocks().get(20).key();
+        BlockKey lostKey = plan.blocks().get(20).key();
         core.handle(new EngineCacheUpdate.ImportEnded(
                 chosen.endpoint().id(),
                 plan.store(),
@@ -70,17 +70,17 @@
                 20,
                 1,
                 50,
-                List.of(new EngineCacheUpdate.FailedBlock(gone, EngineCacheUpdate.ImportFailure.GONE))));
+                List.of(new EngineCacheUpdate.FailedBlock(lostKey, EngineCacheUpdate.ImportFailure.GONE))));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         core.evictAll(chosen.endpoint().id());
         assertEquals(core.route(PREAMBLE).importFirst().orElseThrow().blocks().size(), 20);
     }
 
-    // Bytes of a stored block were damaged. The engine sees the wrong checksum and refuses the block; the analyst's
-    // answer is computed and right. Cause: a fault of the store's memory. The copy must not be used again.
+    // A memory fault of the store damages the bytes of a stored block. The engine rejects the block because of its
+    // checksum and prefills the prompt, so the answer is correct. The damaged copy must not be used again.
     @Test
-    public void aDamagedCopyIsForgotten() {
-        CacheCore core = storedAndGone();
+    public void aDamagedCopyIsNotUsedAgain() {
+        CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
         core.handle(new EngineCacheUpdate.ImportEnded(
@@ -97,98 +97,101 @@
         assertFalse(core.route(PREAMBLE).importFirst().isPresent());
     }
 
-    // The store fills up in the middle of an export. Half a notebook is sealed, the rest is refused. Cause: other
-    // writers were faster. The sealed half is of use, nothing more is sent there, and the least valuable blocks go.
+    // Other writers fill the store during an export: half of the blocks are sealed and the others are refused. The
+    // sealed half must be kept, no further export may be sent to the store, and the least valuable blocks must be
+    // evicted.
     @Test
-    public void aStoreThatFillsUpDuringAnExportKeepsTheSealedPart() {
+    public void aStoreThatFillsUpDuringAnExportKeepsTheSealedBlocks() {
         CacheCore core = CacheCore.usual(3);
         EndpointId first = core.serve(PREAMBLE).endpoint().id();
         core.pass(Duration.ofSeconds(5));
-        CacheOrder.ExportBlocks export =
-                core.actions(CacheOrder.ExportBlocks.class).get(0);
+        CacheCommand.ExportBlocks export =
+                core.actions(CacheCommand.ExportBlocks.class).get(0);
         List<StoredBlock> half = CacheCore.sealed(export.blocks().subList(0, 30), 1);
         core.handle(new EngineCacheUpdate.ExportEnded(export.number(), first, half, true, Optional.empty()));
-        assertFalse(core.actions(CacheOrder.MoveBlocks.class).isEmpty()
-                && core.actions(CacheOrder.DeleteBlocks.class).isEmpty());
+        assertFalse(core.actions(CacheCommand.MoveBlocks.class).isEmpty()
+                && core.actions(CacheCommand.DeleteBlocks.class).isEmpty());
         core.serve(CacheCore.prompt("other", 60));
         core.pass(Duration.ofMillis(900));
-        assertTrue(core.actions(CacheOrder.ExportBlocks.class).stream()
+        assertTrue(core.actions(CacheCommand.ExportBlocks.class).stream()
                 .noneMatch(order -> order.store().id().equals(export.store().id())));
     }
 
-    // An engine evicts a notebook, and the event that says so is lost. The router sends the notebook there as if it
-    // were warm, and the analyst waits for all of it to be computed. Cause: a gap in the events. From the gap on the
-    // replica is doubtful and counts for half, until a snapshot shows what it holds.
+    // An engine evicts the blocks of a prompt, and the event of the eviction is lost. The router would send the prompt
+    // to the engine as if its cache were warm, and the request would wait for the whole prefill. After a gap in the
+    // events the state of the replica is stale and only half of its apparent prefix counts, until a snapshot replaces
+    // the state.
     @Test
-    public void aGapThatHidesAnEvictionMakesTheReplicaDoubtfulUntilASnapshot() {
+    public void aGapThatHidesAnEvictionMakesTheReplicaStateStaleUntilASnapshot() {
         CacheCore core = CacheCore.usual(3);
         EndpointId warm = core.serve(PREAMBLE).endpoint().id();
         core.handle(new EngineCacheUpdate.EventsRead(warm, 1, List.of(new ReplicaIndex.Event(1, true, PREAMBLE))));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 0);
-        core.actions(CacheOrder.ReadCacheSnapshot.class);
+        core.actions(CacheCommand.ReadCacheSnapshot.class);
         core.handle(new EngineCacheUpdate.EventsRead(
                 warm, 3, List.of(new ReplicaIndex.Event(3, true, CacheCore.prompt("other", 1)))));
-        assertEquals(core.actions(CacheOrder.ReadCacheSnapshot.class).size(), 1);
+        assertEquals(core.actions(CacheCommand.ReadCacheSnapshot.class).size(), 1);
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 30);
         core.handle(new EngineCacheUpdate.SnapshotRead(warm, 3, Optional.empty(), CacheCore.prompt("other", 1)));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 60);
     }
 
-    // Two ministries paste the same survey text into their notebooks. If one's blocks served the other, its timing
-    // would tell what the other works on. Cause: equal content. The keys differ from the first block on, because the
-    // workspace's secret goes into the chain, so neither can even name the other's blocks.
+    // Two workspaces send the same text. If blocks of one workspace served the other, the response times would reveal
+    // the contents of its prompts. The secret of the workspace is part of the hash chain, so all keys must differ from
+    // the first block on and neither workspace can address the blocks of the other.
     @Test
     public void twoWorkspacesWithTheSamePreambleShareNoKey() {
         byte[] text = "the same survey text, over and over. ".repeat(200).getBytes(StandardCharsets.UTF_8);
-        List<BlockKey> one = BlockChain.keys(BlockChain.salt("secret one", "assistant", "v1", ""), text, 16);
-        List<BlockKey> other = BlockChain.keys(BlockChain.salt("secret two", "assistant", "v1", ""), text, 16);
-        assertEquals(one.size(), other.size());
-        for (int i = 0; i < one.size(); i++) {
-            assertNotEquals(one.get(i), other.get(i));
+        List<BlockKey> first = BlockChain.keys(BlockChain.salt("secret one", "assistant", "v1", ""), text, 16);
+        List<BlockKey> second = BlockChain.keys(BlockChain.salt("secret two", "assistant", "v1", ""), text, 16);
+        assertEquals(first.size(), second.size());
+        for (int i = 0; i < first.size(); i++) {
+            assertNotEquals(first.get(i), second.get(i));
         }
-        List<BlockKey> newer = BlockChain.keys(BlockChain.salt("secret one", "assistant", "v2", ""), text, 16);
-        assertTrue(newer.stream().noneMatch(one::contains));
+        List<BlockKey> newVersion = BlockChain.keys(BlockChain.salt("secret one", "assistant", "v2", ""), text, 16);
+        assertTrue(newVersion.stream().noneMatch(first::contains));
     }
 
-    // A swap of weights lands between the import and the run. Blocks of the old version must not serve the new one.
-    // Cause: the plan was made for the old version. The engine commits only blocks of the version that it runs; here,
-    // what was held under the old weights is forgotten, and the keys of the new version name none of it.
+    // The weights of an endpoint are swapped between the import of blocks and the prefill, so the import was planned
+    // for the old version. Blocks of the old version must not be used under the new one. The engine commits only blocks
+    // of its current version; the entry must remove the blocks held under the old weights, and the keys of the new
+    // version must match none of them.
     @Test
-    public void aSwapBetweenImportAndRunLeavesNothingOfTheOldVersion() {
-        CacheCore core = storedAndGone();
+    public void aWeightSwapBetweenImportAndPrefillRemovesTheBlocksOfTheOldVersion() {
+        CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
-        core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.FULL));
+        core.handle(importFailed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.FULL));
         core.catalogue("v2");
         core.endpoints(3, "v2");
-        assertEquals(core.state().replicas().prefix(chosen.endpoint().id(), PREAMBLE), 0);
-        List<BlockKey> underNewWeights = CacheCore.prompt("notebook under v2", 60);
-        Answer.Chosen after = core.route(underNewWeights);
-        assertFalse(after.importFirst().isPresent());
-        assertEquals(recomputedBlocks(after), 60);
+        assertEquals(core.state().replicas().prefixBlocks(chosen.endpoint().id(), PREAMBLE), 0);
+        List<BlockKey> newVersionPrompt = CacheCore.prompt("notebook under v2", 60);
+        Answer.Chosen afterSwap = core.route(newVersionPrompt);
+        assertFalse(afterSwap.importFirst().isPresent());
+        assertEquals(recomputedBlocks(afterSwap), 60);
     }
 
-    // A link falls silent in the middle of a fetch, with no error. The recruiter would wait for good. Cause: something
-    // between store and engine lost the connection. The plan carries a deadline of about twice the predicted time; the
-    // outcome is late, the store rests for a while, and the next dossier is computed without waiting.
+    // The connection between store and engine is lost during a fetch without an error, and no more bytes arrive.
+    // Without a deadline the request would wait forever. The import plan must have a deadline of about twice the
+    // predicted time; when it passes, the store backs off and the next prompt is prefilled without waiting.
     @Test
-    public void aSilentLinkCostsOneBoundedDeadline() {
-        CacheCore core = storedAndGone();
+    public void aSilentLinkDelaysOneRequestUntilABoundedDeadline() {
+        CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
         ImportPlan plan = chosen.importFirst().orElseThrow();
-        double predicted = chosen.explanation().candidates().get(0).fetchMillis();
-        assertTrue(plan.deadline().toMillis() <= 2 * predicted + 400);
-        core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.LATE));
+        double predictedMillis = chosen.explanation().candidates().get(0).fetchMillis();
+        assertTrue(plan.deadline().toMillis() <= 2 * predictedMillis + 400);
+        core.handle(importFailed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.LATE));
         core.handle(new AttemptReport.Imported(
                 chosen.attempt(), 0, 0, plan.deadline().toMillis()));
         assertFalse(core.route(PREAMBLE).importFirst().isPresent());
     }
 
-    // Two analysts return to one shared notebook within a second of each other. Fetched twice, the same bytes would
-    // fill the link, and the second one would wait for both. The second plan joins the first one's import.
+    // Two requests for the same preamble arrive within a second. With two fetches of the same bytes the link would be
+    // overloaded and the second request would wait for both. The second request must join the import of the first.
     @Test
-    public void twoReturningCallersOfOnePreambleShareOneFetch() {
-        CacheCore core = storedAndGone();
+    public void twoRequestsForOnePreambleShareOneImport() {
+        CacheCore core = coreWithStoredPreamble();
         Answer.Chosen first = core.route(CacheCore.extended(PREAMBLE, "first", 1));
         Answer.Chosen second = core.route(CacheCore.extended(PREAMBLE, "second", 1));
         assertFalse(first.importFirst().orElseThrow().joins());
@@ -200,11 +203,11 @@
         assertEquals(bytes, 60L * CacheCore.BLOCK_TOKENS * CacheCore.BYTES_PER_TOKEN);
     }
 
-    // A store's VM is replaced. Its blocks are gone, but the entry would plan fetches of them, each in vain. Cause: the
-    // platform lists the store under the same name. A new incarnation empties what is known of it.
+    // The VM of a store is replaced and its blocks are lost, but the platform lists the store under the same name. The
+    // entry would plan fetches that all fail. A new incarnation of the VM must remove all recorded copies of the store.
     @Test
-    public void aReplacedStoreStartsEmpty() {
-        CacheCore core = storedAndGone();
+    public void aReplacedStoreIsTreatedAsEmpty() {
+        CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
         assertTrue(chosen.importFirst().isPresent());
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
@@ -212,32 +215,33 @@
         assertFalse(core.route(PREAMBLE).importFirst().isPresent());
     }
 
-    // All entries are replaced while the stores are full. Nothing of what the stores hold is known any more, exports
-    // are
-    // refused for good, and every preamble is computed on its return. The keeper reads a page and frees what it names.
+    // All entries are replaced while the stores are full. No entry has a record of the stored blocks, all exports are
+    // refused, and each preamble is prefilled on its return. The entry that maintains the store must read a page of its
+    // blocks and delete the blocks of that page.
     @Test
-    public void aStoreFullOfBlocksThatNobodyKnowsIsFreedPageByPage() {
+    public void aStoreFullOfUntrackedBlocksIsFreedPageByPage() {
         CacheCore core = CacheCore.usual(2);
         core.handle(new StoreUpdate.StatusRead(
                 CacheCore.store(0),
                 new StoreUpdate.Usage(0, 100_000),
                 new StoreUpdate.Usage(1_000_000, 1_000_000),
                 1_000));
-        assertEquals(core.actions(CacheOrder.ReadStorePage.class).size(), 1);
+        assertEquals(core.actions(CacheCommand.ReadStorePage.class).size(), 1);
         List<StoreUpdate.Found> page = CacheCore.sealed(PREAMBLE, 4).stream()
                 .map(block -> new StoreUpdate.Found(block, StoreTier.DISK))
                 .toList();
         core.handle(new StoreUpdate.PageRead(CacheCore.store(0), page));
-        assertEquals(core.actions(CacheOrder.DeleteBlocks.class).get(0).blocks().size(), 1);
+        assertEquals(
+                core.actions(CacheCommand.DeleteBlocks.class).get(0).blocks().size(), 1);
     }
 
-    /** A core that knows the preamble as stored, and every replica as empty. */
-    private static CacheCore storedAndGone() {
+    /** Returns a core in whose state the preamble is stored and all replicas are empty. */
+    private static CacheCore coreWithStoredPreamble() {
         CacheCore core = CacheCore.usual(3);
         core.serve(PREAMBLE);
         core.pass(Duration.ofSeconds(5));
         core.finishExports();
-        core.pass(AWAY);
+        core.pass(LONG_ABSENCE);
         core.finishExports();
         for (int i = 0; i < 3; i++) {
             core.evictAll(CacheCore.endpointId(i));
@@ -245,7 +249,7 @@
         return core;
     }
 
-    private static EngineCacheUpdate.ImportEnded failed(
+    private static EngineCacheUpdate.ImportEnded importFailed(
             EndpointId endpoint, ImportPlan plan, EngineCacheUpdate.ImportFailure reason) {
         List<EngineCacheUpdate.FailedBlock> failed = plan.blocks().stream()
                 .map(block -> new EngineCacheUpdate.FailedBlock(block.key(), reason))
--- a/src/test/java/org/yuccagw/core/cache/CacheKnowledgeTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheIndexTest.java
@@ -19,113 +19,113 @@
 import org.yuccagw.core.id.WorkspaceId;
 import org.yuccagw.core.routing.CacheCore;
 
-public class CacheKnowledgeTest {
+public class CacheIndexTest {
     private static final PromptScope SCOPE = new PromptScope(
             WorkspaceId.of("statistics"), "notebook", ServiceName.of("assistant"), WeightVersion.of("v1"));
 
     @Test
-    public void theBlockTableAgreesWithAPlainOneUnderRandomChanges() {
+    public void blockMultimapMatchesAReferenceMapUnderRandomChanges() {
         SplittableRandom random = new SplittableRandom(11);
-        BlockMultimap table = BlockMultimap.of(Integer.MAX_VALUE, number -> true);
-        Map<Integer, Set<Integer>> plain = new HashMap<>();
+        BlockMultimap multimap = BlockMultimap.of(Integer.MAX_VALUE, number -> true);
+        Map<Integer, Set<Integer>> reference = new HashMap<>();
         for (int step = 0; step < 200_000; step++) {
             int key = random.nextInt(2_000);
             int value = random.nextInt(5);
             if (random.nextInt(5) < 3) {
-                table.put(key(key), value);
-                plain.computeIfAbsent(key, absent -> new HashSet<>()).add(value);
+                multimap.put(key(key), value);
+                reference.computeIfAbsent(key, missing -> new HashSet<>()).add(value);
             } else {
-                table.remove(key(key), value);
-                plain.getOrDefault(key, new HashSet<>()).remove(value);
+                multimap.remove(key(key), value);
+                reference.getOrDefault(key, new HashSet<>()).remove(value);
             }
         }
         for (int key = 0; key < 2_000; key++) {
             Set<Integer> found = new HashSet<>();
-            table.forEach(key(key), found::add);
-            assertEquals(found, plain.getOrDefault(key, Set.of()));
+            multimap.forEach(key(key), found::add);
+            assertEquals(found, reference.getOrDefault(key, Set.of()));
         }
     }
 
     @Test
-    public void aFullBlockTableDropsAndCounts() {
+    public void aFullReplicaIndexDropsAndCountsFurtherPairs() {
         ReplicaIndex index = ReplicaIndex.of(100);
-        index.learn(EndpointId.of("a"), CacheCore.prompt("p", 150));
+        index.addBlocks(EndpointId.of("a"), CacheCore.prompt("p", 150));
         assertEquals(index.pairs(), 100);
         assertEquals(index.droppedPairs(), 50);
     }
 
     @Test
-    public void aForgottenReplicaHoldsNothingThoughItsNumberIsUsedAgain() {
+    public void aRemovedReplicaHoldsNoBlocksEvenIfItsNumberIsReused() {
         ReplicaIndex index = ReplicaIndex.of(1_000_000);
         List<BlockKey> prompt = CacheCore.prompt("p", 300);
         for (int round = 0; round < 50; round++) {
             EndpointId endpoint = EndpointId.of("replica-" + round);
-            assertEquals(index.prefix(endpoint, prompt), 0);
-            index.learn(endpoint, prompt);
-            assertEquals(index.prefix(endpoint, prompt), 300);
-            index.forget(endpoint);
+            assertEquals(index.prefixBlocks(endpoint, prompt), 0);
+            index.addBlocks(endpoint, prompt);
+            assertEquals(index.prefixBlocks(endpoint, prompt), 300);
+            index.remove(endpoint);
         }
-        assertTrue(index.pairs() < 50 * 300, "pairs of forgotten replicas are swept out");
+        assertTrue(index.pairs() < 50 * 300, "pairs of removed replicas must be deleted when the table is rebuilt");
     }
 
     @Test
-    public void promptsThatShareABeginningShareItsNodes() {
+    public void promptsWithACommonPrefixShareTheNodesOfThePrefix() {
         PromptTree tree = PromptTree.of(1_000_000, ReturnForecast.create());
         SplittableRandom random = new SplittableRandom(1);
-        List<BlockKey> common = CacheCore.prompt("common", 10);
-        tree.arrive(CacheCore.extended(common, "a", 5), SCOPE, 0, random);
-        tree.arrive(CacheCore.extended(common, "b", 5), SCOPE, 1, random);
-        tree.arrive(CacheCore.extended(common, "a", 5), SCOPE, 2, random);
-        assertEquals(tree.nodes(), 3);
-        assertEquals(tree.blocks(), 20);
-        List<PromptNode> path = tree.walk(CacheCore.extended(common, "a", 5));
-        assertEquals(path.stream().map(PromptNode::blocks).toList(), List.of(10, 5));
+        List<BlockKey> prefix = CacheCore.prompt("common", 10);
+        tree.recordRequest(CacheCore.extended(prefix, "a", 5), SCOPE, 0, random);
+        tree.recordRequest(CacheCore.extended(prefix, "b", 5), SCOPE, 1, random);
+        tree.recordRequest(CacheCore.extended(prefix, "a", 5), SCOPE, 2, random);
+        assertEquals(tree.nodeCount(), 3);
+        assertEquals(tree.blockCount(), 20);
+        List<PromptNode> path = tree.findPath(CacheCore.extended(prefix, "a", 5));
+        assertEquals(path.stream().map(PromptNode::blockCount).toList(), List.of(10, 5));
         assertEquals(path.stream().map(PromptNode::uses).toList(), List.of(3, 2));
     }
 
     @Test
-    public void aCutNodeKeepsItsCopiesInBothParts() {
+    public void aSplitNodeKeepsItsCopiesInBothNodes() {
         PromptTree tree = PromptTree.of(1_000_000, ReturnForecast.create());
         SplittableRandom random = new SplittableRandom(1);
         List<BlockKey> first = CacheCore.prompt("first", 20);
-        tree.arrive(first, SCOPE, 0, random);
+        tree.recordRequest(first, SCOPE, 0, random);
         tree.addCopy(CacheCore.store(0), StoreTier.MEMORY, CacheCore.sealed(first, 9));
-        tree.arrive(CacheCore.extended(first.subList(0, 12), "other", 3), SCOPE, 1, random);
-        List<PromptNode> path = tree.walk(first);
+        tree.recordRequest(CacheCore.extended(first.subList(0, 12), "other", 3), SCOPE, 1, random);
+        List<PromptNode> path = tree.findPath(first);
         List<StoredBlock> stored = new ArrayList<>();
-        path.forEach(node -> stored.addAll(node.stored(node.copies().get(0), 0, node.blocks())));
+        path.forEach(node -> stored.addAll(node.storedBlocks(node.copies().get(0), 0, node.blockCount())));
         assertEquals(stored, CacheCore.sealed(first, 9));
     }
 
     @Test
-    public void theTreeStaysWithinItsBound() {
+    public void theTreeStaysWithinItsBlockLimit() {
         PromptTree tree = PromptTree.of(1_000, ReturnForecast.create());
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 500; i++) {
-            tree.arrive(CacheCore.prompt("p" + i, 10), SCOPE, i, random);
-            assertTrue(tree.blocks() <= 1_000);
+            tree.recordRequest(CacheCore.prompt("p" + i, 10), SCOPE, i, random);
+            assertTrue(tree.blockCount() <= 1_000);
         }
     }
 
     @Test
-    public void theForecastTellsGroupsThatReturnFromGroupsThatDoNot() {
+    public void theForecastDistinguishesReturningGroupsFromOthers() {
         ReturnForecast forecast = ReturnForecast.create();
-        int returning = forecast.group(WorkspaceId.of("returning"), "notebook", 2);
-        int leaving = forecast.group(WorkspaceId.of("leaving"), "notebook", 2);
+        int returning = forecast.groupNumber(WorkspaceId.of("returning"), "notebook", 2);
+        int notReturning = forecast.groupNumber(WorkspaceId.of("leaving"), "notebook", 2);
         for (int i = 0; i < 500; i++) {
-            ReturnForecast.Exposure back = forecast.begin(returning, 10, i * 100.0);
-            forecast.begin(leaving, 10, i * 100.0);
+            ReturnForecast.Exposure exposure = forecast.addExposure(returning, 10, i * 100.0);
+            forecast.addExposure(notReturning, 10, i * 100.0);
             forecast.advance(i * 100.0 + 60);
-            forecast.returned(back, 10, i * 100.0 + 60);
+            forecast.recordReturn(exposure, 10, i * 100.0 + 60);
         }
         forecast.advance(500 * 100.0);
-        assertTrue(forecast.chanceWithin(returning, 20, 100) > 0.9);
-        assertTrue(forecast.chanceWithin(leaving, 20, 100) < 0.1);
-        assertTrue(forecast.index(returning, 20) > 10 * forecast.index(leaving, 20));
+        assertTrue(forecast.returnProbability(returning, 20, 100) > 0.9);
+        assertTrue(forecast.returnProbability(notReturning, 20, 100) < 0.1);
+        assertTrue(forecast.gittinsIndex(returning, 20) > 10 * forecast.gittinsIndex(notReturning, 20));
     }
 
     @Test
-    public void evictionTakesWhatReturnsLeast() {
+    public void evictionDeletesThePromptsThatReturnLeastOften() {
         CacheCore core = CacheCore.usual(2);
         for (int i = 0; i < 40; i++) {
             core.serve(CacheCore.prompt("once" + i, 20));
@@ -137,26 +137,26 @@
                 CacheCore.store(0), new StoreUpdate.Usage(0, 1), new StoreUpdate.Usage(96, 100), 1_000));
         core.handle(new StoreUpdate.StatusRead(
                 CacheCore.store(1), new StoreUpdate.Usage(0, 1), new StoreUpdate.Usage(96, 100), 1_000));
-        Set<BlockKey> often = new HashSet<>(CacheCore.prompt("often", 20));
-        core.actions(CacheOrder.DeleteBlocks.class)
-                .forEach(order -> order.blocks().forEach(block -> assertFalse(often.contains(block.key()))));
+        Set<BlockKey> frequent = new HashSet<>(CacheCore.prompt("often", 20));
+        core.actions(CacheCommand.DeleteBlocks.class)
+                .forEach(order -> order.blocks().forEach(block -> assertFalse(frequent.contains(block.key()))));
     }
 
     @Test
-    public void aHintBringsAStoredPromptToAnEngineOnce() {
+    public void aPrefetchHintImportsAStoredPromptIntoAnEngineOnce() {
         CacheCore core = CacheCore.usual(3);
         var prompt = CacheCore.prompt("notebook", 40);
         core.serve(prompt);
         core.pass(Duration.ofSeconds(5));
         core.finishExports();
         core.evictAll(core.route(prompt).endpoint().id());
-        List<Integer> begun = new ArrayList<>();
+        List<Integer> startedBlocks = new ArrayList<>();
         PromptScope scope =
                 new PromptScope(CacheCore.WORKSPACE, CacheCore.CLASS, CacheCore.SERVICE, WeightVersion.of("v1"));
-        core.handle(new PrefetchRequested(scope, prompt, begun::add));
-        core.handle(new PrefetchRequested(scope, prompt, begun::add));
-        assertEquals(begun, List.of(40, 0));
-        assertEquals(core.actions(CacheOrder.PrefetchBlocks.class).size(), 1);
+        core.handle(new PrefetchRequested(scope, prompt, startedBlocks::add));
+        core.handle(new PrefetchRequested(scope, prompt, startedBlocks::add));
+        assertEquals(startedBlocks, List.of(40, 0));
+        assertEquals(core.actions(CacheCommand.PrefetchBlocks.class).size(), 1);
     }
 
     private static BlockKey key(int number) {
--- a/src/test/java/org/yuccagw/core/routing/CacheCore.java
+++ b/src/test/java/org/yuccagw/core/routing/CacheCore.java
@@ -76,7 +76,7 @@
 
     /** The product's policy, so many endpoints on version v1, and two stores. */
     public static CacheCore usual(int endpointCount) {
-        CacheCore made = of(CacheSettings.usual(), RoutePolicies.PREDICTED_FIRST_TOKEN);
+        CacheCore made = of(CacheSettings.defaults(), RoutePolicies.PREDICTED_FIRST_TOKEN);
         made.catalogue("v1");
         made.endpoints(endpointCount, "v1");
         made.stores(1);
@@ -230,7 +230,7 @@
 
     /** Answers every export that was ordered, as if all blocks were sealed. */
     public void finishExports() {
-        actions(org.yuccagw.core.cache.CacheOrder.ExportBlocks.class)
+        actions(org.yuccagw.core.cache.CacheCommand.ExportBlocks.class)
                 .forEach(order -> handle(new EngineCacheUpdate.ExportEnded(
                         order.number(), order.endpoint().id(), sealed(order.blocks(), 1), false, Optional.empty())));
     }
--- a/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
+++ b/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
@@ -31,7 +31,7 @@
 
     @Test(dataProvider = "policies")
     public void everyPolicyChoosesOnlyEndpointsThatTakeNewWork(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
         core.catalogue("v2");
         core.endpoint(0, "v1", false);
         core.endpoint(1, "v2", false);
@@ -46,7 +46,7 @@
     // version in the catalogue were candidates. Old ones must serve on until their turn, without blocks of the new one.
     @Test(dataProvider = "policies")
     public void duringASwapEachVersionTakesItsPartOfNewRequests(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
         core.catalogue("v2");
         core.endpoints(3, "v1");
         Answer.Chosen before = core.route(CacheCore.prompt("first", 10));
@@ -64,7 +64,7 @@
 
     @Test(dataProvider = "policies")
     public void everyPolicyPassesOverExcludedEndpoints(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
         core.catalogue("v1");
         core.endpoints(2, "v1");
         Question first = core.question(CacheCore.prompt("p", 10));
--- a/src/test/java/org/yuccagw/platform/CallerHeadsTest.java
+++ b/src/test/java/org/yuccagw/platform/CallerHeadsTest.java
@@ -30,8 +30,8 @@
         assertEquals(head.patience(), Optional.of(Duration.ofSeconds(5)));
         assertEquals(head.bearerKey(), Optional.of("key-1"));
         assertEquals(head.afterEvent(), 12);
-        assertEquals(head.prompt().orElseThrow().tokens(), 1540);
-        assertEquals(head.prompt().orElseThrow().session(), Optional.of(new PromptPart("91bd3f06", 410)));
+        assertEquals(head.prompt().orElseThrow().totalTokens(), 1540);
+        assertEquals(head.prompt().orElseThrow().sessionPart(), Optional.of(new PromptPart("91bd3f06", 410)));
         assertEquals(head.prompt().orElseThrow().sharedTokens(), 1210);
     }
 
