--- a/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
@@ -114,7 +114,7 @@
         core.serve(CacheCore.prompt("other", 60));
         core.pass(Duration.ofMillis(900));
         assertTrue(core.actions(CacheCommand.ExportBlocks.class).stream()
-                .noneMatch(order -> order.store().id().equals(export.store().id())));
+                .noneMatch(command -> command.store().id().equals(export.store().id())));
     }
 
     // An engine evicts the blocks of a prompt, and the event of the eviction is lost. The router would send the prompt
--- a/src/test/java/org/yuccagw/core/cache/CacheIndexTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheIndexTest.java
@@ -139,7 +139,7 @@
                 CacheCore.store(1), new StoreUpdate.Usage(0, 1), new StoreUpdate.Usage(96, 100), 1_000));
         Set<BlockKey> frequent = new HashSet<>(CacheCore.prompt("often", 20));
         core.actions(CacheCommand.DeleteBlocks.class)
-                .forEach(order -> order.blocks().forEach(block -> assertFalse(frequent.contains(block.key()))));
+                .forEach(command -> command.blocks().forEach(block -> assertFalse(frequent.contains(block.key()))));
     }
 
     @Test
