--- a/src/main/java/org/yuccagw/core/placing/EndpointSelector.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointSelector.java
@@ -110,7 +110,7 @@
                 .filter(each -> !scoring.isInOtherDomain(each))
                 .toList();
         List<EndpointState> pool = sameDomain.isEmpty() ? candidates : sameDomain;
-        return prompt.session()
+        return prompt.sessionPart()
                 .flatMap(part -> pool.stream()
                         .max(Comparator.comparingLong(candidate -> EndpointScoring.sessionWeight(
                                 part, candidate.listed().id()))));
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -452,7 +452,7 @@
         PlacementRequest request = queued.request();
         EndpointState endpoint = best.endpoint();
         long ticket = nextTicket++;
-        long tokens = request.prompt().map(prompt -> (long) prompt.tokens()).orElse(0L);
+        long tokens = request.prompt().map(shape -> (long) shape.totalTokens()).orElse(0L);
         Work work =
                 Work.ofOne(tokens, best.plan().map(PrefillPlan::prefillTokens).orElse(0));
         boolean engineWasIdle = endpoint.totalWork().unreadTokens() == 0;
@@ -485,7 +485,7 @@
                 .with(
                         "session",
                         request.prompt()
-                                .flatMap(PromptShape::session)
+                                .flatMap(PromptShape::sessionPart)
                                 .map(PromptPart::id)
                                 .orElse(""))
                 .with(
--- a/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
+++ b/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
@@ -56,7 +56,7 @@
         }
         int prefillTokens = Math.max(0, prompt.promptTokens() - heldTokens - fetchedTokens);
         int sharedPrefillTokens = tokensOf(shared.subList(index, shared.size()));
-        return new PrefillPlan(prompt.tokens(), prefillTokens, sharedPrefillTokens, fetchedTokens, fetchMillis);
+        return new PrefillPlan(prompt.totalTokens(), prefillTokens, sharedPrefillTokens, fetchedTokens, fetchMillis);
     }
 
     /** Returns the known number of shared parts at the start of the prompt that the endpoint holds. */
