--- a/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
@@ -253,14 +253,14 @@
                 loading.answerAwaited = true;
                 loading.nextNanos =
                         context.nowNanos() + notBefore(engine, CALL_PATIENCE).toNanos();
-                calls.made(engine.incarnation());
+                calls.recordCall(engine.incarnation());
                 context.perform(new EngineCall.AskState(engine));
             }
         }
     }
 
     private boolean isDue(ListedEndpoint engine, Loading loading) {
-        return context.nowNanos() - loading.nextNanos >= 0 && calls.mayMake(engine.incarnation());
+        return context.nowNanos() - loading.nextNanos >= 0 && calls.allowsCall(engine.incarnation());
     }
 
     /** Chooses the next engines, those with the fewest running requests first. */
@@ -268,7 +268,7 @@
         List<ListedEndpoint> waiting = new ArrayList<>();
         for (ListedEndpoint engine : engines.values()) {
             boolean begun = inProgress.containsKey(engine.id());
-            if (missing(engine).isPresent() && !begun && calls.mayMake(engine.incarnation())) {
+            if (missing(engine).isPresent() && !begun && calls.allowsCall(engine.incarnation())) {
                 waiting.add(engine);
             }
         }
@@ -321,7 +321,7 @@
             return false;
         }
         boolean justOrdered = loading.ordered && context.nowNanos() - loading.orderedNanos < CALL_PATIENCE.toNanos();
-        return justOrdered || calls.mayMake(engine.incarnation());
+        return justOrdered || calls.allowsCall(engine.incarnation());
     }
 
     private Optional<ModelWeights> missing(ListedEndpoint engine) {
@@ -373,7 +373,7 @@
     private boolean mayOrder(ListedEndpoint engine, Loading loading) {
         List<ListedEndpoint> pool = sameService(engine);
         boolean isTurn = loading.ordered || orderedIn(pool) < atOnce(pool);
-        return isTurn && calls.mayMake(engine.incarnation());
+        return isTurn && calls.allowsCall(engine.incarnation());
     }
 
     private static long calmAtOnce(List<ListedEndpoint> pool) {
@@ -423,7 +423,7 @@
                 .with("version", loading.weights.version())
                 .with("fence", duty.fence())
                 .with("expected_orders", state.orders()));
-        calls.made(engine.incarnation());
+        calls.recordCall(engine.incarnation());
         context.perform(new EngineCall.OrderWeights(
                 engine, loading.weights, duty.fence(), state.orders(), duty.heldUntilNanos()));
     }
@@ -447,7 +447,7 @@
 
     /** The next call to an engine that asks for fewer waits for longer. */
     private Duration notBefore(ListedEndpoint engine, Duration wait) {
-        return Comparators.max(wait, calls.apart(engine.incarnation()));
+        return Comparators.max(wait, calls.minInterval(engine.incarnation()));
     }
 
     private static Duration waitAfter(EngineAnswer.Outcome outcome) {
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -442,7 +442,7 @@
         EndpointNotice notice = head.notice();
         boolean tellsOfLimit = notice.rateLimit().isPresent() || head.isGenuine();
         boolean limitForeseen = placed.rateLimited() && tellsOfLimit;
-        if (head.isOfExpectedEndpoint() && (notice.saysSomething() || limitForeseen)) {
+        if (head.isOfExpectedEndpoint() && (notice.hasContent() || limitForeseen)) {
             EndpointIncarnation endpoint = placed.endpoint().incarnation();
             effects.report(new NoticeReceived(endpoint, notice, limitForeseen));
         }
--- a/src/main/java/org/yuccagw/core/notice/EndpointNotice.java
+++ b/src/main/java/org/yuccagw/core/notice/EndpointNotice.java
@@ -40,7 +40,7 @@
     }
 
     /** Converts a back-off in seconds. Returns empty if the number isn't positive. */
-    public static Optional<Duration> backOff(double seconds) {
+    public static Optional<Duration> backOffOfSeconds(double seconds) {
         if (!(seconds > 0)) {
             return Optional.empty();
         }
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether the notice reports anything. */
-    public boolean saysSomething() {
+    public boolean hasContent() {
         return !equals(NONE);
     }
 }
--- a/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
+++ b/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
@@ -93,12 +93,12 @@
     }
 
     /** Returns whether the endpoint's back-off for this entry is active. */
-    public boolean backsOff(EndpointIncarnation endpoint) {
-        return !backOffLeft(endpoint).isZero();
+    public boolean isBackingOff(EndpointIncarnation endpoint) {
+        return !remainingBackOff(endpoint).isZero();
     }
 
     /** Returns the remaining back-off of this entry for the endpoint; zero if there is none. */
-    public Duration backOffLeft(EndpointIncarnation endpoint) {
+    public Duration remainingBackOff(EndpointIncarnation endpoint) {
         EndpointBackOff known = backOffs.get(endpoint);
         return known == null ? Duration.ZERO : known.remaining(context.nowNanos());
     }
@@ -108,7 +108,7 @@
      *
      * @param local whether this entry sends the request itself
      */
-    public boolean mayPlace(EndpointIncarnation endpoint, boolean local) {
+    public boolean allowsPlacement(EndpointIncarnation endpoint, boolean local) {
         EndpointBackOff known = backOffs.get(endpoint);
         if (known == null) {
             return true;
@@ -137,7 +137,7 @@
      *
      * @param local whether this entry sends the requests itself
      */
-    public Duration turnsAwayFor(EndpointIncarnation endpoint, boolean local) {
+    public Duration remainingRejectionTime(EndpointIncarnation endpoint, boolean local) {
         EndpointBackOff known = backOffs.get(endpoint);
         if (known == null) {
             return Duration.ZERO;
@@ -148,7 +148,7 @@
     }
 
     /** Records that a request is placed on the endpoint now, for this entry or for another one. */
-    public void places(EndpointIncarnation endpoint) {
+    public void recordPlacement(EndpointIncarnation endpoint) {
         EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.recordPlacement(context.nowNanos());
@@ -156,7 +156,7 @@
     }
 
     /** Records the answer to a request that was placed at the given time. */
-    public void answered(EndpointIncarnation endpoint, long placedNanos) {
+    public void recordAnswer(EndpointIncarnation endpoint, long placedNanos) {
         EndpointBackOff known = backOffs.get(endpoint);
         if (known != null && known.recordAnswer(placedNanos, context.nowNanos())) {
             logBackOffEnd(endpoint, backOffs.remove(endpoint));
@@ -164,7 +164,7 @@
     }
 
     /** Records that a placed request ended without an answer. */
-    public void unanswered(EndpointIncarnation endpoint) {
+    public void recordUnanswered(EndpointIncarnation endpoint) {
         EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.recordUnanswered();
@@ -172,7 +172,7 @@
     }
 
     /** Records that a request of a caller of this entry is sent to the endpoint now. */
-    public void sendsRequest(EndpointIncarnation endpoint) {
+    public void recordRequest(EndpointIncarnation endpoint) {
         EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.countRequest(context.nowNanos());
@@ -180,7 +180,7 @@
     }
 
     /** Returns whether the endpoint accepts one more internal call of this entry that can't wait. */
-    public boolean bearsCall(EndpointIncarnation endpoint) {
+    public boolean allowsInternalCall(EndpointIncarnation endpoint) {
         EndpointBackOff known = backOffs.get(endpoint);
         return known == null || known.allowsInternalCall(context.nowNanos());
     }
@@ -189,7 +189,7 @@
      * Records an internal call, which serves no caller's request, such as one for cache events or for the state of an
      * engine.
      */
-    public void sendsCall(EndpointIncarnation endpoint) {
+    public void recordInternalCall(EndpointIncarnation endpoint) {
         EndpointBackOff known = backOffs.get(endpoint);
         if (known != null) {
             known.countInternalCall(context.nowNanos());
@@ -240,7 +240,7 @@
 
     private void startBackOff(EndpointIncarnation endpoint, Duration duration) {
         EntryId self = context.self().entry();
-        boolean isNew = !backsOff(endpoint);
+        boolean isNew = !isBackingOff(endpoint);
         backOffOf(endpoint).recordBackOff(self, duration, context.nowNanos());
         if (isNew) {
             context.perform(
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -155,7 +155,7 @@
         return eligible.isEmpty()
                 ? OptionalDouble.empty()
                 : OptionalDouble.of(
-                        eligible.stream().mapToDouble(rateLimits::part).sum());
+                        eligible.stream().mapToDouble(rateLimits::shareOf).sum());
     }
 
     /**
@@ -165,7 +165,7 @@
      */
     List<EntryId> entriesWithShare(PlacementRequest request) {
         List<ListedEndpoint> eligible = eligibleIfAllLimited(request);
-        if (eligible.stream().anyMatch(endpoint -> rateLimits.part(endpoint) > 0)) {
+        if (eligible.stream().anyMatch(endpoint -> rateLimits.shareOf(endpoint) > 0)) {
             return List.of();
         }
         List<EntryId> owners = new ArrayList<>(eligible.stream()
@@ -187,7 +187,8 @@
         boolean local = isLocal.test(request);
         return endpoints.all().stream()
                 .filter(endpoint -> isEligible(endpoint, request, request.homes()))
-                .map(endpoint -> notices.turnsAwayFor(endpoint.listed().incarnation(), local))
+                .map(endpoint ->
+                        notices.remainingRejectionTime(endpoint.listed().incarnation(), local))
                 .min(Comparator.naturalOrder())
                 .orElse(Duration.ZERO);
     }
@@ -218,8 +219,8 @@
      */
     private boolean acceptsAnother(EndpointState endpoint, PlacementRequest request) {
         ListedEndpoint listed = endpoint.listed();
-        boolean allowedByNotices = notices.mayPlace(listed.incarnation(), isLocal.test(request));
-        return allowedByNotices && acceptsAnotherWhileCold(endpoint) && rateLimits.allows(listed);
+        boolean allowedByNotices = notices.allowsPlacement(listed.incarnation(), isLocal.test(request));
+        return allowedByNotices && acceptsAnotherWhileCold(endpoint) && rateLimits.allowsRequest(listed);
     }
 
     private boolean acceptsAnotherWhileCold(EndpointState endpoint) {
@@ -228,7 +229,7 @@
             return true;
         }
         boolean fleetKnown = now - startedNanos >= PeersComponent.FLEET_UNKNOWN.toNanos();
-        int shares = fleetKnown ? fleet.coldShares(endpoint.listed().domain()) : 0;
+        int shares = fleetKnown ? fleet.coldShareCount(endpoint.listed().domain()) : 0;
         return coldLimit.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
 
--- a/src/main/java/org/yuccagw/core/placing/PlacementClient.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementClient.java
@@ -301,7 +301,7 @@
                 placed.urgency(),
                 placed.firstByteMillis(),
                 placed.rateLimited());
-        notices.sendsRequest(placed.endpoint());
+        notices.recordRequest(placed.endpoint());
         context.reply(() -> pendingRequest.get().request.reply().accept(decision));
     }
 
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -178,25 +178,25 @@
     /** The entries that place requests. */
     public interface Fleet {
         /** Returns the number of entries that place requests at present, including this one. */
-        int placing();
+        int placingEntryCount();
 
         /**
          * Returns the number of equal shares into which the slack of the retry budget is divided. This entry has one of
          * them.
          */
-        int retryShares();
+        int retryShareCount();
 
         /**
          * Returns the number of equal shares into which the limit on requests to one cold endpoint of a failure domain
          * is divided. This entry has one of them, or none if the result is 0.
          */
-        int coldShares(FailureDomain domain);
+        int coldShareCount(FailureDomain domain);
 
         /** Sends a message to all other entries that place requests. */
-        void tellAll(PeerMessage message);
+        void sendToAllPlacers(PeerMessage message);
 
         /** Sends a message to the other entries that place requests on endpoints of a failure domain. */
-        void tellOfEndpoint(FailureDomain domain, PeerMessage message);
+        void sendToPlacersFor(FailureDomain domain, PeerMessage message);
     }
 
     /** Receives placement decisions. */
@@ -264,16 +264,16 @@
                 .current(incarnation)
                 .filter(endpoint -> endpoint.isUsable(context.nowNanos()))
                 .map(EndpointState::listed)
-                .filter(endpoint -> !notices.backsOff(endpoint.incarnation()));
+                .filter(endpoint -> !notices.isBackingOff(endpoint.incarnation()));
     }
 
     /** Returns whether all endpoints for the request reject requests, so that querying another entry is pointless. */
-    public boolean isTurnedAway(PlacementRequest request) {
+    public boolean isRejectedByAllEndpoints(PlacementRequest request) {
         return !candidates.remainingRejectionTime(request).isZero();
     }
 
     /** Returns the endpoints to which this entry sends nothing, whichever entry decides. */
-    public List<EndpointId> spared() {
+    public List<EndpointId> excludedEndpoints() {
         return endpoints.all().stream()
                 .filter(this::isExcluded)
                 .map(EndpointState::listed)
@@ -282,16 +282,16 @@
     }
 
     private boolean isExcluded(EndpointState endpoint) {
-        return endpoint.isLeaving() || notices.backsOff(endpoint.listed().incarnation());
+        return endpoint.isLeaving() || notices.isBackingOff(endpoint.listed().incarnation());
     }
 
     /** Returns the entries that may serve the request if this one may send nothing; empty if this one may. */
-    public List<EntryId> othersWithinLimits(PlacementRequest request) {
+    public List<EntryId> entriesWithRateLimitShare(PlacementRequest request) {
         return candidates.entriesWithShare(request);
     }
 
     /** Replaces the set of engines that load weights on the orders of this entry. */
-    public void ownLoading(List<EndpointIncarnation> loading) {
+    public void updateLocallyLoading(List<EndpointIncarnation> loading) {
         endpoints.replaceLoading(context.self().entry(), loading);
     }
 
@@ -305,7 +305,7 @@
         int failures = suspectRequests.count(request.fingerprint(), context.nowNanos());
         if (failures >= SuspectRequests.MAX_FAILURES) {
             refuse(request, ErrorKind.SUSPECT_REQUEST.raise(failures).comeBackAfter(SUSPECT_RETRY_AFTER), "suspect");
-        } else if (request.isRetry() && !allowance.tryConsume(context.nowNanos(), fleet.retryShares())) {
+        } else if (request.isRetry() && !allowance.tryConsume(context.nowNanos(), fleet.retryShareCount())) {
             refuse(request, ErrorKind.RETRY_BUDGET_SPENT.raise(request.service()), "retry budget spent");
         } else {
             placeOrWait(RequestQueue.of(request, context.nowNanos()));
@@ -352,7 +352,7 @@
             return 0;
         }
         long usable = Math.max(1, candidates.usableCount(queued.request().service()));
-        long tokens = queue.tokensBefore(queued.priority(), context.nowNanos()) * fleet.placing();
+        long tokens = queue.tokensBefore(queued.priority(), context.nowNanos()) * fleet.placingEntryCount();
         return (long) prefillRate.millisFor((double) tokens / usable);
     }
 
@@ -458,8 +458,8 @@
         boolean engineWasIdle = endpoint.totalWork().unreadTokens() == 0;
         endpoint.addWork(work);
         endpoint.recordSent(context.nowNanos());
-        rateLimits.sendsRequest(endpoint.listed().incarnation());
-        notices.places(endpoint.listed().incarnation());
+        rateLimits.recordRequest(endpoint.listed().incarnation());
+        notices.recordPlacement(endpoint.listed().incarnation());
         reportLongPrefill(endpoint, work);
         attempts.put(ticket, new Attempt(best, request, work, engineWasIdle, context.nowNanos()));
         OptionalLong version = request.prompt().isPresent()
@@ -518,8 +518,9 @@
      * endpoint's failure domain is notified.
      */
     private void reportLongPrefill(EndpointState endpoint, Work changed) {
-        if (changed.unreadTokens() >= LONG_PREFILL_TOKENS && fleet.placing() <= MAX_ENTRIES_FOR_LOAD_UPDATES) {
-            fleet.tellOfEndpoint(endpoint.listed().domain(), new LoadUpdate(endpoint.load()));
+        if (changed.unreadTokens() >= LONG_PREFILL_TOKENS
+                && fleet.placingEntryCount() <= MAX_ENTRIES_FOR_LOAD_UPDATES) {
+            fleet.sendToPlacersFor(endpoint.listed().domain(), new LoadUpdate(endpoint.load()));
         }
     }
 
@@ -610,7 +611,7 @@
         attempt.endpoint.removeWork(previous);
         attempt.work = previous.withoutUnreadTokens();
         attempt.endpoint.addWork(attempt.work);
-        notices.answered(attempt.endpoint.listed().incarnation(), attempt.sentNanos);
+        notices.recordAnswer(attempt.endpoint.listed().incarnation(), attempt.sentNanos);
         reportLongPrefill(attempt.endpoint, previous);
         checkQueueIfNotEmpty();
     }
@@ -631,15 +632,15 @@
         }
         applyEnd(endpoint, ended.end(), attempt);
         if (ended.end() == End.ANSWERED || ended.end() == End.FAULT) {
-            notices.answered(incarnation, attempt.sentNanos);
+            notices.recordAnswer(incarnation, attempt.sentNanos);
         } else {
-            notices.unanswered(incarnation);
+            notices.recordUnanswered(incarnation);
         }
         if (ended.end() == End.ANSWERED) {
             suspectRequests.clear(attempt.request.fingerprint());
         } else if (ended.end() == End.BROKEN) {
             suspectRequests.add(attempt.request.fingerprint(), incarnation, context.nowNanos());
-            fleet.tellAll(new BreakReported(attempt.request.fingerprint(), incarnation));
+            fleet.sendToAllPlacers(new BreakReported(attempt.request.fingerprint(), incarnation));
         }
         checkQueueIfNotEmpty();
     }
--- a/src/main/java/org/yuccagw/core/placing/PlacementResponder.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementResponder.java
@@ -141,7 +141,7 @@
         Origin origin = origins.remove(request);
         if (origin == null) {
             if (decision instanceof PlacementDecision.Placed placed) {
-                notices.sendsRequest(placed.endpoint().incarnation());
+                notices.recordRequest(placed.endpoint().incarnation());
             }
             context.reply(() -> request.reply().accept(decision));
         } else if (decision instanceof PlacementDecision.Placed placed) {
--- a/src/main/java/org/yuccagw/core/ratelimit/InternalCalls.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/InternalCalls.java
@@ -24,23 +24,23 @@
     }
 
     /** Returns whether the endpoint accepts so few calls that all are needed for requests. */
-    public boolean asksForFewer(EndpointIncarnation endpoint) {
-        return rateLimits.isLimited(endpoint) || notices.backsOff(endpoint);
+    public boolean isRestricted(EndpointIncarnation endpoint) {
+        return rateLimits.isLimited(endpoint) || notices.isBackingOff(endpoint);
     }
 
     /** Returns whether the endpoint accepts an internal call now that can't be delayed for long. */
-    public boolean mayMake(EndpointIncarnation endpoint) {
-        return notices.bearsCall(endpoint);
+    public boolean allowsCall(EndpointIncarnation endpoint) {
+        return notices.allowsInternalCall(endpoint);
     }
 
     /** Returns the minimum time between a call and the next one. */
-    public Duration apart(EndpointIncarnation endpoint) {
-        return Comparators.max(rateLimits.betweenCalls(endpoint), notices.backOffLeft(endpoint));
+    public Duration minInterval(EndpointIncarnation endpoint) {
+        return Comparators.max(rateLimits.minInternalCallInterval(endpoint), notices.remainingBackOff(endpoint));
     }
 
     /** Records that a call is made now. */
-    public void made(EndpointIncarnation endpoint) {
-        rateLimits.sendsCall(endpoint);
-        notices.sendsCall(endpoint);
+    public void recordCall(EndpointIncarnation endpoint) {
+        rateLimits.recordInternalCall(endpoint);
+        notices.recordInternalCall(endpoint);
     }
 }
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitShares.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitShares.java
@@ -67,7 +67,7 @@
     }
 
     /** Returns the shares where it isn't known which entries place requests. */
-    public static RateLimitShares nobody() {
+    public static RateLimitShares ofUnknownPlacers() {
         return new RateLimitShares(List.of(), List.of());
     }
 
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
@@ -101,7 +101,7 @@
     /** The other entries. */
     public interface Fleet extends UpdateBroadcaster {
         /** Returns the shares of the entries that place requests on the endpoint. */
-        RateLimitShares sendersTo(ListedEndpoint endpoint);
+        RateLimitShares sharesFor(ListedEndpoint endpoint);
     }
 
     /** An endpoint with a rate limit. */
@@ -161,24 +161,24 @@
     }
 
     /** Returns the requests per second that this entry may send to an endpoint with a limit. */
-    public double part(ListedEndpoint endpoint) {
+    public double shareOf(ListedEndpoint endpoint) {
         return currentShare(endpoint, limitedEndpoints.get(endpoint.incarnation()));
     }
 
     /** Returns the entries of a mesh that have a share of the limit of an endpoint. */
     public List<EntryId> shareOwners(ListedEndpoint endpoint) {
         LimitedEndpoint known = limitedEndpoints.get(endpoint.incarnation());
-        return fleet.sendersTo(endpoint).shareOwners(endpoint, known.limit);
+        return fleet.sharesFor(endpoint).shareOwners(endpoint, known.limit);
     }
 
     /** Returns whether this entry may send the endpoint one more request now. */
-    public boolean allows(ListedEndpoint endpoint) {
+    public boolean allowsRequest(ListedEndpoint endpoint) {
         LimitedEndpoint known = limitedEndpoints.get(endpoint.incarnation());
         return known == null || known.limiter.allows(currentShare(endpoint, known), context.nowNanos());
     }
 
     /** Records that a request is sent to the endpoint now. */
-    public void sendsRequest(EndpointIncarnation endpoint) {
+    public void recordRequest(EndpointIncarnation endpoint) {
         LimitedEndpoint known = limitedEndpoints.get(endpoint);
         if (known != null) {
             known.requests.add(context.nowNanos());
@@ -187,7 +187,7 @@
     }
 
     /** Returns the minimum time between two internal calls to the endpoint; zero if it has no limit. */
-    public Duration betweenCalls(EndpointIncarnation endpoint) {
+    public Duration minInternalCallInterval(EndpointIncarnation endpoint) {
         LimitedEndpoint known = limitedEndpoints.get(endpoint);
         if (known == null) {
             return Duration.ZERO;
@@ -200,7 +200,7 @@
      * Records an internal call, which serves no caller's request, such as one for cache events or for the state of an
      * engine.
      */
-    public void sendsCall(EndpointIncarnation endpoint) {
+    public void recordInternalCall(EndpointIncarnation endpoint) {
         LimitedEndpoint known = limitedEndpoints.get(endpoint);
         if (known != null) {
             known.internalCalls.add(context.nowNanos());
@@ -212,7 +212,7 @@
         if (context.nowNanos() - startedNanos < PeersComponent.FLEET_UNKNOWN.toNanos()) {
             return 0;
         }
-        return fleet.sendersTo(endpoint).shareOf(context.self().entry(), endpoint, known.limit);
+        return fleet.sharesFor(endpoint).shareOf(context.self().entry(), endpoint, known.limit);
     }
 
     // Updates from endpoints and other entries
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -96,7 +96,7 @@
                 new Placing(),
                 responder);
         PlacementClient client =
-                PlacementClient.of(this::placersOf, placement::usableEndpoint, placement::spared, notices);
+                PlacementClient.of(this::placersOf, placement::usableEndpoint, placement::excludedEndpoints, notices);
         duty = DutyComponent.of(
                 WEIGHTS_DUTY,
                 codec,
@@ -170,10 +170,10 @@
      * this entry may not. Nobody either where no endpoint takes the request from this entry.
      */
     private List<EntryId> placersOf(PlacementRequest request) {
-        if (placement.isTurnedAway(request)) {
+        if (placement.isRejectedByAllEndpoints(request)) {
             return List.of();
         }
-        return peers.isMeshed() ? placement.othersWithinLimits(request) : peers.ownLeads();
+        return peers.isMeshed() ? placement.entriesWithRateLimitShare(request) : peers.ownLeads();
     }
 
     /** How this entry follows the key-value service. */
@@ -205,7 +205,7 @@
         private static final int SHARES_OF_LONE_ENTRY = 5;
 
         @Override
-        public int placing() {
+        public int placingEntryCount() {
             return peers.isMeshed()
                     ? peers.aliveCount()
                     : Math.max(1, peers.firstLeads().size());
@@ -216,7 +216,7 @@
          * turned to them already: 10 shares at 95 entries in five failure domains, as at 300.
          */
         @Override
-        public int retryShares() {
+        public int retryShareCount() {
             if (peers.isMeshed()) {
                 return peers.aliveCount();
             }
@@ -227,7 +227,7 @@
 
         /** One share for each known entry of a mesh; else one for each lead of the endpoint's failure domain. */
         @Override
-        public int coldShares(FailureDomain domain) {
+        public int coldShareCount(FailureDomain domain) {
             if (peers.isMeshed()) {
                 return peers.knownCount();
             }
@@ -235,12 +235,12 @@
         }
 
         @Override
-        public void tellAll(PeerMessage message) {
+        public void sendToAllPlacers(PeerMessage message) {
             peers.tellAll(message);
         }
 
         @Override
-        public void tellOfEndpoint(FailureDomain domain, PeerMessage message) {
+        public void sendToPlacersFor(FailureDomain domain, PeerMessage message) {
             peers.tellOfEndpoint(domain, message);
         }
     }
@@ -253,11 +253,13 @@
     /** Who sends to endpoints with a rate limit, and who hears what endpoints say of themselves. */
     private final class Limiting implements RateLimitsComponent.Fleet {
         @Override
-        public RateLimitShares sendersTo(ListedEndpoint endpoint) {
+        public RateLimitShares sharesFor(ListedEndpoint endpoint) {
             if (peers.isMeshed()) {
                 return RateLimitShares.ofMesh(peers.servingOrSilent());
             }
-            return leads(endpoint.domain()) ? RateLimitShares.ofLeads(peers.ownLeads()) : RateLimitShares.nobody();
+            return leads(endpoint.domain())
+                    ? RateLimitShares.ofLeads(peers.ownLeads())
+                    : RateLimitShares.ofUnknownPlacers();
         }
 
         @Override
@@ -284,7 +286,7 @@
     }
 
     private void announceOrders() {
-        placement.ownLoading(orders.loading());
+        placement.updateLocallyLoading(orders.loading());
         peers.beatNow();
     }
 
--- a/src/main/java/org/yuccagw/platform/EndpointNotices.java
+++ b/src/main/java/org/yuccagw/platform/EndpointNotices.java
@@ -36,7 +36,7 @@
         return new EndpointNotice(
                 limit.isPresent() ? RateLimit.of(limit.getAsDouble()) : Optional.empty(),
                 YES.equals(text(headers, PlatformNames.LEAVING)),
-                wait.isPresent() ? EndpointNotice.backOff(wait.getAsDouble()) : Optional.empty(),
+                wait.isPresent() ? EndpointNotice.backOffOfSeconds(wait.getAsDouble()) : Optional.empty(),
                 unknown(headers));
     }
 
@@ -45,7 +45,7 @@
         String from = text(answer.headers(), PlatformNames.ENDPOINT_ID);
         boolean foreign = !from.isEmpty() && !from.equals(endpoint.endpoint().value());
         EndpointNotice notice = read(answer.status(), answer.headers());
-        boolean says = !foreign && notice.saysSomething();
+        boolean says = !foreign && notice.hasContent();
         return says ? Optional.of(new NoticeReceived(endpoint, notice, false)) : Optional.empty();
     }
 
--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreCaller.java
@@ -109,7 +109,7 @@
                 return;
             }
             EndpointNotice notice = EndpointNotices.read(answer.status(), answer.headers());
-            if (notice.saysSomething()) {
+            if (notice.hasContent()) {
                 input.offer(new StoreAnswer.Noticed(store, notice));
             }
             input.offer(read(call, answer));
--- a/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
@@ -38,7 +38,7 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
-import org.yuccagw.core.ratelimit.NoOthers;
+import org.yuccagw.core.ratelimit.NoPeers;
 import org.yuccagw.core.stores.EngineCachesComponent;
 import org.yuccagw.core.stores.StoreAnswer;
 import org.yuccagw.core.stores.StoreCall;
@@ -61,7 +61,7 @@
         bench.onAction((action, input) -> answer(bench, action, input));
         StoresComponent stores = StoresComponent.of(() -> List.of(EntryId.of("entry-1")));
         EngineCachesComponent caches =
-                EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
+                EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoPeers.unlimitedCalls());
         BenchNode node = bench.start("entry-1", STORE_DOMAIN, List.of(stores, caches));
         node.offer(new ConfigurationComponent.Applied(deployment()));
         bench.runFor(Duration.ofSeconds(1));
--- a/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/NoPeers.java
@@ -6,18 +6,18 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /** The environment of an entry that receives no messages from other entries. */
-public final class NoOthers implements RateLimitsComponent.Fleet {
-    private NoOthers() {}
+public final class NoPeers implements RateLimitsComponent.Fleet {
+    private NoPeers() {}
 
     /** Returns internal calls to endpoints without constraints. */
     public static InternalCalls unlimitedCalls() {
-        NoOthers noPeers = new NoOthers();
+        NoPeers noPeers = new NoPeers();
         return InternalCalls.of(new EndpointConstraints(RateLimitsComponent.of(noPeers), NoticesComponent.of(noPeers)));
     }
 
     @Override
-    public RateLimitShares sendersTo(ListedEndpoint endpoint) {
-        return RateLimitShares.nobody();
+    public RateLimitShares sharesFor(ListedEndpoint endpoint) {
+        return RateLimitShares.ofUnknownPlacers();
     }
 
     @Override
--- a/src/test/java/org/yuccagw/core/ratelimit/RateLimitSharesTest.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/RateLimitSharesTest.java
@@ -140,6 +140,6 @@
     @Test
     public void noEntryHasAShareIfThePlacingEntriesAreUnknown() {
         List<EntryContact> entries = entries(3, 0);
-        assertEquals(sum(RateLimitShares.nobody(), entries, endpoint("e"), limit(9)), 0, TOLERANCE);
+        assertEquals(sum(RateLimitShares.ofUnknownPlacers(), entries, endpoint("e"), limit(9)), 0, TOLERANCE);
     }
 }
