--- a/src/main/java/org/yuccagw/core/lease/LeaseRenewer.java
+++ b/src/main/java/org/yuccagw/core/lease/LeaseRenewer.java
@@ -8,132 +8,135 @@
 import org.yuccagw.core.port.KeyValueCall.LeaseHandle;
 
 /**
- * The one lease of this entry, held only while it is needed.
+ * Acquires, renews and releases one lease of the key-value service, which is held only while it is required.
  *
- * <p>Guards against a holder that believes in a lapsed lease: after a pause, or while the service is slow, it would act
- * beside the next owner. The service counts the time to live from when the renewal reached it, which is after it was
- * sent. So counting from before it was sent, and less a margin for clocks that run at different rates, always ends
- * earlier here than there.
+ * <p>Ensures that a holder never acts on an expired lease. After a suspension, or while the service is slow, such a
+ * holder would act concurrently with the next owner. The service counts the time to live from the moment at which it
+ * received the renewal, which is after the renewal was sent. This class counts from before it was sent and subtracts a
+ * margin for clocks that run at different rates, so the lease always expires earlier here than at the service.
  *
- * <p>Example: a time to live of 10 s, a renewal sent at 100 s and confirmed at 104 s: held here up to 109 s, there at
- * least up to 110 s.
+ * <p>Example: with a time to live of 10 s and a margin of 1 s, a renewal is sent at 100 s and confirmed at 104 s. The
+ * lease is held here until 109 s, and at the service until 110 s at the earliest.
  */
 public final class LeaseRenewer {
     private final ControlContext context;
     private final LeaseTimes times;
-    private final Runnable granted;
-    private final Runnable lost;
+    private final Runnable onLeaseGranted;
+    private final Runnable onLeaseLost;
     private Optional<LeaseHandle> lease = Optional.empty();
-    private long heldUntilNanos;
-    private boolean wanted;
-    private boolean granting;
+    private long expiryNanos;
+    private boolean required;
+    private boolean requestingGrant;
 
-    private LeaseRenewer(ControlContext context, LeaseTimes times, Runnable granted, Runnable lost) {
+    private LeaseRenewer(ControlContext context, LeaseTimes times, Runnable onLeaseGranted, Runnable onLeaseLost) {
         this.context = context;
         this.times = times;
-        this.granted = granted;
-        this.lost = lost;
+        this.onLeaseGranted = onLeaseGranted;
+        this.onLeaseLost = onLeaseLost;
     }
 
     /**
-     * A keeper that doesn't want a lease yet.
+     * Returns a renewer that doesn't request a lease yet.
      *
-     * @param granted run when a lease is held from now on
-     * @param lost run when the lease that was held is not held any more
+     * @param onLeaseGranted called after a lease has been acquired
+     * @param onLeaseLost called after the held lease has expired
      */
-    public static LeaseRenewer of(ControlContext context, LeaseTimes times, Runnable granted, Runnable lost) {
-        return new LeaseRenewer(context, times, granted, lost);
+    public static LeaseRenewer of(
+            ControlContext context, LeaseTimes times, Runnable onLeaseGranted, Runnable onLeaseLost) {
+        return new LeaseRenewer(context, times, onLeaseGranted, onLeaseLost);
     }
 
-    /** The lease, if it still holds now. */
+    /** Returns the lease if it is held at the present time. */
     public Optional<LeaseHandle> handle() {
         return isHeldAt(context.nowNanos()) ? lease : Optional.empty();
     }
 
+    /** Whether the lease is held at the given monotonic time. */
     public boolean isHeldAt(long nowNanos) {
-        return lease.isPresent() && nowNanos - heldUntilNanos < 0;
+        return lease.isPresent() && nowNanos - expiryNanos < 0;
     }
 
-    /** When the belief in the lease ends here, monotonic. */
+    /** Returns the monotonic time at which the lease expires on this entry unless it is renewed. */
     public long heldUntilNanos() {
-        return heldUntilNanos;
+        return expiryNanos;
     }
 
+    /** Acquires a lease and renews it until {@link #giveBack}; a lost lease is acquired again. */
     public void want() {
-        wanted = true;
-        if (lease.isEmpty() && !granting) {
-            granting = true;
-            grant();
+        required = true;
+        if (lease.isEmpty() && !requestingGrant) {
+            requestingGrant = true;
+            requestGrant();
         }
     }
 
-    /** Gives the lease back; every key that hangs on it goes with it. */
+    /** Revokes the lease; the service removes every key that is bound to it. */
     public void giveBack() {
-        wanted = false;
+        required = false;
         lease.ifPresent(this::revoke);
         lease = Optional.empty();
     }
 
-    /** Asks until a lease is held. An answer that comes late, when another lease is held, is given back. */
-    private void grant() {
-        if (!wanted || lease.isPresent()) {
-            granting = false;
+    /** Sends grant requests until a lease is held. A lease that is granted late, when another is held, is revoked. */
+    private void requestGrant() {
+        if (!required || lease.isPresent()) {
+            requestingGrant = false;
             return;
         }
         long sentNanos = context.nowNanos();
         context.call(new KeyValueCall.GrantLease(times.timeToLive()), answer -> {
-            if (answer instanceof KeyValueAnswer.LeaseGranted given) {
-                onGranted(given.lease(), sentNanos);
+            if (answer instanceof KeyValueAnswer.LeaseGranted granted) {
+                handleGranted(granted.lease(), sentNanos);
             }
         });
-        context.after(times.grantInterval(), this::grant);
+        context.after(times.grantInterval(), this::requestGrant);
     }
 
-    private void onGranted(LeaseHandle given, long sentNanos) {
-        long untilNanos = sentNanos + times.heldFromSending().toNanos();
-        if (!wanted || lease.isPresent() || untilNanos - context.nowNanos() <= 0) {
-            revoke(given);
+    private void handleGranted(LeaseHandle granted, long sentNanos) {
+        long untilNanos = sentNanos + times.validityFromSending().toNanos();
+        if (!required || lease.isPresent() || untilNanos - context.nowNanos() <= 0) {
+            revoke(granted);
             return;
         }
-        lease = Optional.of(given);
-        heldUntilNanos = untilNanos;
-        context.after(times.renewInterval(), () -> renew(given));
-        checkLapse(given);
-        granted.run();
+        lease = Optional.of(granted);
+        expiryNanos = untilNanos;
+        context.after(times.renewInterval(), () -> renew(granted));
+        checkExpiry(granted);
+        onLeaseGranted.run();
     }
 
-    /** A renewal without answer changes nothing: the next one follows; the lease ends here if none comes through. */
+    /** A renewal without an answer is not retried: the next one follows, and the lease expires if none succeeds. */
     private void renew(LeaseHandle renewed) {
-        if (!isPresent(renewed)) {
+        if (!isCurrent(renewed)) {
             return;
         }
         long sentNanos = context.nowNanos();
         context.call(new KeyValueCall.RenewLease(renewed), answer -> {
-            if (answer instanceof KeyValueAnswer.LeaseRenewed && isPresent(renewed)) {
-                heldUntilNanos = Math.max(
-                        heldUntilNanos, sentNanos + times.heldFromSending().toNanos());
-            } else if (answer instanceof KeyValueAnswer.LeaseLapsed && isPresent(renewed)) {
-                lose();
+            if (answer instanceof KeyValueAnswer.LeaseRenewed && isCurrent(renewed)) {
+                expiryNanos = Math.max(
+                        expiryNanos, sentNanos + times.validityFromSending().toNanos());
+            } else if (answer instanceof KeyValueAnswer.LeaseLapsed && isCurrent(renewed)) {
+                handleLost();
             }
         });
         context.after(times.renewInterval(), () -> renew(renewed));
     }
 
-    private void checkLapse(LeaseHandle checked) {
-        if (!isPresent(checked)) {
+    private void checkExpiry(LeaseHandle checked) {
+        if (!isCurrent(checked)) {
             return;
         }
         if (isHeldAt(context.nowNanos())) {
-            context.after(Duration.ofNanos(heldUntilNanos - context.nowNanos()), () -> checkLapse(checked));
+            context.after(Duration.ofNanos(expiryNanos - context.nowNanos()), () -> checkExpiry(checked));
         } else {
-            lose();
+            handleLost();
         }
     }
 
-    private void lose() {
+    private void handleLost() {
         lease = Optional.empty();
-        lost.run();
-        if (wanted) {
+        onLeaseLost.run();
+        if (required) {
             want();
         }
     }
@@ -142,7 +145,7 @@
         context.call(new KeyValueCall.RevokeLease(handle), ignored -> {});
     }
 
-    private boolean isPresent(LeaseHandle handle) {
+    private boolean isCurrent(LeaseHandle handle) {
         return lease.equals(Optional.of(handle));
     }
 }
--- a/src/main/java/org/yuccagw/core/lease/LeaseTimes.java
+++ b/src/main/java/org/yuccagw/core/lease/LeaseTimes.java
@@ -3,15 +3,17 @@
 import java.time.Duration;
 
 /**
- * The times of one lease.
+ * Durations that govern one lease.
  *
- * @param timeToLive how long it lasts at the service after a renewal
- * @param clockMargin how much earlier it ends here than there, for clocks that run at different rates
- * @param renewInterval time between renewals
- * @param grantInterval time between attempts to get one
+ * @param timeToLive time for which the service keeps the lease after a renewal
+ * @param clockMargin time by which the lease expires earlier on this entry than at the service, because clocks run at
+ *     different rates
+ * @param renewInterval time between two renewals
+ * @param grantInterval time between two attempts to acquire a lease
  */
 public record LeaseTimes(Duration timeToLive, Duration clockMargin, Duration renewInterval, Duration grantInterval) {
-    Duration heldFromSending() {
+    /** Returns the time for which the lease is held after a grant request or renewal was sent. */
+    Duration validityFromSending() {
         return timeToLive.minus(clockMargin);
     }
 }
--- a/src/main/java/org/yuccagw/core/lease/PauseWatch.java
+++ b/src/main/java/org/yuccagw/core/lease/PauseWatch.java
@@ -3,26 +3,27 @@
 import java.time.Duration;
 
 /**
- * Notices that this process stood still.
+ * Detects that this process was suspended.
  *
- * <p>Guards against a holder whose VM was suspended past the end of its lease. The monotonic clock doesn't count the
- * time of a suspension, so by that clock the lease still holds, and the first thing that the process does after waking
- * would be an order beside those of the next holder. The time of day does count it: it runs ahead of the monotonic
- * clock by as much as the suspension lasted. A step of the time of day looks the same and costs one renewal.
+ * <p>Guards against a lease holder whose VM was suspended past the expiry of its lease. The monotonic clock doesn't
+ * count the time of a suspension, so by that clock the lease is still valid, and the process could send an order
+ * concurrently with the next holder right after it resumes. The wall clock does count that time, so it advances
+ * relative to the monotonic clock by the duration of the suspension. A step of the wall clock looks the same and costs
+ * one lease renewal.
  */
 public final class PauseWatch {
-    /** Above what timers are late by on a busy VM, below the shortest lease. */
-    private static final Duration NOTICED = Duration.ofMillis(400);
+    /** Longer than the delay of timers on a busy VM, shorter than the shortest lease. */
+    private static final Duration MIN_PAUSE = Duration.ofMillis(400);
 
-    private boolean started;
-    private long aheadMillis;
+    private boolean initialized;
+    private long offsetMillis;
 
-    /** Whether the time of day ran ahead of the monotonic clock since the last look. */
+    /** Whether the wall clock has advanced relative to the monotonic clock since the previous call. */
     public boolean pausedSinceLastLook(long nowNanos, long wallMillis) {
-        long ahead = wallMillis - nowNanos / 1_000_000;
-        boolean paused = started && ahead - aheadMillis > NOTICED.toMillis();
-        started = true;
-        aheadMillis = ahead;
+        long newOffsetMillis = wallMillis - nowNanos / 1_000_000;
+        boolean paused = initialized && newOffsetMillis - offsetMillis > MIN_PAUSE.toMillis();
+        initialized = true;
+        offsetMillis = newOffsetMillis;
         return paused;
     }
 }
--- a/src/main/java/org/yuccagw/core/lease/package-info.java
+++ b/src/main/java/org/yuccagw/core/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Leases of the key-value service, and what ends the belief in one. */
+/** Leases of the key-value service: acquisition, renewal, and detection of their expiry on the holder. */
 package org.yuccagw.core.lease;
