--- a/src/main/java/org/yuccagw/core/shard/ShardAuthority.java
+++ b/src/main/java/org/yuccagw/core/shard/ShardAuthority.java
@@ -3,13 +3,23 @@
 import java.util.OptionalLong;
 import org.yuccagw.core.id.ShardNumber;
 
-/** Says right before an effect whether this entry still may act for a shard; the shards part implements it. */
+/**
+ * Checks immediately before an effect whether this entry may still act as the owner of a shard.
+ *
+ * <p>Implemented by {@link ShardsComponent}.
+ */
 @FunctionalInterface
 public interface ShardAuthority {
-    /** The fencing number if the lease, measured from before its last renewal was sent, still holds at this time. */
+    /**
+     * Returns the epoch of the shard, its fencing number, if this entry owns the shard and its lease is valid at the
+     * given monotonic time. The validity counts from before the last renewal of the lease was sent.
+     */
     OptionalLong epochIfHeld(ShardNumber shard, long nowNanos);
 
-    /** The monotonic time at which authority ends if it isn't renewed; for effects that are carried out a bit later. */
+    /**
+     * Returns the monotonic time at which the authority ends unless the lease is renewed, for effects that take place
+     * some time after the check.
+     */
     default long authorityEndsNanos(long nowNanos) {
         return nowNanos;
     }
--- a/src/main/java/org/yuccagw/core/shard/ShardGained.java
+++ b/src/main/java/org/yuccagw/core/shard/ShardGained.java
@@ -3,5 +3,9 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.id.ShardNumber;
 
-/** This entry owns the shard from now on, with this fencing number; raised by the shards part. */
+/**
+ * Raised by {@link ShardsComponent} when this entry has become the owner of a shard.
+ *
+ * @param epoch fencing number of this ownership
+ */
 public record ShardGained(ShardNumber shard, long epoch) implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/shard/ShardsComponent.java
+++ b/src/main/java/org/yuccagw/core/shard/ShardsComponent.java
@@ -33,49 +33,52 @@
 import org.yuccagw.core.shard.ShardsSnapshot.Ownership;
 
 /**
- * Ownership of shards.
+ * Acquires, holds and hands over the ownership of shards.
  *
- * <p>Rendezvous hashing over the live entries says who shall own a shard; the key-value service says who does: a key
- * for each shard, created by compare-and-swap and bound to the lease of its owner. The revision of that creation is the
- * shard's epoch, the fencing number: revisions grow with every write of the service, so each owner's is higher than all
- * before it, though the key went away in between.
+ * <p>Rendezvous hashing over the live entries assigns each shard to an entry; the key-value service records which entry
+ * owns it: a key for each shard, created by compare-and-swap and bound to the lease of its owner. The revision of that
+ * creation is the epoch of the shard, its fencing number. Revisions increase with every write to the service, so each
+ * epoch is higher than all earlier ones, although the key was removed in between.
  *
- * <p>The cases of a shard that this entry shall own and doesn't:
+ * <p>The cases of a shard that is assigned to this entry and not owned by it:
  *
  * <ol>
- *   <li>The key is absent: create it. Written: owned, under the revision of the answer.
- *   <li>No answer to the creation: read. The key names this process: owned, under the revision read.
- *   <li>The key names another: its owner hands over once it hears of the same entries; else its lease lapses. Ask again
- *       after a while, or at once when it says that it released.
+ *   <li>The key is absent: create it. If it was written, the shard is owned, with the revision of the answer as epoch.
+ *   <li>The creation got no answer: read the key. If it names this process, delete it and create it again under the
+ *       present lease.
+ *   <li>The key names another process: its owner hands the shard over once it has the same local view of the members,
+ *       or its lease expires. Read again periodically, or immediately when the owner announces that it has released
+ *       the shard.
  * </ol>
  *
- * <p>A shard that this entry owns and shall not own is handed over: authority ends here first, then the key is deleted,
- * then the next owner is told. At rest the only calls are the renewals of those entries that own something.
+ * <p>A shard that this entry owns and that is assigned to another one is handed over in this order: the authority ends
+ * on this entry, the key is deleted, the assigned owner is notified. In the steady state the only calls to the service
+ * are the lease renewals of the entries that own a shard.
  */
 public final class ShardsComponent implements ControlComponent, ShardAuthority {
-    static final LeaseTimes LEASE = new LeaseTimes(
+    static final LeaseTimes LEASE_TIMES = new LeaseTimes(
             Duration.ofSeconds(10), Duration.ofSeconds(1), Duration.ofMillis(2500), Duration.ofSeconds(2));
 
-    private static final Duration TRY_AGAIN = Duration.ofSeconds(1);
-    /** An entry that just started knows nobody and would take every shard. */
-    private static final Duration SETTLING = Duration.ofSeconds(2);
+    private static final Duration RECONCILE_INTERVAL = Duration.ofSeconds(1);
+    /** A newly started entry knows no other entries, and without the delay would acquire every shard. */
+    private static final Duration STARTUP_DELAY = Duration.ofSeconds(2);
 
-    private static final Duration CALL_SILENCE = Duration.ofSeconds(6);
-    private static final Duration ASSIGN_AFTER = Duration.ofMillis(100);
-    private static final Duration TELL_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(6);
+    private static final Duration ASSIGNMENT_DELAY = Duration.ofMillis(100);
+    private static final Duration ANNOUNCEMENT_INTERVAL = Duration.ofSeconds(2);
 
-    private final TreeMap<ShardNumber, Long> owned = new TreeMap<>();
-    private final TreeMap<ShardNumber, Long> toDelete = new TreeMap<>();
-    private final Map<ShardNumber, Ownership> heard = new HashMap<>();
-    private final Map<ShardNumber, Long> underWay = new HashMap<>();
-    private final Map<ShardNumber, EntryId> shallOwn = new HashMap<>();
-    private final Set<EntryId> everyone = new HashSet<>();
+    private final TreeMap<ShardNumber, Long> ownedEpochs = new TreeMap<>();
+    private final TreeMap<ShardNumber, Long> pendingDeletes = new TreeMap<>();
+    private final Map<ShardNumber, Ownership> reportedOwners = new HashMap<>();
+    private final Map<ShardNumber, Long> pendingCallNanos = new HashMap<>();
+    private final Map<ShardNumber, EntryId> assignedOwners = new HashMap<>();
+    private final Set<EntryId> knownEntries = new HashSet<>();
     private ControlContext context;
     private LeaseRenewer lease;
     private List<EntryId> candidates = List.of();
-    private int count;
-    private boolean assigning;
-    private boolean settled;
+    private int shardCount;
+    private boolean assignmentScheduled;
+    private boolean startupDelayPassed;
     private boolean stopping;
     private ShardsSnapshot snapshot = new ShardsSnapshot(0, ImmutableMap.of());
 
@@ -85,47 +88,50 @@
         return new ShardsComponent();
     }
 
-    /** Time after which no order of an earlier owner can be given any more: its lease and the margin of clocks. */
+    /**
+     * Returns the longest time for which a previous owner of a shard may still send orders: the time to live of its
+     * lease and the margin for clocks.
+     */
     public static Duration longestEarlierAuthority() {
-        return LEASE.timeToLive().plus(LEASE.clockMargin());
+        return LEASE_TIMES.timeToLive().plus(LEASE_TIMES.clockMargin());
     }
 
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        lease = LeaseRenewer.of(context, LEASE, this::review, this::loseAll);
+        lease = LeaseRenewer.of(context, LEASE_TIMES, this::reconcile, this::handleLeaseLost);
         candidates = List.of(context.self().entry());
-        context.after(SETTLING, () -> {
-            settled = true;
-            review();
+        context.after(STARTUP_DELAY, () -> {
+            startupDelayPassed = true;
+            reconcile();
         });
-        context.after(TRY_AGAIN, this::reviewAgain);
-        context.after(TELL_INTERVAL, this::tellSomeone);
+        context.after(RECONCILE_INTERVAL, this::reconcilePeriodically);
+        context.after(ANNOUNCEMENT_INTERVAL, this::announceToRandomEntry);
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof CatalogueChanged changed && count == 0) {
-            count = changed.catalogue().system().shards();
+        if (event instanceof CatalogueChanged changed && shardCount == 0) {
+            shardCount = changed.catalogue().system().shards();
             assign();
-            review();
+            reconcile();
         } else if (event instanceof MembersChanged changed) {
-            takeMembers(changed);
+            updateMembers(changed);
         } else if (event instanceof PeerReceived received) {
             receive(received);
         } else if (event instanceof StopRequested) {
             stopping = true;
-            review();
+            reconcile();
         }
     }
 
     @Override
     public OptionalLong epochIfHeld(ShardNumber shard, long nowNanos) {
-        Long epoch = owned.get(shard);
+        Long epoch = ownedEpochs.get(shard);
         return epoch != null && lease.isHeldAt(nowNanos) ? OptionalLong.of(epoch) : OptionalLong.empty();
     }
 
-    /** Who owns which shard, as far as this entry knows; for other parts, on the control thread. */
+    /** Returns the owners of the shards in this entry's local view. Called by components on the control thread. */
     public ShardsSnapshot known() {
         return snapshot;
     }
@@ -140,9 +146,9 @@
         builder.put(ShardsSnapshot.class, snapshot);
     }
 
-    // ---- Who shall own what.
+    // ---- Assignment.
 
-    private void takeMembers(MembersChanged changed) {
+    private void updateMembers(MembersChanged changed) {
         candidates = changed.entries().stream()
                 .filter(entry -> entry.state() == State.ALIVE || entry.state() == State.SUSPECT)
                 .map(EntryStatus::entry)
@@ -150,231 +156,237 @@
         Set<EntryId> present = new HashSet<>();
         changed.entries().forEach(entry -> present.add(entry.entry()));
         for (EntryId entry : present) {
-            if (!everyone.contains(entry)) {
-                tell(entry);
+            if (!knownEntries.contains(entry)) {
+                announceTo(entry);
             }
         }
-        everyone.clear();
-        everyone.addAll(present);
-        heard.values().removeIf(ownership -> !present.contains(ownership.owner()));
-        if (!assigning) {
-            assigning = true;
-            context.after(ASSIGN_AFTER, this::assignAgain);
+        knownEntries.clear();
+        knownEntries.addAll(present);
+        reportedOwners.values().removeIf(ownership -> !present.contains(ownership.owner()));
+        if (!assignmentScheduled) {
+            assignmentScheduled = true;
+            context.after(ASSIGNMENT_DELAY, this::runScheduledAssignment);
         }
     }
 
-    /** Changes of members come in bursts, as when a whole deployment starts: one assignment is made for all of them. */
-    private void assignAgain() {
-        assigning = false;
+    /** Membership changes arrive in bursts, as when a whole deployment starts: one assignment is made for a burst. */
+    private void runScheduledAssignment() {
+        assignmentScheduled = false;
         assign();
-        review();
+        reconcile();
     }
 
-    private void reviewAgain() {
-        context.after(TRY_AGAIN, this::reviewAgain);
-        review();
+    private void reconcilePeriodically() {
+        context.after(RECONCILE_INTERVAL, this::reconcilePeriodically);
+        reconcile();
     }
 
-    private void review() {
-        boolean wantsAny = false;
-        for (int number = 0; number < count; number++) {
+    /** Acquires the assigned shards, hands over the others, and acquires or releases the lease accordingly. */
+    private void reconcile() {
+        boolean leaseRequired = false;
+        for (int number = 0; number < shardCount; number++) {
             ShardNumber shard = ShardNumber.of(number);
-            if (isWanted(shard)) {
-                wantsAny = true;
+            if (isAssignedHere(shard)) {
+                leaseRequired = true;
                 acquire(shard);
-            } else if (owned.containsKey(shard)) {
+            } else if (ownedEpochs.containsKey(shard)) {
                 handOver(shard);
             }
         }
-        ImmutableMap.copyOf(toDelete).forEach(this::delete);
-        if (wantsAny && settled) {
+        ImmutableMap.copyOf(pendingDeletes).forEach(this::delete);
+        if (leaseRequired && startupDelayPassed) {
             lease.want();
-        } else if (owned.isEmpty() && toDelete.isEmpty()) {
+        } else if (ownedEpochs.isEmpty() && pendingDeletes.isEmpty()) {
             lease.giveBack();
         }
-        publish();
+        updateSnapshot();
     }
 
-    private boolean isWanted(ShardNumber shard) {
-        return !stopping && shallOwn(shard).equals(Optional.of(context.self().entry()));
+    private boolean isAssignedHere(ShardNumber shard) {
+        return !stopping
+                && assignedOwner(shard).equals(Optional.of(context.self().entry()));
     }
 
-    private Optional<EntryId> shallOwn(ShardNumber shard) {
-        return Optional.ofNullable(shallOwn.get(shard));
+    private Optional<EntryId> assignedOwner(ShardNumber shard) {
+        return Optional.ofNullable(assignedOwners.get(shard));
     }
 
     private void assign() {
-        shallOwn.clear();
-        for (int number = 0; number < count; number++) {
+        assignedOwners.clear();
+        for (int number = 0; number < shardCount; number++) {
             ShardNumber shard = ShardNumber.of(number);
-            Rendezvous.first(OwnedShard.key(shard), candidates).ifPresent(entry -> shallOwn.put(shard, entry));
+            Rendezvous.first(ShardOwner.key(shard), candidates).ifPresent(entry -> assignedOwners.put(shard, entry));
         }
     }
 
-    // ---- Acquiring.
+    // ---- Acquisition.
 
     private void acquire(ShardNumber shard) {
-        if (!settled
-                || owned.containsKey(shard)
-                || toDelete.containsKey(shard)
+        if (!startupDelayPassed
+                || ownedEpochs.containsKey(shard)
+                || pendingDeletes.containsKey(shard)
                 || lease.handle().isEmpty()
-                || isUnderWay(shard)) {
+                || isCallPending(shard)) {
             return;
         }
-        underWay.put(shard, context.nowNanos());
-        context.call(new KeyValueCall.Read(OwnedShard.key(shard)), answer -> {
-            underWay.remove(shard);
+        pendingCallNanos.put(shard, context.nowNanos());
+        context.call(new KeyValueCall.Read(ShardOwner.key(shard)), answer -> {
+            pendingCallNanos.remove(shard);
             if (answer instanceof KeyValueAnswer.Found found) {
-                onRead(shard, found);
+                handleRead(shard, found);
             }
         });
     }
 
-    private void onRead(ShardNumber shard, KeyValueAnswer.Found found) {
-        if (owned.containsKey(shard) || lease.handle().isEmpty() || !isWanted(shard)) {
+    private void handleRead(ShardNumber shard, KeyValueAnswer.Found found) {
+        if (ownedEpochs.containsKey(shard) || lease.handle().isEmpty() || !isAssignedHere(shard)) {
             return;
         }
-        OwnedShard own = own();
+        ShardOwner localOwner = localOwner();
         if (found.items().isEmpty()) {
-            create(shard, own);
+            create(shard, localOwner);
             return;
         }
         Item item = found.items().get(0);
-        Optional<OwnedShard> owner = OwnedShard.decode(item.value());
-        if (owner.equals(Optional.of(own))) {
-            // A creation of ours whose answer was lost, or of an earlier lease of ours: the key would go with that
-            // lease. It is made anew under the present one, which also gives it a fresh epoch.
+        Optional<ShardOwner> owner = ShardOwner.decode(item.value());
+        if (owner.equals(Optional.of(localOwner))) {
+            // The key was written by this process: the answer to its creation was lost, or it is bound to an earlier
+            // lease and would be removed with that lease. It is created again under the present lease, which also gives
+            // it a new epoch.
             delete(shard, item.revision());
         } else {
-            owner.ifPresent(other -> heard.put(shard, new Ownership(other.owner(), item.revision())));
+            owner.ifPresent(other -> reportedOwners.put(shard, new Ownership(other.owner(), item.revision())));
         }
     }
 
-    private void create(ShardNumber shard, OwnedShard own) {
-        underWay.put(shard, context.nowNanos());
+    private void create(ShardNumber shard, ShardOwner localOwner) {
+        pendingCallNanos.put(shard, context.nowNanos());
         Optional<LeaseHandle> boundTo = lease.handle();
         context.call(
-                new KeyValueCall.CompareAndSwap(OwnedShard.key(shard), KeyValueCall.ABSENT, own.encode(), boundTo),
+                new KeyValueCall.CompareAndSwap(
+                        ShardOwner.key(shard), KeyValueCall.ABSENT, localOwner.encode(), boundTo),
                 answer -> {
-                    underWay.remove(shard);
+                    pendingCallNanos.remove(shard);
                     if (answer instanceof KeyValueAnswer.Written written) {
-                        gain(shard, written.revision(), boundTo);
+                        handleCreated(shard, written.revision(), boundTo);
                     }
                 });
     }
 
     /**
-     * Guards against a late answer to a creation under a lease that was lost meanwhile: the key would go away with the
-     * old lease while this entry still renews the new one, and two would own the shard.
+     * Records the ownership of a shard whose key was created.
+     *
+     * <p>Guards against a late answer to a creation under a lease that has been lost since: the key would be removed
+     * with the old lease while this entry still renews the new one, and two entries would own the shard.
      */
-    private void gain(ShardNumber shard, long epoch, Optional<LeaseHandle> boundTo) {
-        if (!isWanted(shard) || !lease.handle().equals(boundTo)) {
-            toDelete.put(shard, epoch);
-            review();
+    private void handleCreated(ShardNumber shard, long epoch, Optional<LeaseHandle> boundTo) {
+        if (!isAssignedHere(shard) || !lease.handle().equals(boundTo)) {
+            pendingDeletes.put(shard, epoch);
+            reconcile();
             return;
         }
-        owned.put(shard, epoch);
-        heard.remove(shard);
-        publish();
+        ownedEpochs.put(shard, epoch);
+        reportedOwners.remove(shard);
+        updateSnapshot();
         context.raise(new ShardGained(shard, epoch));
         ShardOwned message = new ShardOwned(shard, epoch);
-        for (EntryId entry : everyone) {
+        for (EntryId entry : knownEntries) {
             if (!entry.equals(context.self().entry())) {
                 context.send(entry, message);
             }
         }
     }
 
-    /** An answer that never comes must not keep a shard without owner for ever. */
-    private boolean isUnderWay(ShardNumber shard) {
-        Long since = underWay.get(shard);
-        return since != null && context.nowNanos() - since < CALL_SILENCE.toNanos();
+    /** Whether a call for the shard is in progress. A call without an answer must not block the shard for ever. */
+    private boolean isCallPending(ShardNumber shard) {
+        Long since = pendingCallNanos.get(shard);
+        return since != null && context.nowNanos() - since < CALL_TIMEOUT.toNanos();
     }
 
-    // ---- Losing and handing over.
+    // ---- Loss and handover.
 
-    private void loseAll() {
-        Map<ShardNumber, Long> lost = new TreeMap<>(owned);
-        owned.clear();
-        toDelete.clear();
-        underWay.clear();
-        publish();
+    private void handleLeaseLost() {
+        Map<ShardNumber, Long> lost = new TreeMap<>(ownedEpochs);
+        ownedEpochs.clear();
+        pendingDeletes.clear();
+        pendingCallNanos.clear();
+        updateSnapshot();
         lost.forEach((shard, epoch) -> context.raise(new ShardLost(shard, epoch)));
     }
 
     private void handOver(ShardNumber shard) {
-        long epoch = owned.remove(shard);
-        toDelete.put(shard, epoch);
+        long epoch = ownedEpochs.remove(shard);
+        pendingDeletes.put(shard, epoch);
         context.raise(new ShardLost(shard, epoch));
     }
 
     private void delete(ShardNumber shard, long epoch) {
-        if (isUnderWay(shard)) {
+        if (isCallPending(shard)) {
             return;
         }
-        underWay.put(shard, context.nowNanos());
-        context.call(new KeyValueCall.Delete(OwnedShard.key(shard), epoch), answer -> {
-            underWay.remove(shard);
+        pendingCallNanos.put(shard, context.nowNanos());
+        context.call(new KeyValueCall.Delete(ShardOwner.key(shard), epoch), answer -> {
+            pendingCallNanos.remove(shard);
             if (answer instanceof KeyValueAnswer.Written || answer instanceof KeyValueAnswer.Conflict) {
-                toDelete.remove(shard, epoch);
-                shallOwn(shard)
+                pendingDeletes.remove(shard, epoch);
+                assignedOwner(shard)
                         .filter(next -> !next.equals(context.self().entry()))
                         .ifPresent(next -> context.send(next, new ShardReleased(shard, epoch)));
-                review();
+                reconcile();
             }
         });
     }
 
-    // ---- Other entries.
+    // ---- Messages between entries.
 
     private void receive(PeerReceived received) {
         if (received.message() instanceof ShardReleased released) {
-            heard.remove(released.shard());
-            review();
-        } else if (received.message() instanceof ShardOwned said) {
-            Ownership known = heard.get(said.shard());
-            boolean newer = known == null || said.epoch() >= known.epoch();
-            if (newer && !owned.containsKey(said.shard())) {
-                heard.put(said.shard(), new Ownership(received.from(), said.epoch()));
-                publish();
+            reportedOwners.remove(released.shard());
+            reconcile();
+        } else if (received.message() instanceof ShardOwned announced) {
+            Ownership known = reportedOwners.get(announced.shard());
+            boolean newer = known == null || announced.epoch() >= known.epoch();
+            if (newer && !ownedEpochs.containsKey(announced.shard())) {
+                reportedOwners.put(announced.shard(), new Ownership(received.from(), announced.epoch()));
+                updateSnapshot();
             }
         }
     }
 
-    private void tellSomeone() {
-        context.after(TELL_INTERVAL, this::tellSomeone);
-        List<EntryId> others = new ArrayList<>(everyone);
+    private void announceToRandomEntry() {
+        context.after(ANNOUNCEMENT_INTERVAL, this::announceToRandomEntry);
+        List<EntryId> others = new ArrayList<>(knownEntries);
         others.remove(context.self().entry());
         if (!others.isEmpty()) {
             others.sort(null);
-            tell(others.get(context.random().nextInt(others.size())));
+            announceTo(others.get(context.random().nextInt(others.size())));
         }
     }
 
-    private void tell(EntryId entry) {
+    private void announceTo(EntryId entry) {
         if (!entry.equals(context.self().entry())) {
-            owned.forEach((shard, epoch) -> context.send(entry, new ShardOwned(shard, epoch)));
+            ownedEpochs.forEach((shard, epoch) -> context.send(entry, new ShardOwned(shard, epoch)));
         }
     }
 
-    /** Where no owner was heard of, the one that shall own the shard is the best guess; its epoch 0 says so. */
-    private void publish() {
+    /** Rebuilds the local view. A shard without a reported owner is listed with its assigned owner and epoch 0. */
+    private void updateSnapshot() {
         ImmutableMap.Builder<ShardNumber, Ownership> owners = ImmutableMap.builder();
-        for (int number = 0; number < count; number++) {
+        for (int number = 0; number < shardCount; number++) {
             ShardNumber shard = ShardNumber.of(number);
-            Long epoch = owned.get(shard);
+            Long epoch = ownedEpochs.get(shard);
             if (epoch != null) {
                 owners.put(shard, new Ownership(context.self().entry(), epoch));
-            } else if (heard.containsKey(shard)) {
-                owners.put(shard, heard.get(shard));
+            } else if (reportedOwners.containsKey(shard)) {
+                owners.put(shard, reportedOwners.get(shard));
             } else {
-                shallOwn(shard).ifPresent(entry -> owners.put(shard, new Ownership(entry, 0)));
+                assignedOwner(shard).ifPresent(entry -> owners.put(shard, new Ownership(entry, 0)));
             }
         }
-        snapshot = new ShardsSnapshot(count, owners.buildOrThrow());
+        snapshot = new ShardsSnapshot(shardCount, owners.buildOrThrow());
     }
 
-    private OwnedShard own() {
-        return new OwnedShard(context.self().entry(), context.self().incarnation());
+    private ShardOwner localOwner() {
+        return new ShardOwner(context.self().entry(), context.self().incarnation());
     }
 }
--- a/src/main/java/org/yuccagw/core/shard/package-info.java
+++ b/src/main/java/org/yuccagw/core/shard/package-info.java
@@ -1,2 +1,2 @@
-/** Shards: ownership by lease, the fencing number, and orders to endpoints that carry it. */
+/** Shards: ownership by lease, and the epoch that serves as fencing number of orders to endpoints. */
 package org.yuccagw.core.shard;
--- a/src/test/java/org/yuccagw/core/shard/LateCreationTest.java
+++ b/src/test/java/org/yuccagw/core/shard/LateCreationTest.java
@@ -34,61 +34,61 @@
             new EntryIdentity(EntryId.of("entry-1"), 1, FailureDomain.of("lac"), ADDRESS, ADDRESS, ADDRESS),
             new SplittableRandom(1),
             List.of(shards));
-    private final List<Effect.Call> open = new ArrayList<>();
+    private final List<Effect.Call> openCalls = new ArrayList<>();
     private Duration now = Duration.ZERO;
 
-    // An entry creates the key of a shard under its lease. The answer hangs; meanwhile the lease is lost and another
-    // one granted. Then the answer comes: created. The key goes away with the first lease, while the entry renews the
-    // second one and would believe itself the owner for ever.
+    // An entry creates the key of a shard under its lease, and the answer is delayed until that lease has been lost and
+    // another one granted. The key is removed with the first lease, while the entry renews the second one and would
+    // regard itself as the owner for ever.
     @Test
-    public void aShardCreatedUnderALeaseThatWasLostMeanwhileIsGivenUp() {
-        take(core.start(0, 0));
-        handle(new CatalogueChanged(SampleCatalogues.ofWorkspaces(1).atRevision(1)));
+    public void aShardCreatedUnderALeaseThatHasBeenLostSinceIsNotOwned() {
+        recordCalls(core.start(0, 0));
+        handleEvent(new CatalogueChanged(SampleCatalogues.ofWorkspaces(1).atRevision(1)));
         advanceTo(Duration.ofSeconds(3));
         answer(KeyValueCall.GrantLease.class, new KeyValueAnswer.LeaseGranted(new LeaseHandle(1)));
         answer(KeyValueCall.Read.class, new KeyValueAnswer.Found(List.of(), 1));
-        Effect.Call creation = find(KeyValueCall.CompareAndSwap.class);
+        Effect.Call creation = latestCall(KeyValueCall.CompareAndSwap.class);
         assertEquals(((KeyValueCall.CompareAndSwap) creation.call()).lease(), Optional.of(new LeaseHandle(1)));
         advanceTo(Duration.ofSeconds(15));
         answer(KeyValueCall.GrantLease.class, new KeyValueAnswer.LeaseGranted(new LeaseHandle(2)));
-        handle(new CallAnswered(creation.number(), new KeyValueAnswer.Written(50)));
+        handleEvent(new CallAnswered(creation.number(), new KeyValueAnswer.Written(50)));
         assertEquals(shards.epochIfHeld(SHARD, now.toNanos()), OptionalLong.empty());
-        assertTrue(open.stream()
+        assertTrue(openCalls.stream()
                 .anyMatch(call -> call.call() instanceof KeyValueCall.Delete delete
-                        && delete.key().equals(OwnedShard.key(SHARD))
+                        && delete.key().equals(ShardOwner.key(SHARD))
                         && delete.expectedRevision() == 50));
     }
 
     private void advanceTo(Duration time) {
         while (now.compareTo(time) < 0) {
             now = now.plusMillis(100);
-            take(core.handle(new ControlCore.Tick(), now.toNanos(), 0));
+            recordCalls(core.handle(new ControlCore.Tick(), now.toNanos(), 0));
         }
     }
 
-    private void handle(ControlEvent event) {
-        take(core.handle(event, now.toNanos(), 0));
+    private void handleEvent(ControlEvent event) {
+        recordCalls(core.handle(event, now.toNanos(), 0));
     }
 
-    private void take(List<Effect> effects) {
+    private void recordCalls(List<Effect> effects) {
         effects.stream()
                 .filter(Effect.Call.class::isInstance)
                 .map(Effect.Call.class::cast)
-                .forEach(open::add);
+                .forEach(openCalls::add);
     }
 
-    /** Answers the latest open call of the kind; of reads, the one of the first shard. */
+    /** Answers the latest open call of a kind; of reads, the latest one for the first shard. */
     private void answer(Class<? extends KeyValueCall> kind, KeyValueAnswer answer) {
-        Effect.Call call = find(kind);
-        open.remove(call);
-        handle(new CallAnswered(call.number(), answer));
+        Effect.Call call = latestCall(kind);
+        openCalls.remove(call);
+        handleEvent(new CallAnswered(call.number(), answer));
     }
 
-    private Effect.Call find(Class<? extends KeyValueCall> kind) {
-        return open.stream()
+    private Effect.Call latestCall(Class<? extends KeyValueCall> kind) {
+        return openCalls.stream()
                 .filter(call -> kind.isInstance(call.call()))
                 .filter(call -> !(call.call() instanceof KeyValueCall.Read read)
-                        || read.key().equals(OwnedShard.key(SHARD)))
+                        || read.key().equals(ShardOwner.key(SHARD)))
                 .reduce((earlier, later) -> later)
                 .orElseThrow();
     }
--- a/src/test/java/org/yuccagw/core/shard/ShardsTest.java
+++ b/src/test/java/org/yuccagw/core/shard/ShardsTest.java
@@ -26,39 +26,39 @@
 public class ShardsTest {
     private static final int SHARDS = 16;
     private static final int ENTRIES = 6;
-    private static final Duration LONG = Duration.ofMinutes(2);
+    private static final Duration TIMEOUT = Duration.ofMinutes(2);
     private static final Duration STEP = Duration.ofMillis(50);
 
     private ControlBench bench;
-    private Map<BenchNode, ShardsComponent> authorities;
-    private List<BenchNode> nodes;
+    private Map<BenchNode, ShardsComponent> shardsByEntry;
+    private List<BenchNode> entries;
     private Map<ShardNumber, Long> highestEpochs;
 
     @BeforeMethod
     public void startEntries() {
         bench = ControlBench.of(21);
-        authorities = new HashMap<>();
-        nodes = new ArrayList<>();
+        shardsByEntry = new HashMap<>();
+        entries = new ArrayList<>();
         highestEpochs = new HashMap<>();
         for (int index = 0; index < ENTRIES; index++) {
-            nodes.add(start(index));
+            entries.add(start(index));
         }
         bench.runFor(Duration.ofSeconds(5));
-        nodes.get(0)
+        entries.get(0)
                 .offer(new CatalogueEditRequested(0, SampleCatalogues.ofWorkspaces(1), "first", "mari", result -> {}));
-        assertTrue(bench.runUntil(this::everyShardIsOwned, LONG));
+        assertTrue(bench.runUntil(this::everyShardHasOneOwner, TIMEOUT));
         bench.runFor(Duration.ofSeconds(10));
     }
 
     @Test
-    public void everyShardHasOneOwnerThatAllEntriesKnow() {
-        assertTrue(everyShardIsOwned());
+    public void everyShardHasOneOwnerThatIsKnownToAllEntries() {
+        assertTrue(everyShardHasOneOwner());
         for (int number = 0; number < SHARDS; number++) {
             ShardNumber shard = ShardNumber.of(number);
             BenchNode owner = ownersOf(shard).get(0);
-            for (BenchNode node : nodes) {
+            for (BenchNode entry : entries) {
                 assertEquals(
-                        node.state(ShardsSnapshot.class)
+                        entry.state(ShardsSnapshot.class)
                                 .orElseThrow()
                                 .owner(shard)
                                 .orElseThrow()
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void atRestOnlyLeasesAndTheCatalogueAreAskedFor() {
+    public void inTheSteadyStateOnlyLeasesAreRenewedAndTheCatalogueIsRead() {
         bench.keyValue().forgetCalls();
         bench.runFor(Duration.ofMinutes(1));
         Map<String, Long> calls = bench.keyValue().callsByKind();
@@ -79,66 +79,68 @@
         assertTrue(calls.getOrDefault("Read", 0L) <= ENTRIES * 6, calls.toString());
     }
 
-    // The owner's process is stopped by its hypervisor for longer than its lease and another entry takes over. When it
-    // goes on, its first act must not be one of an owner, although nobody told it yet.
+    // The hypervisor suspends the VM of the owner for longer than its lease, and another entry becomes the owner. After
+    // resuming, the old owner must not act as the owner, although it has not been notified of the change yet.
     @Test
-    public void anOwnerThatWasPausedPastItsLeaseHasNoAuthorityWhenItWakes() {
-        BenchNode paused = ownersOf(ShardNumber.of(0)).get(0);
-        paused.pause(Duration.ofSeconds(40));
-        assertTrue(bench.runUntil(() -> ownersOf(ShardNumber.of(0)).stream().anyMatch(node -> node != paused), LONG));
-        assertFalse(ownersOf(ShardNumber.of(0)).contains(paused));
-        assertTrue(bench.runUntil(this::everyShardIsOwned, LONG));
+    public void anOwnerThatWasSuspendedPastItsLeaseHasNoAuthorityWhenItResumes() {
+        BenchNode suspended = ownersOf(ShardNumber.of(0)).get(0);
+        suspended.pause(Duration.ofSeconds(40));
+        assertTrue(bench.runUntil(
+                () -> ownersOf(ShardNumber.of(0)).stream().anyMatch(entry -> entry != suspended), TIMEOUT));
+        assertFalse(ownersOf(ShardNumber.of(0)).contains(suspended));
+        assertTrue(bench.runUntil(this::everyShardHasOneOwner, TIMEOUT));
     }
 
     @Test
-    public void aStoppingEntryHandsItsShardsOverWithinSeconds() {
+    public void aStoppingEntryHandsItsShardsOverWithinFiveSeconds() {
         BenchNode stopping = ownersOf(ShardNumber.of(3)).get(0);
         stopping.offer(new StopRequested());
         assertTrue(bench.runUntil(
-                () -> everyShardIsOwned() && !ownersOf(ShardNumber.of(3)).contains(stopping), Duration.ofSeconds(5)));
+                () -> everyShardHasOneOwner() && !ownersOf(ShardNumber.of(3)).contains(stopping),
+                Duration.ofSeconds(5)));
     }
 
-    // A failure domain loses power, and with it a third of the entries at once, owners among them. Without new owners
-    // every claim of their shards would be refused until somebody mends it.
+    // A failure domain loses power, and with it a third of the entries at once, owners among them. Without new owners,
+    // every claim of their shards would be refused until an operator intervenes.
     @Test
-    public void theLossOfAFailureDomainMovesItsShardsToTheOthers() {
-        List<BenchNode> lost = List.copyOf(nodes.subList(0, ENTRIES / 3));
-        lost.forEach(BenchNode::kill);
-        nodes.removeAll(lost);
-        assertTrue(bench.runUntil(this::everyShardIsOwned, Duration.ofSeconds(30)));
+    public void theShardsOfALostFailureDomainMoveToTheOtherEntries() {
+        List<BenchNode> lostEntries = List.copyOf(entries.subList(0, ENTRIES / 3));
+        lostEntries.forEach(BenchNode::kill);
+        entries.removeAll(lostEntries);
+        assertTrue(bench.runUntil(this::everyShardHasOneOwner, Duration.ofSeconds(30)));
     }
 
-    // The service goes away for an hour. No lease can be renewed, so nobody may act as an owner; when it comes back,
-    // every shard has an owner again.
+    // The key-value service is unavailable for an hour. No lease can be renewed, so no entry may act as an owner. After
+    // the outage every shard has an owner again.
     @Test
-    public void duringAnOutageNobodyIsOwnerAndAfterItEveryShardHasOne() {
+    public void noShardHasAnOwnerDuringAnOutageAndEveryShardHasOneAfterIt() {
         bench.keyValue().setDown(true);
-        bench.runFor(ShardsComponent.LEASE.timeToLive());
+        bench.runFor(ShardsComponent.LEASE_TIMES.timeToLive());
         for (int number = 0; number < SHARDS; number++) {
             assertTrue(ownersOf(ShardNumber.of(number)).isEmpty());
         }
         bench.runFor(Duration.ofHours(1));
         bench.keyValue().setDown(false);
-        assertTrue(bench.runUntil(this::everyShardIsOwned, Duration.ofSeconds(30)));
+        assertTrue(bench.runUntil(this::everyShardHasOneOwner, Duration.ofSeconds(30)));
     }
 
     @Test
-    public void renewalsThatTakeSecondsKeepTheOwners() {
+    public void ownersKeepTheirShardsWhileLeaseRenewalsTakeSeconds() {
         bench.keyValue().setLatency(Duration.ofSeconds(4));
         bench.runFor(Duration.ofSeconds(10));
         for (int second = 0; second < 180; second++) {
             bench.runFor(Duration.ofSeconds(1));
-            assertTrue(everyShardIsOwned(), "in second " + second);
+            assertTrue(everyShardHasOneOwner(), "in second " + second);
         }
     }
 
-    // The service is slow: a renewal reaches it two seconds before its answer is back. Then the owner is cut off from
-    // everybody. The service counts from when the renewal arrived; an owner that counts from the answer believes in its
-    // lease for two seconds too long, beside the next owner.
+    // The key-value service is slow: a renewal reaches it two seconds before the owner receives the answer. Then the
+    // owner is disconnected from the service and from all entries. The service counts from the arrival of the renewal;
+    // an owner that counts from the answer would hold its lease two seconds too long, concurrently with the next owner.
     @Test
-    public void anOwnerCutOffWhileTheServiceIsSlowStopsBeforeTheNextOneBegins() {
+    public void anOwnerDisconnectedWhileTheServiceIsSlowStopsBeforeTheNextOneStarts() {
         for (int round = 0; round < ENTRIES; round++) {
-            BenchNode owner = nodes.get(round);
+            BenchNode owner = entries.get(round);
             bench.keyValue().setLatency(Duration.ofSeconds(4));
             bench.runFor(Duration.ofMillis(20_000 + 100L * round));
             bench.cutFromAll(owner);
@@ -146,28 +148,28 @@
             bench.keyValue().setLatency(Duration.ofMillis(4));
             for (int step = 0; step < 500; step++) {
                 bench.runFor(STEP);
-                checkOwners();
+                assertNoSharedOwnership();
             }
-            heal();
-            assertTrue(bench.runUntil(this::everyShardIsOwned, LONG));
+            repairAll();
+            assertTrue(bench.runUntil(this::everyShardHasOneOwner, TIMEOUT));
         }
     }
 
-    // Whatever fails, and in whatever order: at no moment do two entries hold authority for one shard, and each new
-    // owner's fencing number is higher than all before it.
+    // For random faults in random order: two entries never hold authority for one shard at the same time, and the epoch
+    // of each new owner is higher than all earlier ones.
     @Test(dataProvider = "seeds")
-    public void neverDoTwoEntriesOwnAShardAtTheSameTime(long seed) {
+    public void twoEntriesNeverOwnAShardAtTheSameTime(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (int fault = 0; fault < 25; fault++) {
-            inflict(random);
+            injectFault(random);
             long steps = random.nextLong(20, 300);
             for (long step = 0; step < steps; step++) {
                 bench.runFor(STEP);
-                checkOwners();
+                assertNoSharedOwnership();
             }
         }
-        heal();
-        assertTrue(bench.runUntil(this::everyShardIsOwned, LONG));
+        repairAll();
+        assertTrue(bench.runUntil(this::everyShardHasOneOwner, TIMEOUT));
     }
 
     @DataProvider
@@ -175,41 +177,41 @@
         return new Object[][] {{1L}, {2L}, {3L}, {4L}, {5L}, {6L}, {7L}, {8L}};
     }
 
-    private void inflict(SplittableRandom random) {
-        BenchNode node = nodes.get(random.nextInt(ENTRIES));
+    private void injectFault(SplittableRandom random) {
+        BenchNode entry = entries.get(random.nextInt(ENTRIES));
         switch (random.nextInt(9)) {
-            case 0 -> node.pause(Duration.ofMillis(random.nextLong(500, 25_000)));
+            case 0 -> entry.pause(Duration.ofMillis(random.nextLong(500, 25_000)));
             case 1 -> bench.keyValue().setLatency(Duration.ofMillis(random.nextLong(1, 7_000)));
             case 2 -> bench.keyValue().loseAnswersOf(call -> call instanceof KeyValueCall.CompareAndSwap);
             case 3 -> bench.keyValue().loseAnswersOf(call -> call instanceof KeyValueCall.RenewLease);
-            case 4 -> bench.keyValue().cutOff(node.entry());
-            case 5 -> bench.cutFromAll(node);
+            case 4 -> bench.keyValue().cutOff(entry.entry());
+            case 5 -> bench.cutFromAll(entry);
             case 6 -> {
-                int index = nodes.indexOf(node);
-                node.kill();
-                nodes.set(index, start(index));
+                int index = entries.indexOf(entry);
+                entry.kill();
+                entries.set(index, start(index));
             }
             case 7 -> bench.keyValue().setDown(true);
-            default -> heal();
+            default -> repairAll();
         }
     }
 
-    private void heal() {
+    private void repairAll() {
         bench.healNetwork();
         bench.keyValue().setDown(false);
         bench.keyValue().setLatency(Duration.ofMillis(4));
         bench.keyValue().loseAnswersOf(call -> false);
-        nodes.forEach(node -> bench.keyValue().reach(node.entry()));
+        entries.forEach(entry -> bench.keyValue().reach(entry.entry()));
     }
 
-    private void checkOwners() {
+    private void assertNoSharedOwnership() {
         for (int number = 0; number < SHARDS; number++) {
             ShardNumber shard = ShardNumber.of(number);
             List<BenchNode> owners = ownersOf(shard);
             assertTrue(owners.size() <= 1, shard + " is owned by " + owners.size());
             for (BenchNode owner : owners) {
                 long epoch = epochOf(owner, shard).getAsLong();
-                assertTrue(epoch >= highestEpochs.getOrDefault(shard, 0L), "epoch of " + shard + " went back");
+                assertTrue(epoch >= highestEpochs.getOrDefault(shard, 0L), "epoch of " + shard + " decreased");
                 highestEpochs.put(shard, epoch);
             }
         }
@@ -217,12 +219,12 @@
 
     private BenchNode start(int index) {
         ControlComponents.WithShards parts = ControlComponents.withShards();
-        BenchNode node = bench.start("entry-" + index, parts.parts());
-        authorities.put(node, parts.shards());
-        return node;
+        BenchNode entry = bench.start("entry-" + index, parts.parts());
+        shardsByEntry.put(entry, parts.shards());
+        return entry;
     }
 
-    private boolean everyShardIsOwned() {
+    private boolean everyShardHasOneOwner() {
         for (int number = 0; number < SHARDS; number++) {
             if (ownersOf(ShardNumber.of(number)).size() != 1) {
                 return false;
@@ -232,10 +234,12 @@
     }
 
     private List<BenchNode> ownersOf(ShardNumber shard) {
-        return nodes.stream().filter(node -> epochOf(node, shard).isPresent()).toList();
+        return entries.stream()
+                .filter(entry -> epochOf(entry, shard).isPresent())
+                .toList();
     }
 
-    private OptionalLong epochOf(BenchNode node, ShardNumber shard) {
-        return authorities.get(node).epochIfHeld(shard, bench.time().nowNanos());
+    private OptionalLong epochOf(BenchNode entry, ShardNumber shard) {
+        return shardsByEntry.get(entry).epochIfHeld(shard, bench.time().nowNanos());
     }
 }
