--- a/src/main/java/org/yuccagw/core/quarantine/DeathRecords.java
+++ b/src/main/java/org/yuccagw/core/quarantine/DeathRecords.java
@@ -10,77 +10,83 @@
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Death;
 
 /**
- * The deaths that one entry knows of, by fingerprint; a set that only grows until its members expire, so entries can
- * exchange it in any order, twice or late, and agree in the end.
+ * The terminations of endpoints that are known to one entry, by fingerprint of the prompt that ran.
  *
- * <p>A death is named by endpoint and incarnation: two entries that both lost a request on the same endpoint count
- * one death. Memory is bounded: past the most fingerprints the one whose last death is oldest goes.
+ * <p>A grow-only set whose elements expire, so entries can exchange it in any order, duplicated or delayed, and
+ * converge to the same set. A termination is identified by endpoint and incarnation: two entries that both lost a
+ * request on the same endpoint count one termination. Memory is bounded: above the maximum number of fingerprints, the
+ * one whose last termination is the oldest is removed.
  */
 final class DeathRecords {
-    /** Deaths after which a prompt is refused; more than that many are not kept for one prompt. */
-    static final int MOST_DEATHS = 2;
+    /** Number of terminations from which on a prompt is refused; no more than that are recorded for one prompt. */
+    static final int MAX_DEATHS = 2;
 
-    private static final int MOST_FINGERPRINTS = 4_096;
+    private static final int MAX_FINGERPRINTS = 4_096;
 
-    private final LinkedHashMap<PromptFingerprint, Map<Name, Long>> byFingerprint = new LinkedHashMap<>();
+    private final LinkedHashMap<PromptFingerprint, Map<DeathId, Long>> deathsByFingerprint = new LinkedHashMap<>();
 
-    private record Name(EndpointId endpoint, long incarnation) {}
+    private record DeathId(EndpointId endpoint, long incarnation) {}
 
-    /** Adds a death; true if it was new. */
+    /** Adds a termination; returns whether it was new. */
     boolean add(Death death, long nowNanos) {
-        Map<Name, Long> deaths = byFingerprint.computeIfAbsent(death.fingerprint(), fingerprint -> new HashMap<>());
-        Name name = new Name(death.endpoint(), death.incarnation());
-        if (deaths.containsKey(name) || deaths.size() >= MOST_DEATHS) {
+        Map<DeathId, Long> deaths =
+                deathsByFingerprint.computeIfAbsent(death.fingerprint(), fingerprint -> new HashMap<>());
+        DeathId id = new DeathId(death.endpoint(), death.incarnation());
+        if (deaths.containsKey(id) || deaths.size() >= MAX_DEATHS) {
             return false;
         }
-        deaths.put(name, nowNanos - death.age().toNanos());
+        deaths.put(id, nowNanos - death.age().toNanos());
         moveToNewest(death.fingerprint());
         return true;
     }
 
     private void moveToNewest(PromptFingerprint fingerprint) {
-        Map<Name, Long> deaths = byFingerprint.remove(fingerprint);
-        byFingerprint.put(fingerprint, deaths);
-        if (byFingerprint.size() > MOST_FINGERPRINTS) {
-            byFingerprint.remove(byFingerprint.keySet().iterator().next());
+        Map<DeathId, Long> deaths = deathsByFingerprint.remove(fingerprint);
+        deathsByFingerprint.put(fingerprint, deaths);
+        if (deathsByFingerprint.size() > MAX_FINGERPRINTS) {
+            deathsByFingerprint.remove(deathsByFingerprint.keySet().iterator().next());
         }
     }
 
+    /** Returns the number of terminations that are recorded for a prompt. */
     int count(PromptFingerprint fingerprint) {
-        return byFingerprint.getOrDefault(fingerprint, Map.of()).size();
+        return deathsByFingerprint.getOrDefault(fingerprint, Map.of()).size();
     }
 
-    /** Time since the last death of the prompt, which must have one. */
+    /** Returns the time since the last termination recorded for a prompt, which must have one. */
     Duration sinceLast(PromptFingerprint fingerprint, long nowNanos) {
-        long last = byFingerprint.get(fingerprint).values().stream()
+        long last = deathsByFingerprint.get(fingerprint).values().stream()
                 .mapToLong(Long::longValue)
                 .max()
                 .orElseThrow();
         return Duration.ofNanos(nowNanos - last);
     }
 
-    /** Forgets the prompts whose last death is at least that long ago. */
+    /** Removes the prompts whose last termination is at least {@code age} old. */
     void expire(Duration age, long nowNanos) {
-        byFingerprint
+        deathsByFingerprint
                 .keySet()
                 .removeIf(fingerprint -> sinceLast(fingerprint, nowNanos).compareTo(age) >= 0);
     }
 
-    /** The deaths of at most that many prompts, newest first. */
+    /** Returns the terminations recorded for the most recent prompts, the most recent prompt first. */
     List<Death> newest(int fingerprints, long nowNanos) {
-        List<PromptFingerprint> names = new ArrayList<>(byFingerprint.keySet());
-        List<Death> found = new ArrayList<>();
-        for (int index = names.size() - 1; index >= Math.max(0, names.size() - fingerprints); index--) {
-            PromptFingerprint fingerprint = names.get(index);
-            byFingerprint
+        List<PromptFingerprint> fingerprintsByAge = new ArrayList<>(deathsByFingerprint.keySet());
+        List<Death> newest = new ArrayList<>();
+        for (int index = fingerprintsByAge.size() - 1;
+                index >= Math.max(0, fingerprintsByAge.size() - fingerprints);
+                index--) {
+            PromptFingerprint fingerprint = fingerprintsByAge.get(index);
+            deathsByFingerprint
                     .get(fingerprint)
-                    .forEach((name, nanos) -> found.add(new Death(
-                            fingerprint, name.endpoint(), name.incarnation(), Duration.ofNanos(nowNanos - nanos))));
+                    .forEach((id, nanos) -> newest.add(new Death(
+                            fingerprint, id.endpoint(), id.incarnation(), Duration.ofNanos(nowNanos - nanos))));
         }
-        return found;
+        return newest;
     }
 
+    /** Returns the number of prompts. */
     int size() {
-        return byFingerprint.size();
+        return deathsByFingerprint.size();
     }
 }
--- a/src/main/java/org/yuccagw/core/quarantine/EndpointDied.java
+++ b/src/main/java/org/yuccagw/core/quarantine/EndpointDied.java
@@ -4,9 +4,11 @@
 import org.yuccagw.core.id.EndpointId;
 
 /**
- * The connection to an endpoint broke while it ran this prompt, and the endpoint didn't answer afterwards.
+ * Raised when the connection to an endpoint broke while the endpoint ran a prompt, and the endpoint didn't answer
+ * afterwards.
  *
- * @param alone whether the prompt was the only one that this entry had running there
+ * @param incarnation of the VM of the endpoint
+ * @param alone whether the prompt ran isolated, as the only one that this entry had running on the endpoint
  */
 public record EndpointDied(PromptFingerprint fingerprint, EndpointId endpoint, long incarnation, boolean alone)
         implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/quarantine/PermitIssuer.java
+++ b/src/main/java/org/yuccagw/core/quarantine/PermitIssuer.java
@@ -7,55 +7,58 @@
 import org.yuccagw.core.id.ShardNumber;
 
 /**
- * The permits to run a suspected prompt alone, at the owner of its shard: at most one for each prompt at a time.
+ * Issues the permits to run a suspected prompt isolated: at most one for each prompt at a time. Used by the owner of
+ * the prompt's shard.
  *
- * <p>A permit lives as long as its holder renews it. A new owner doesn't know what the one before it granted, so it
- * grants nothing until every permit of before was renewed here or has run out. What this bounds is how many
- * endpoints a prompt can end, not correctness: a holder that is cut off longer than a permit's life finishes the
- * attempt it began.
+ * <p>A permit is valid while its holder renews it. A new owner doesn't know the permits that the previous owner
+ * granted, so it grants none until each of those has been renewed here or has expired. Permits bound the number of
+ * endpoints that a prompt can terminate; correctness doesn't depend on them: a holder that is disconnected for longer
+ * than the lifetime of a permit completes the attempt that it started.
  */
 final class PermitIssuer {
-    /** Life of a permit since its last renewal; holders renew three times within it. */
-    static final Duration LIFE = Duration.ofSeconds(6);
+    /** Lifetime of a permit after its last renewal; holders renew three times within it. */
+    static final Duration PERMIT_LIFETIME = Duration.ofSeconds(6);
 
-    private final Map<PromptFingerprint, Holder> holders = new HashMap<>();
+    private final Map<PromptFingerprint, PermitHolder> holderByPrompt = new HashMap<>();
     private final Map<ShardNumber, Long> gainedNanos = new HashMap<>();
 
-    private record Holder(EntryId entry, long number, long untilNanos) {}
+    private record PermitHolder(EntryId entry, long number, long expiryNanos) {}
 
-    void gained(ShardNumber shard, long nowNanos) {
+    void shardGained(ShardNumber shard, long nowNanos) {
         gainedNanos.put(shard, nowNanos);
     }
 
-    void lost(ShardNumber shard) {
+    void shardLost(ShardNumber shard) {
         gainedNanos.remove(shard);
     }
 
-    boolean serves(ShardNumber shard) {
+    boolean ownsShard(ShardNumber shard) {
         return gainedNanos.containsKey(shard);
     }
 
-    /** Grants or renews; a renewal is taken at its word also by an owner that is new. */
-    boolean ask(ShardNumber shard, PromptFingerprint fingerprint, EntryId entry, long number, boolean held, long now) {
-        Holder present = holders.get(fingerprint);
-        boolean free = present == null || present.untilNanos() <= now;
-        boolean own = !free && present.entry().equals(entry) && present.number() == number;
-        boolean settled = now - gainedNanos.get(shard) >= LIFE.toNanos();
-        if (own || (free && (settled || held))) {
-            holders.put(fingerprint, new Holder(entry, number, now + LIFE.toNanos()));
+    /** Grants or renews a permit. A new owner accepts a renewal without knowing the permit. */
+    boolean grantOrRenew(
+            ShardNumber shard, PromptFingerprint fingerprint, EntryId entry, long number, boolean renewal, long now) {
+        PermitHolder present = holderByPrompt.get(fingerprint);
+        boolean free = present == null || present.expiryNanos() <= now;
+        boolean sameHolder = !free && present.entry().equals(entry) && present.number() == number;
+        boolean earlierPermitsExpired = now - gainedNanos.get(shard) >= PERMIT_LIFETIME.toNanos();
+        if (sameHolder || (free && (earlierPermitsExpired || renewal))) {
+            holderByPrompt.put(fingerprint, new PermitHolder(entry, number, now + PERMIT_LIFETIME.toNanos()));
             return true;
         }
         return false;
     }
 
-    void giveBack(PromptFingerprint fingerprint, EntryId entry, long number) {
-        Holder present = holders.get(fingerprint);
+    /** Releases a permit if it is still held under this number. */
+    void release(PromptFingerprint fingerprint, EntryId entry, long number) {
+        PermitHolder present = holderByPrompt.get(fingerprint);
         if (present != null && present.entry().equals(entry) && present.number() == number) {
-            holders.remove(fingerprint);
+            holderByPrompt.remove(fingerprint);
         }
     }
 
     void expire(long nowNanos) {
-        holders.values().removeIf(holder -> holder.untilNanos() <= nowNanos);
+        holderByPrompt.values().removeIf(holder -> holder.expiryNanos() <= nowNanos);
     }
 }
--- a/src/main/java/org/yuccagw/core/quarantine/PromptFingerprint.java
+++ b/src/main/java/org/yuccagw/core/quarantine/PromptFingerprint.java
@@ -5,12 +5,13 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * What makes two requests the same for counting deaths of endpoints: the workspace and the whole body.
+ * Hash that identifies equal requests when terminations of endpoints are counted: over the workspace and the whole
+ * body.
  *
- * @param value lower-case hexadecimal
+ * @param value 32 lower-case hexadecimal digits
  */
 public record PromptFingerprint(String value) {
-    /** The fingerprint of a body as the caller sent it. */
+    /** Returns the fingerprint of a request body as the caller sent it. */
     public static PromptFingerprint of(WorkspaceId workspace, byte[] body) {
         return new PromptFingerprint(Hashing.sha256()
                 .newHasher()
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
@@ -34,37 +34,38 @@
 import org.yuccagw.core.shard.ShardsSnapshot.Ownership;
 
 /**
- * Keeps one prompt from ending endpoint after endpoint, whichever entries its caller sends it to.
+ * Prevents a prompt from terminating one endpoint after another, whichever entries its caller sends it to.
  *
- * <p>A prompt without a death runs freely. After one death it runs alone: each attempt needs the one permit that the
- * owner of the prompt's shard gives. After two deaths it is refused by every entry for the quarantine time.
+ * <p>A prompt without a recorded termination runs without restriction. After one termination it runs isolated: each
+ * attempt requires the single permit that the owner of the prompt's shard issues. After two terminations every entry
+ * refuses the prompt for the quarantine time.
  *
- * <p>A death is pushed to all entries when it is seen, before the caller can have learned of it; each entry also
- * repeats what it knows to one random entry now and then, so a lost push is mended and the knowledge outlives the
- * entry that saw the death. A prompt that shared an endpoint with the one that killed it is counted too: nobody can
- * tell them apart, and running alone then clears the innocent of a second death.
+ * <p>A termination is pushed to all entries when it is observed, before the caller can learn of it. Each entry also
+ * periodically sends the terminations that it knows to one random entry, so a lost push is repaired and the record
+ * remains if the entry that observed the termination fails. Other prompts that ran on the same endpoint are counted
+ * too, because the one that terminated it can't be identified; running isolated, they don't cause a second termination.
  */
 public final class QuarantineComponent implements ControlComponent {
-    private static final Duration REPEAT = Duration.ofSeconds(2);
-    private static final Duration RENEW = Duration.ofSeconds(2);
-    private static final Duration ASK_AGAIN = Duration.ofMillis(250);
-    private static final int MOST_ASKS = 8;
-    private static final int PERMITS_BITS = 20;
-    private static final Duration COME_BACK = Duration.ofSeconds(2);
-    private static final int FINGERPRINTS_IN_MESSAGE = 50;
+    private static final Duration EXCHANGE_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration RENEWAL_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration PERMIT_RETRY_DELAY = Duration.ofMillis(250);
+    private static final int MAX_PERMIT_REQUESTS = 8;
+    private static final int PERMIT_NUMBER_BITS = 20;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
+    private static final int MAX_FINGERPRINTS_PER_MESSAGE = 50;
 
     private final Supplier<ShardsSnapshot> shards;
     private final ShardAuthority authority;
     private final DeathRecords deaths = new DeathRecords();
     private final PermitIssuer issuer = new PermitIssuer();
-    private final Map<Long, Waiting> waiting = new HashMap<>();
-    private final Map<Long, PromptFingerprint> held = new HashMap<>();
-    private List<EntryId> peers = List.of();
+    private final Map<Long, WaitingAttempt> waitingByPermit = new HashMap<>();
+    private final Map<Long, PromptFingerprint> heldPermits = new HashMap<>();
+    private List<EntryId> otherEntries = List.of();
     private SystemLimits limits = SystemLimits.usual();
     private ControlContext context;
-    private long nextPermit;
+    private long nextPermitNumber;
 
-    private record Waiting(QuarantineRequested asked, int asks) {}
+    private record WaitingAttempt(QuarantineRequested request, int requestsSent) {}
 
     private QuarantineComponent(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
         this.authority = authority;
@@ -72,10 +73,10 @@
     }
 
     /**
-     * Makes the part.
+     * Creates the component.
      *
-     * @param authority proves the lease right before a permit is granted
-     * @param shards who owns which shard, as far as this entry knows; asked on the control thread
+     * @param authority checks the lease immediately before a permit is granted
+     * @param shards supplies the owners of the shards in the local view; called on the control thread
      */
     public static QuarantineComponent of(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
         return new QuarantineComponent(authority, shards);
@@ -84,29 +85,29 @@
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        // A restarted entry must not take a permit of its former process for its own.
-        nextPermit = context.self().incarnation() << PERMITS_BITS;
-        context.after(REPEAT, this::repeat);
-        context.after(RENEW, this::renew);
+        // A restarted entry must not use permit numbers of its previous process.
+        nextPermitNumber = context.self().incarnation() << PERMIT_NUMBER_BITS;
+        context.after(EXCHANGE_INTERVAL, this::exchangeDeaths);
+        context.after(RENEWAL_INTERVAL, this::renewPermits);
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof QuarantineRequested asked) {
-            asked(asked);
+        if (event instanceof QuarantineRequested request) {
+            handleRequest(request);
         } else if (event instanceof EndpointDied died) {
-            died(died);
+            recordTermination(died);
         } else if (event instanceof PermitReturned returned) {
-            returned(returned);
+            returnPermit(returned);
         } else if (event instanceof PeerReceived received
                 && received.message() instanceof QuarantinePeerMessage message) {
             receive(received.from(), message);
         } else if (event instanceof MembersChanged changed) {
-            learnMembers(changed);
+            updateMembers(changed);
         } else if (event instanceof ShardGained gained) {
-            issuer.gained(gained.shard(), context.nowNanos());
+            issuer.shardGained(gained.shard(), context.nowNanos());
         } else if (event instanceof ShardLost lost) {
-            issuer.lost(lost.shard());
+            issuer.shardLost(lost.shard());
         } else if (event instanceof CatalogueChanged changed) {
             limits = changed.catalogue().system();
         }
@@ -114,81 +115,88 @@
 
     @Override
     public void contribute(ControlSnapshot.Builder snapshot) {
-        snapshot.put(QuarantineSnapshot.class, new QuarantineSnapshot(deaths.size(), held.size()));
+        snapshot.put(QuarantineSnapshot.class, new QuarantineSnapshot(deaths.size(), heldPermits.size()));
     }
 
-    private void asked(QuarantineRequested asked) {
+    private void handleRequest(QuarantineRequested request) {
         deaths.expire(limits.quarantine(), context.nowNanos());
-        int count = deaths.count(asked.fingerprint());
+        int count = deaths.count(request.fingerprint());
         if (count == 0) {
-            reply(asked, new Verdict.Free());
-        } else if (count >= DeathRecords.MOST_DEATHS) {
-            refuse(asked);
+            reply(request, new Verdict.Free());
+        } else if (count >= DeathRecords.MAX_DEATHS) {
+            refuse(request);
         } else {
-            askPermit(nextPermit++, new Waiting(asked, 0));
+            requestPermit(nextPermitNumber++, new WaitingAttempt(request, 0));
         }
     }
 
-    private void refuse(QuarantineRequested asked) {
-        Duration since = deaths.sinceLast(asked.fingerprint(), context.nowNanos());
+    private void refuse(QuarantineRequested request) {
+        Duration since = deaths.sinceLast(request.fingerprint(), context.nowNanos());
         Duration left = limits.quarantine().minus(since);
-        int count = deaths.count(asked.fingerprint());
+        int count = deaths.count(request.fingerprint());
         reply(
-                asked,
+                request,
                 new Verdict.Refused(ErrorKind.QUARANTINED
                         .raise(count, Math.max(1, left.toSeconds()))
                         .comeBackAfter(left)));
     }
 
-    private void reply(QuarantineRequested asked, Verdict verdict) {
-        context.reply(() -> asked.reply().accept(verdict));
+    private void reply(QuarantineRequested request, Verdict verdict) {
+        context.reply(() -> request.reply().accept(verdict));
     }
 
-    /** Asks the owner until it grants, or refuses the attempt after the most asks: another run takes long. */
-    private void askPermit(long permit, Waiting wait) {
-        if (wait.asks() == MOST_ASKS) {
-            waiting.remove(permit);
-            deliver(wait.asked().fingerprint(), new PermitGivenBack(wait.asked().fingerprint(), permit));
+    /**
+     * Requests a permit from the owner until it is granted. After the maximum number of requests the attempt is
+     * refused, because another run that holds the permit takes long.
+     */
+    private void requestPermit(long permit, WaitingAttempt attempt) {
+        if (attempt.requestsSent() == MAX_PERMIT_REQUESTS) {
+            waitingByPermit.remove(permit);
+            sendToOwner(
+                    attempt.request().fingerprint(),
+                    new PermitGivenBack(attempt.request().fingerprint(), permit));
             reply(
-                    wait.asked(),
+                    attempt.request(),
                     new Verdict.Refused(
-                            ErrorKind.OVERLOADED.raise(COME_BACK.toMillis()).comeBackAfter(COME_BACK)));
+                            ErrorKind.OVERLOADED.raise(RETRY_AFTER.toMillis()).comeBackAfter(RETRY_AFTER)));
             return;
         }
-        waiting.put(permit, new Waiting(wait.asked(), wait.asks() + 1));
-        deliver(wait.asked().fingerprint(), new PermitAsked(wait.asked().fingerprint(), permit, false));
-        context.after(ASK_AGAIN, () -> {
-            Waiting still = waiting.get(permit);
-            if (still != null) {
-                askPermit(permit, still);
+        waitingByPermit.put(permit, new WaitingAttempt(attempt.request(), attempt.requestsSent() + 1));
+        sendToOwner(
+                attempt.request().fingerprint(),
+                new PermitAsked(attempt.request().fingerprint(), permit, false));
+        context.after(PERMIT_RETRY_DELAY, () -> {
+            WaitingAttempt waitingAttempt = waitingByPermit.get(permit);
+            if (waitingAttempt != null) {
+                requestPermit(permit, waitingAttempt);
             }
         });
     }
 
-    private void died(EndpointDied died) {
+    private void recordTermination(EndpointDied died) {
         Death death = new Death(died.fingerprint(), died.endpoint(), died.incarnation(), Duration.ZERO);
         if (deaths.add(death, context.nowNanos())) {
             Deaths message = new Deaths(List.of(death));
-            peers.forEach(peer -> context.send(peer, message));
-            refuseWaiting(died.fingerprint());
+            otherEntries.forEach(peer -> context.send(peer, message));
+            refuseWaitingAttempts(died.fingerprint());
         }
     }
 
-    /** A second death ends the hope of those who wait for the permit at once. */
-    private void refuseWaiting(PromptFingerprint fingerprint) {
-        if (deaths.count(fingerprint) < DeathRecords.MOST_DEATHS) {
+    /** Refuses the attempts that wait for a permit as soon as the prompt has terminated a second endpoint. */
+    private void refuseWaitingAttempts(PromptFingerprint fingerprint) {
+        if (deaths.count(fingerprint) < DeathRecords.MAX_DEATHS) {
             return;
         }
-        List<Long> hopeless = waiting.entrySet().stream()
-                .filter(entry -> entry.getValue().asked().fingerprint().equals(fingerprint))
+        List<Long> refusedPermits = waitingByPermit.entrySet().stream()
+                .filter(entry -> entry.getValue().request().fingerprint().equals(fingerprint))
                 .map(Map.Entry::getKey)
                 .toList();
-        hopeless.forEach(permit -> refuse(waiting.remove(permit).asked()));
+        refusedPermits.forEach(permit -> refuse(waitingByPermit.remove(permit).request()));
     }
 
-    private void returned(PermitReturned returned) {
-        if (held.remove(returned.permit()) != null) {
-            deliver(returned.fingerprint(), new PermitGivenBack(returned.fingerprint(), returned.permit()));
+    private void returnPermit(PermitReturned returned) {
+        if (heldPermits.remove(returned.permit()) != null) {
+            sendToOwner(returned.fingerprint(), new PermitGivenBack(returned.fingerprint(), returned.permit()));
         }
     }
 
@@ -196,71 +204,75 @@
         if (message instanceof Deaths received) {
             for (Death death : received.deaths()) {
                 if (deaths.add(death, context.nowNanos())) {
-                    refuseWaiting(death.fingerprint());
+                    refuseWaitingAttempts(death.fingerprint());
                 }
             }
-        } else if (message instanceof PermitAsked asked) {
-            decidePermit(from, asked);
+        } else if (message instanceof PermitAsked request) {
+            decideOnPermit(from, request);
         } else if (message instanceof PermitDecided decided) {
-            takePermit(decided);
-        } else if (message instanceof PermitGivenBack back) {
-            issuer.giveBack(back.fingerprint(), from, back.number());
+            handlePermitDecision(decided);
+        } else if (message instanceof PermitGivenBack released) {
+            issuer.release(released.fingerprint(), from, released.number());
         }
     }
 
-    private void decidePermit(EntryId from, PermitAsked asked) {
-        Optional<ShardNumber> shard = shardOf(asked.fingerprint());
-        boolean serves = shard.isPresent() && issuer.serves(shard.get());
-        boolean holdsLease =
-                serves && authority.epochIfHeld(shard.get(), context.nowNanos()).isPresent();
+    private void decideOnPermit(EntryId from, PermitAsked request) {
+        Optional<ShardNumber> shard = shardOf(request.fingerprint());
+        boolean ownsShard = shard.isPresent() && issuer.ownsShard(shard.get());
+        boolean holdsLease = ownsShard
+                && authority.epochIfHeld(shard.get(), context.nowNanos()).isPresent();
         boolean granted = holdsLease
-                && deaths.count(asked.fingerprint()) < DeathRecords.MOST_DEATHS
-                && issuer.ask(shard.get(), asked.fingerprint(), from, asked.number(), asked.held(), context.nowNanos());
-        send(from, new PermitDecided(asked.fingerprint(), asked.number(), granted));
+                && deaths.count(request.fingerprint()) < DeathRecords.MAX_DEATHS
+                && issuer.grantOrRenew(
+                        shard.get(), request.fingerprint(), from, request.number(), request.held(), context.nowNanos());
+        send(from, new PermitDecided(request.fingerprint(), request.number(), granted));
     }
 
-    private void takePermit(PermitDecided decided) {
+    private void handlePermitDecision(PermitDecided decided) {
         long permit = decided.number();
-        Waiting wait = decided.granted() ? waiting.remove(permit) : null;
-        if (wait != null) {
-            held.put(permit, decided.fingerprint());
-            reply(wait.asked(), new Verdict.Alone(permit));
-        } else if (decided.granted() && !held.containsKey(permit)) {
-            deliver(decided.fingerprint(), new PermitGivenBack(decided.fingerprint(), permit));
+        WaitingAttempt attempt = decided.granted() ? waitingByPermit.remove(permit) : null;
+        if (attempt != null) {
+            heldPermits.put(permit, decided.fingerprint());
+            reply(attempt.request(), new Verdict.Alone(permit));
+        } else if (decided.granted() && !heldPermits.containsKey(permit)) {
+            sendToOwner(decided.fingerprint(), new PermitGivenBack(decided.fingerprint(), permit));
         }
     }
 
-    private void renew() {
-        held.forEach((permit, fingerprint) -> deliver(fingerprint, new PermitAsked(fingerprint, permit, true)));
+    private void renewPermits() {
+        heldPermits.forEach(
+                (permit, fingerprint) -> sendToOwner(fingerprint, new PermitAsked(fingerprint, permit, true)));
         issuer.expire(context.nowNanos());
-        context.after(RENEW, this::renew);
+        context.after(RENEWAL_INTERVAL, this::renewPermits);
     }
 
-    private void repeat() {
+    private void exchangeDeaths() {
         deaths.expire(limits.quarantine(), context.nowNanos());
-        if (deaths.size() > 0 && !peers.isEmpty()) {
-            EntryId peer = peers.get(context.random().nextInt(peers.size()));
+        if (deaths.size() > 0 && !otherEntries.isEmpty()) {
+            EntryId peer = otherEntries.get(context.random().nextInt(otherEntries.size()));
             context.send(peer, knownDeaths());
         }
-        context.after(REPEAT, this::repeat);
+        context.after(EXCHANGE_INTERVAL, this::exchangeDeaths);
     }
 
     private Deaths knownDeaths() {
-        return new Deaths(deaths.newest(FINGERPRINTS_IN_MESSAGE, context.nowNanos()));
+        return new Deaths(deaths.newest(MAX_FINGERPRINTS_PER_MESSAGE, context.nowNanos()));
     }
 
-    private void learnMembers(MembersChanged changed) {
-        List<EntryId> living = new ArrayList<>();
+    private void updateMembers(MembersChanged changed) {
+        List<EntryId> liveEntries = new ArrayList<>();
         for (EntryStatus status : changed.entries()) {
             boolean other = !status.entry().equals(context.self().entry());
             if (other && status.state() != EntryStatus.State.DEAD) {
-                living.add(status.entry());
+                liveEntries.add(status.entry());
             }
         }
         if (deaths.size() > 0) {
-            living.stream().filter(peer -> !peers.contains(peer)).forEach(peer -> context.send(peer, knownDeaths()));
+            liveEntries.stream()
+                    .filter(peer -> !otherEntries.contains(peer))
+                    .forEach(peer -> context.send(peer, knownDeaths()));
         }
-        peers = List.copyOf(living);
+        otherEntries = List.copyOf(liveEntries);
     }
 
     private Optional<ShardNumber> shardOf(PromptFingerprint fingerprint) {
@@ -268,7 +280,7 @@
         return count == 0 ? Optional.empty() : Optional.of(Shards.of(fingerprint.value(), count));
     }
 
-    private void deliver(PromptFingerprint fingerprint, QuarantinePeerMessage message) {
+    private void sendToOwner(PromptFingerprint fingerprint, QuarantinePeerMessage message) {
         shardOf(fingerprint)
                 .flatMap(shard -> shards.get().owner(shard))
                 .map(Ownership::owner)
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantinePeerMessage.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantinePeerMessage.java
@@ -5,9 +5,11 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.port.PeerMessage;
 
-/** What entries say to each other about prompts that end endpoints. Any of them may be lost, late or doubled. */
+/**
+ * Messages between entries about prompts that terminate endpoints. Each message may be lost, delayed or duplicated.
+ */
 public interface QuarantinePeerMessage extends PeerMessage {
-    /** Deaths that the sender knows of; pushed when seen, and repeated to a random peer now and then. */
+    /** Terminations known to the sender: pushed when observed, and sent periodically to a random entry. */
     record Deaths(List<Death> deaths) implements QuarantinePeerMessage {
         public Deaths {
             deaths = List.copyOf(deaths);
@@ -15,23 +17,25 @@
     }
 
     /**
-     * One endpoint that died while the prompt ran.
+     * The termination of one endpoint while it ran the prompt.
      *
-     * @param incarnation of the endpoint's VM; with the endpoint it names the death
-     * @param age time since the death
+     * @param incarnation of the VM of the endpoint; identifies the termination together with the endpoint
+     * @param age time since the termination
      */
     record Death(PromptFingerprint fingerprint, EndpointId endpoint, long incarnation, Duration age) {}
 
     /**
-     * Asks the owner of the prompt's shard for the permit to run it alone, or renews it.
+     * Requests the permit to run a prompt isolated from the owner of its shard, or renews the permit.
      *
-     * @param number names the ask; the same for a renewal
-     * @param held whether this renews a permit that was granted
+     * @param number identifies the permit; the same in the request and in its renewals
+     * @param held whether this renews a granted permit
      */
     record PermitAsked(PromptFingerprint fingerprint, long number, boolean held) implements QuarantinePeerMessage {}
 
+    /** The decision of the owner on a request or renewal. */
     record PermitDecided(PromptFingerprint fingerprint, long number, boolean granted)
             implements QuarantinePeerMessage {}
 
+    /** Releases a permit, or withdraws the request for it. */
     record PermitGivenBack(PromptFingerprint fingerprint, long number) implements QuarantinePeerMessage {}
 }
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineRequested.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineRequested.java
@@ -4,18 +4,27 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.error.YuccagwException;
 
-/** Traffic asks, before each attempt, whether this prompt may run. */
+/**
+ * Requests the decision whether a prompt may run. Raised by traffic before each attempt.
+ *
+ * @param reply called exactly once
+ */
 public record QuarantineRequested(PromptFingerprint fingerprint, Consumer<Verdict> reply) implements ControlEvent {
-    /** How a prompt may run. */
+    /** The decision on one attempt. */
     public interface Verdict {
+        /** No endpoint terminated while it ran the prompt: it may run without a permit. */
         record Free() implements Verdict {}
 
-        /** One endpoint died of it: this attempt has the only permit, to be given back with PermitReturned. */
+        /**
+         * One endpoint terminated while it ran the prompt: this attempt holds the only permit, which must be returned
+         * with {@link PermitReturned}.
+         */
         record Alone(long permit) implements Verdict {}
 
+        /** The prompt is quarantined, or the permit is held by another attempt. */
         record Refused(YuccagwException error) implements Verdict {}
     }
 
-    /** The attempt that ran alone ended. */
+    /** Returns the permit of an isolated attempt that has ended. */
     public record PermitReturned(PromptFingerprint fingerprint, long permit) implements ControlEvent {}
 }
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineSnapshot.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineSnapshot.java
@@ -1,9 +1,9 @@
 package org.yuccagw.core.quarantine;
 
 /**
- * What operators see of the quarantine on one entry.
+ * State of the quarantine on one entry, as shown to operators.
  *
- * @param suspects prompts with at least one death in the quarantine time
- * @param permits suspected prompts that run alone for callers of this entry
+ * @param suspects number of prompts that terminated at least one endpoint within the quarantine time
+ * @param permits number of suspected prompts that run isolated for callers of this entry
  */
 public record QuarantineSnapshot(int suspects, int permits) {}
--- a/src/main/java/org/yuccagw/core/quarantine/package-info.java
+++ b/src/main/java/org/yuccagw/core/quarantine/package-info.java
@@ -1,2 +1,4 @@
-/** Prompts that end the endpoints running them: counted over all entries, isolated, then refused for a time. */
+/**
+ * Quarantine of prompts that terminate the endpoints running them: counted over all entries, isolated, then refused.
+ */
 package org.yuccagw.core.quarantine;
--- a/src/test/java/org/yuccagw/core/quarantine/QuarantineTest.java
+++ b/src/test/java/org/yuccagw/core/quarantine/QuarantineTest.java
@@ -21,33 +21,33 @@
 
 public class QuarantineTest {
     private static final ShardNumber SHARD = ShardNumber.of(0);
-    private static final Duration SOON = Duration.ofMillis(100);
-    private static final Duration SETTLED = Duration.ofSeconds(8);
-    private static final PromptFingerprint POISON =
+    private static final Duration MESSAGE_EXCHANGE_TIME = Duration.ofMillis(100);
+    private static final Duration EARLIER_PERMITS_EXPIRY = Duration.ofSeconds(8);
+    private static final PromptFingerprint PROMPT =
             PromptFingerprint.of(WorkspaceId.of("statistics"), "poison".getBytes(StandardCharsets.UTF_8));
 
     private VirtualEntries entries;
-    private List<EntryId> names;
+    private List<EntryId> entryIds;
 
     @BeforeMethod
-    public void startFourEntriesOfWhichTheLastOwnsTheShard() {
+    public void startFourEntriesWithTheLastAsShardOwner() {
         entries = VirtualEntries.of(5, 1, (authority, shards) -> List.of(QuarantineComponent.of(authority, shards)));
-        names = IntStream.rangeClosed(1, 4)
+        entryIds = IntStream.rangeClosed(1, 4)
                 .mapToObj(number -> entries.start("entry-" + number))
                 .toList();
-        entries.own(SHARD, names.get(3));
+        entries.own(SHARD, entryIds.get(3));
         entries.tellMembers();
-        entries.run(SETTLED);
+        entries.run(EARLIER_PERMITS_EXPIRY);
     }
 
-    private List<Verdict> ask(EntryId entry) {
+    private List<Verdict> requestDecision(EntryId entry) {
         List<Verdict> verdicts = new ArrayList<>();
-        entries.tell(entry, new QuarantineRequested(POISON, verdicts::add));
+        entries.tell(entry, new QuarantineRequested(PROMPT, verdicts::add));
         return verdicts;
     }
 
-    private void die(EntryId seenBy, String endpoint) {
-        entries.tell(seenBy, new EndpointDied(POISON, EndpointId.of(endpoint), 1, true));
+    private void reportTermination(EntryId observer, String endpoint) {
+        entries.tell(observer, new EndpointDied(PROMPT, EndpointId.of(endpoint), 1, true));
     }
 
     private static void assertQuarantined(List<Verdict> verdicts) {
@@ -56,104 +56,107 @@
         assertEquals(refused.error().kind(), ErrorKind.QUARANTINED);
     }
 
-    // A prompt ends one endpoint. Its caller sends it again to two entries at once; together they may try it on one
-    // endpoint only.
+    // A prompt terminates one endpoint, and its caller retries it on two entries at once. Without coordination between
+    // the entries it would run on two endpoints at the same time and could terminate both.
     @Test
-    public void afterOneDeathThePromptRunsAloneOverAllEntries() {
-        die(names.get(0), "engine-1");
-        entries.run(SOON);
-        List<Verdict> one = ask(names.get(1));
-        List<Verdict> other = ask(names.get(2));
-        entries.run(SOON);
+    public void afterOneTerminationThePromptRunsIsolatedAcrossAllEntries() {
+        reportTermination(entryIds.get(0), "engine-1");
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        List<Verdict> one = requestDecision(entryIds.get(1));
+        List<Verdict> other = requestDecision(entryIds.get(2));
+        entries.run(MESSAGE_EXCHANGE_TIME);
         List<Verdict> permits = new ArrayList<>(one);
         permits.addAll(other);
         assertEquals(permits.size(), 1, "permits at once");
-        EntryId holder = one.isEmpty() ? names.get(2) : names.get(1);
-        entries.tell(holder, new PermitReturned(POISON, ((Verdict.Alone) permits.get(0)).permit()));
+        EntryId holder = one.isEmpty() ? entryIds.get(2) : entryIds.get(1);
+        entries.tell(holder, new PermitReturned(PROMPT, ((Verdict.Alone) permits.get(0)).permit()));
         entries.run(Duration.ofMillis(400));
-        assertTrue(!one.isEmpty() && !other.isEmpty(), "the other attempt never got its turn");
+        assertTrue(!one.isEmpty() && !other.isEmpty(), "the other attempt was never granted the permit");
         assertTrue(other.get(0) instanceof Verdict.Alone && one.get(0) instanceof Verdict.Alone);
     }
 
-    // The prompt runs for long at one entry. An attempt at another entry isn't held back until its deadline but told
-    // when to come back.
+    // The prompt runs for a long time through one entry. An attempt on another entry must not wait until its deadline
+    // but be refused with a time for the retry.
     @Test
-    public void whileItRunsAloneOthersAreToldWhenToComeBack() {
-        die(names.get(0), "engine-1");
-        entries.run(SOON);
-        ask(names.get(1));
-        entries.run(SOON);
-        List<Verdict> other = ask(names.get(2));
+    public void anAttemptDuringAnIsolatedRunIsRefusedWithARetryTime() {
+        reportTermination(entryIds.get(0), "engine-1");
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        requestDecision(entryIds.get(1));
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        List<Verdict> other = requestDecision(entryIds.get(2));
         entries.run(Duration.ofSeconds(3));
         Verdict.Refused refused = (Verdict.Refused) other.get(0);
         assertTrue(refused.error().retryAfter().isPresent());
     }
 
-    // The second endpoint dies of it. Its caller goes on to entries that never saw the prompt.
+    // The prompt terminates a second endpoint, and its caller then sends it to entries that have not received it
+    // before.
     @Test
-    public void afterTwoDeathsItIsRefusedByEveryEntryForTheQuarantineTime() {
-        die(names.get(0), "engine-1");
-        entries.run(SOON);
-        die(names.get(1), "engine-2");
-        entries.run(SOON);
-        for (EntryId name : names) {
-            List<Verdict> verdicts = ask(name);
+    public void afterTwoTerminationsThePromptIsRefusedByEveryEntryForTheQuarantineTime() {
+        reportTermination(entryIds.get(0), "engine-1");
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        reportTermination(entryIds.get(1), "engine-2");
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        for (EntryId entry : entryIds) {
+            List<Verdict> verdicts = requestDecision(entry);
             entries.run(Duration.ofMillis(1));
             assertQuarantined(verdicts);
         }
         entries.run(Duration.ofMinutes(11));
-        List<Verdict> later = ask(names.get(2));
-        entries.run(SOON);
+        List<Verdict> later = requestDecision(entryIds.get(2));
+        entries.run(MESSAGE_EXCHANGE_TIME);
         assertTrue(later.get(0) instanceof Verdict.Free);
     }
 
-    // The entry that saw both deaths could reach one other entry only, and dies. The caller turns to the rest.
+    // The entry that observed both terminations could reach only one other entry before it failed. The caller then
+    // sends the prompt to the remaining entries.
     @Test
-    public void theDeathsOutliveTheEntryThatSawThem() {
-        entries.cut(names.get(0), names.get(1));
-        entries.cut(names.get(0), names.get(2));
-        die(names.get(0), "engine-1");
-        die(names.get(0), "engine-2");
-        entries.run(SOON);
-        entries.kill(names.get(0));
+    public void recordedTerminationsRemainAfterTheEntryThatObservedThemFails() {
+        entries.cut(entryIds.get(0), entryIds.get(1));
+        entries.cut(entryIds.get(0), entryIds.get(2));
+        reportTermination(entryIds.get(0), "engine-1");
+        reportTermination(entryIds.get(0), "engine-2");
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        entries.kill(entryIds.get(0));
         entries.tellMembers();
         entries.run(Duration.ofSeconds(30));
-        for (EntryId name : names.subList(1, 4)) {
-            List<Verdict> verdicts = ask(name);
-            entries.run(SOON);
+        for (EntryId entry : entryIds.subList(1, 4)) {
+            List<Verdict> verdicts = requestDecision(entry);
+            entries.run(MESSAGE_EXCHANGE_TIME);
             assertQuarantined(verdicts);
         }
     }
 
     @Test
-    public void oneDeathSeenByTwoEntriesCountsOnce() {
-        die(names.get(0), "engine-1");
-        die(names.get(1), "engine-1");
-        entries.run(SOON);
-        List<Verdict> verdicts = ask(names.get(2));
-        entries.run(SOON);
+    public void oneTerminationObservedByTwoEntriesCountsOnce() {
+        reportTermination(entryIds.get(0), "engine-1");
+        reportTermination(entryIds.get(1), "engine-1");
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        List<Verdict> verdicts = requestDecision(entryIds.get(2));
+        entries.run(MESSAGE_EXCHANGE_TIME);
         assertTrue(verdicts.get(0) instanceof Verdict.Alone);
     }
 
-    // The owner that gave the permit dies while the prompt runs alone. The next owner must not give a second one.
+    // The owner that granted the permit fails while the prompt runs isolated. The next owner must not grant a second
+    // one.
     @Test
-    public void theNextOwnerGivesNoSecondPermitWhileTheFirstIsOut() {
-        die(names.get(0), "engine-1");
-        entries.run(SOON);
-        ask(names.get(1));
-        entries.run(SOON);
-        entries.kill(names.get(3));
-        entries.own(SHARD, names.get(2));
+    public void theNextOwnerGrantsNoSecondPermitWhileTheFirstIsHeld() {
+        reportTermination(entryIds.get(0), "engine-1");
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        requestDecision(entryIds.get(1));
+        entries.run(MESSAGE_EXCHANGE_TIME);
+        entries.kill(entryIds.get(3));
+        entries.own(SHARD, entryIds.get(2));
         entries.tellMembers();
         for (int second = 0; second < 20; second++) {
-            List<Verdict> other = ask(names.get(0));
+            List<Verdict> other = requestDecision(entryIds.get(0));
             entries.run(Duration.ofSeconds(3));
             assertTrue(other.get(0) instanceof Verdict.Refused, "a second permit");
         }
     }
 
     @Test
-    public void memoryIsBoundedAndTheLatestDeathsStay() {
+    public void memoryIsBoundedAndTheLatestTerminationsAreRetained() {
         DeathRecords records = new DeathRecords();
         for (int number = 0; number < 10_000; number++) {
             PromptFingerprint fingerprint = new PromptFingerprint("prompt-" + number);
