--- a/src/main/java/org/yuccagw/core/claim/Claim.java
+++ b/src/main/java/org/yuccagw/core/claim/Claim.java
@@ -6,10 +6,10 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * The right to run one keyed request.
+ * The right to run one request with an idempotency key.
  *
  * @param bodyHash lower-case hexadecimal SHA-256 over service, method, path and body
- * @param request the attempt of the caller that asks
- * @param entry the entry that will run it
+ * @param request identifier of the caller's attempt that requests the claim
+ * @param entry the entry that will run the request
  */
 public record Claim(WorkspaceId workspace, IdempotencyKey key, String bodyHash, RequestId request, EntryId entry) {}
--- a/src/main/java/org/yuccagw/core/claim/ClaimClient.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimClient.java
@@ -22,128 +22,131 @@
 import org.yuccagw.core.id.ShardNumber;
 
 /**
- * The asking side of claims on one entry: sends asks to the owners, and remembers each attempt until the log has its
- * end.
+ * The client side of claims on one entry: sends claim requests to the owners of the shards, and tracks each attempt
+ * until its end is recorded in the log.
  *
- * <p>An attempt is in one of three places: it waits for a decision, it holds the claim, or its end waits to be
- * recorded. Only in the second may the request be sent to an endpoint. An attempt that is in none of them was
- * refused here, or its end is recorded; in both cases a log that still says "running" can only hold a claim that was
- * never granted to traffic. That is why the answer to {@link StillRunning} about an unknown attempt of this process
- * is "sent nothing".
+ * <p>An attempt is in one of three states: it waits for a decision, it holds the claim, or its end waits to be
+ * recorded. Only an attempt that holds the claim may be sent to an endpoint. An attempt in none of these states was
+ * refused on this entry, or its end is recorded. In both cases a record in the state RUNNING can only belong to a claim
+ * that was never granted to traffic. Therefore the answer to {@link StillRunning} about an unknown attempt of this
+ * process is NOT_SENT.
  *
- * <p>An attempt that is given up before it was decided leaves as an end "not sent", so that the key can be claimed
- * again if the owner recorded the claim all the same.
+ * <p>An attempt that is abandoned before it was decided ends with NOT_SENT, so that the key can be claimed again if the
+ * owner recorded the claim nevertheless.
  */
 final class ClaimClient {
-    private static final Duration RESEND = Duration.ofMillis(300);
-    private static final Duration LONGEST_WAIT = Duration.ofMillis(2500);
-    private static final Duration END_RESEND = Duration.ofSeconds(1);
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
-    private static final int MOST_ENDS = 10_000;
-    private static final int ENDS_AT_ONCE = 100;
-    private static final int MOST_KEPT_BYTES = 4 * 1024;
+    private static final Duration REQUEST_RESEND_INTERVAL = Duration.ofMillis(300);
+    private static final Duration DECISION_TIMEOUT = Duration.ofMillis(2500);
+    private static final Duration END_RESEND_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    private static final int MAX_UNRECORDED_ENDS = 10_000;
+    private static final int MAX_ENDS_PER_RESEND = 100;
+    private static final int MAX_RETAINED_ANSWER_BYTES = 4 * 1024;
 
     private final ControlContext context;
-    private final Directory directory;
-    private final Map<Long, Pending> pending = new HashMap<>();
-    private final Set<Claim> asking = new HashSet<>();
-    private final Map<Claim, Long> held = new HashMap<>();
-    private final LinkedHashMap<Long, Ended> ends = new LinkedHashMap<>();
+    private final OwnerResolver ownerResolver;
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    private final Set<Claim> pendingClaims = new HashSet<>();
+    private final Map<Claim, Long> heldClaims = new HashMap<>();
+    private final LinkedHashMap<Long, Ended> unrecordedEnds = new LinkedHashMap<>();
     private long nextNumber = 1;
-    private long forgottenThrough;
-    private boolean resendingEnds;
+    private long highestDiscardedNumber;
+    private boolean resendScheduled;
 
-    ClaimClient(ControlContext context, Directory directory) {
+    ClaimClient(ControlContext context, OwnerResolver ownerResolver) {
         this.context = context;
-        this.directory = directory;
+        this.ownerResolver = ownerResolver;
     }
 
-    /** Where the owners are and how to reach them. */
-    interface Directory {
-        /** The shard of a key; empty before the shards are known. */
+    /** Resolves the owners of shards and sends messages to them. */
+    interface OwnerResolver {
+        /** Returns the shard of a key; empty before the number of shards is known. */
         Optional<ShardNumber> shardOf(ClaimKey key);
 
+        /** Returns the owner of a shard in the local view. */
         Optional<EntryId> ownerOf(ShardNumber shard);
 
         void send(EntryId to, ClaimPeerMessage message);
     }
 
-    private record Pending(ShardNumber shard, Claim claim, ClaimRecord wanted, Consumer<ClaimDecision> reply) {}
+    private record PendingRequest(ShardNumber shard, Claim claim, ClaimRecord record, Consumer<ClaimDecision> reply) {}
 
-    void asked(ClaimRequested requested) {
+    void onClaimRequested(ClaimRequested requested) {
         Claim claim = requested.claim();
         ClaimKey key = ClaimKey.of(claim);
-        Optional<ShardNumber> shard = directory.shardOf(key);
-        if (isKnown(claim)) {
+        Optional<ShardNumber> shard = ownerResolver.shardOf(key);
+        if (isPendingOrHeld(claim)) {
             answer(requested.reply(), new ClaimDecision.Running(claim.entry(), claim.request()));
-        } else if (shard.isEmpty() || directory.ownerOf(shard.get()).isEmpty()) {
+        } else if (shard.isEmpty() || ownerResolver.ownerOf(shard.get()).isEmpty()) {
             answer(requested.reply(), unavailable("the shard of the key has no owner now"));
         } else {
             long number = nextNumber++;
-            ClaimRecord wanted = ClaimRecord.running(claim, attempt(number), context.wallMillis());
-            pending.put(number, new Pending(shard.get(), claim, wanted, requested.reply()));
-            asking.add(claim);
-            send(number);
-            context.after(LONGEST_WAIT, () -> giveUp(number, "the owner of the shard did not answer"));
+            ClaimRecord record = ClaimRecord.running(claim, attempt(number), context.wallMillis());
+            pendingRequests.put(number, new PendingRequest(shard.get(), claim, record, requested.reply()));
+            pendingClaims.add(claim);
+            sendRequest(number);
+            context.after(DECISION_TIMEOUT, () -> abandon(number, "the owner of the shard did not answer"));
         }
     }
 
-    /** Whether the very same ask, with the same request id, is here already. */
-    private boolean isKnown(Claim claim) {
-        return held.containsKey(claim) || asking.contains(claim);
+    /** Whether the same claim, with the same request identifier, is already pending or held. */
+    private boolean isPendingOrHeld(Claim claim) {
+        return heldClaims.containsKey(claim) || pendingClaims.contains(claim);
     }
 
     private ClaimAttempt attempt(long number) {
         return new ClaimAttempt(context.self().entry(), context.self().incarnation(), number);
     }
 
-    private void send(long number) {
-        Pending ask = pending.get(number);
-        if (ask == null) {
+    private void sendRequest(long number) {
+        PendingRequest request = pendingRequests.get(number);
+        if (request == null) {
             return;
         }
-        Optional<EntryId> owner = directory.ownerOf(ask.shard());
+        Optional<EntryId> owner = ownerResolver.ownerOf(request.shard());
         if (owner.isEmpty()) {
-            giveUp(number, "the shard of the key has no owner now");
+            abandon(number, "the shard of the key has no owner now");
             return;
         }
-        directory.send(owner.get(), new Ask(ask.shard(), ask.wanted()));
-        context.after(RESEND, () -> send(number));
+        ownerResolver.send(owner.get(), new Ask(request.shard(), request.record()));
+        context.after(REQUEST_RESEND_INTERVAL, () -> sendRequest(number));
     }
 
-    /** Refuses the request as not run, for good: a grant that comes later is given back. */
-    private void giveUp(long number, String reason) {
-        Pending ask = pending.remove(number);
-        if (ask != null) {
-            asking.remove(ask.claim());
-            answer(ask.reply(), unavailable(reason));
-            keepEnd(number, new Ended(ask.shard(), ask.wanted().key(), attempt(number), Outcome.NOT_SENT, none()));
+    /** Refuses the request as not run. The refusal is final: a claim that is granted later is released. */
+    private void abandon(long number, String reason) {
+        PendingRequest request = pendingRequests.remove(number);
+        if (request != null) {
+            pendingClaims.remove(request.claim());
+            answer(request.reply(), unavailable(reason));
+            addUnrecordedEnd(
+                    number,
+                    new Ended(request.shard(), request.record().key(), attempt(number), Outcome.NOT_SENT, noAnswer()));
         }
     }
 
-    void decided(Decided decided) {
-        if (!isOwn(decided.attempt())) {
+    void onDecided(Decided decided) {
+        if (!isOfThisProcess(decided.attempt())) {
             return;
         }
         long number = decided.attempt().number();
-        Pending ask = pending.get(number);
-        if (ask == null) {
+        PendingRequest request = pendingRequests.get(number);
+        if (request == null) {
             return;
         }
         Verdict verdict = decided.verdict();
-        boolean askAgain = verdict instanceof Verdict.Refused refused && refused.kind() == ErrorKind.STALE_OWNER;
-        if (askAgain) {
+        boolean ownerChanged = verdict instanceof Verdict.Refused refused && refused.kind() == ErrorKind.STALE_OWNER;
+        if (ownerChanged) {
             return;
         }
-        pending.remove(number);
-        asking.remove(ask.claim());
+        pendingRequests.remove(number);
+        pendingClaims.remove(request.claim());
         if (verdict instanceof Verdict.Granted) {
-            held.put(ask.claim(), number);
+            heldClaims.put(request.claim(), number);
         }
-        answer(ask.reply(), decision(verdict));
+        answer(request.reply(), toClaimDecision(verdict));
     }
 
-    private static ClaimDecision decision(Verdict verdict) {
+    private static ClaimDecision toClaimDecision(Verdict verdict) {
         if (verdict instanceof Verdict.Granted) {
             return new ClaimDecision.Granted();
         }
@@ -161,71 +164,77 @@
 
     private static ClaimDecision unavailable(String reason) {
         return new ClaimDecision.Refused(
-                ErrorKind.CLAIM_UNAVAILABLE.raise(reason).comeBackAfter(COME_BACK));
+                ErrorKind.CLAIM_UNAVAILABLE.raise(reason).comeBackAfter(RETRY_AFTER));
     }
 
-    void ended(ClaimEnded ended) {
-        Long number = held.remove(ended.claim());
+    void onClaimEnded(ClaimEnded ended) {
+        Long number = heldClaims.remove(ended.claim());
         ClaimKey key = ClaimKey.of(ended.claim());
-        Optional<ShardNumber> shard = directory.shardOf(key);
+        Optional<ShardNumber> shard = ownerResolver.shardOf(key);
         if (number != null && shard.isPresent()) {
-            Optional<KeptAnswer> kept = ended.answer().filter(answer -> answer.body().length <= MOST_KEPT_BYTES);
-            keepEnd(number, new Ended(shard.get(), key, attempt(number), ended.outcome(), kept));
+            Optional<KeptAnswer> retained =
+                    ended.answer().filter(answer -> answer.body().length <= MAX_RETAINED_ANSWER_BYTES);
+            addUnrecordedEnd(number, new Ended(shard.get(), key, attempt(number), ended.outcome(), retained));
         }
     }
 
-    private void keepEnd(long number, Ended ended) {
-        ends.put(number, ended);
-        if (ends.size() > MOST_ENDS) {
-            // The oldest end is given up: from here on nothing is known of the attempts up to its number, and a
-            // question about them is answered with "unknown" instead of "sent nothing".
-            long oldest = ends.keySet().iterator().next();
-            ends.remove(oldest);
-            forgottenThrough = Math.max(forgottenThrough, oldest);
+    private void addUnrecordedEnd(long number, Ended ended) {
+        unrecordedEnds.put(number, ended);
+        if (unrecordedEnds.size() > MAX_UNRECORDED_ENDS) {
+            // The oldest end is discarded. From now on the outcome of the attempts up to its number isn't known, and a
+            // query about one of them is answered with UNKNOWN instead of NOT_SENT.
+            long oldest = unrecordedEnds.keySet().iterator().next();
+            unrecordedEnds.remove(oldest);
+            highestDiscardedNumber = Math.max(highestDiscardedNumber, oldest);
         }
         sendEnd(ended);
-        resendEnds();
+        scheduleEndResend();
     }
 
     private void sendEnd(Ended ended) {
-        directory.ownerOf(ended.shard()).ifPresent(owner -> directory.send(owner, ended));
-    }
-
-    private void resendEnds() {
-        if (!resendingEnds && !ends.isEmpty()) {
-            resendingEnds = true;
-            context.after(END_RESEND, () -> {
-                resendingEnds = false;
-                ends.values().stream().limit(ENDS_AT_ONCE).toList().forEach(this::sendEnd);
-                resendEnds();
+        ownerResolver.ownerOf(ended.shard()).ifPresent(owner -> ownerResolver.send(owner, ended));
+    }
+
+    private void scheduleEndResend() {
+        if (!resendScheduled && !unrecordedEnds.isEmpty()) {
+            resendScheduled = true;
+            context.after(END_RESEND_INTERVAL, () -> {
+                resendScheduled = false;
+                unrecordedEnds.values().stream()
+                        .limit(MAX_ENDS_PER_RESEND)
+                        .toList()
+                        .forEach(this::sendEnd);
+                scheduleEndResend();
             });
         }
     }
 
-    void endRecorded(EndRecorded recorded) {
-        if (isOwn(recorded.attempt())) {
-            ends.remove(recorded.attempt().number());
+    void onEndRecorded(EndRecorded recorded) {
+        if (isOfThisProcess(recorded.attempt())) {
+            unrecordedEnds.remove(recorded.attempt().number());
         }
     }
 
-    void stillRunning(StillRunning question) {
-        long number = question.attempt().number();
-        if (!isOwn(question.attempt()) || held.containsValue(number) || ends.containsKey(number)) {
+    void onStatusQuery(StillRunning query) {
+        long number = query.attempt().number();
+        if (!isOfThisProcess(query.attempt())
+                || heldClaims.containsValue(number)
+                || unrecordedEnds.containsKey(number)) {
             return;
         }
-        if (pending.containsKey(number)) {
+        if (pendingRequests.containsKey(number)) {
             return;
         }
-        Outcome outcome = number <= forgottenThrough ? Outcome.UNKNOWN : Outcome.NOT_SENT;
-        keepEnd(number, new Ended(question.shard(), question.key(), question.attempt(), outcome, none()));
+        Outcome outcome = number <= highestDiscardedNumber ? Outcome.UNKNOWN : Outcome.NOT_SENT;
+        addUnrecordedEnd(number, new Ended(query.shard(), query.key(), query.attempt(), outcome, noAnswer()));
     }
 
-    private boolean isOwn(ClaimAttempt attempt) {
+    private boolean isOfThisProcess(ClaimAttempt attempt) {
         return attempt.entry().equals(context.self().entry())
                 && attempt.incarnation() == context.self().incarnation();
     }
 
-    private static Optional<KeptAnswer> none() {
+    private static Optional<KeptAnswer> noAnswer() {
         return Optional.empty();
     }
 
@@ -233,11 +242,11 @@
         context.reply(() -> reply.accept(decision));
     }
 
-    int running() {
-        return held.size();
+    int runningCount() {
+        return heldClaims.size();
     }
 
-    int endsToRecord() {
-        return ends.size();
+    int unrecordedEndCount() {
+        return unrecordedEnds.size();
     }
 }
--- a/src/main/java/org/yuccagw/core/claim/ClaimComponent.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimComponent.java
@@ -29,25 +29,25 @@
 import org.yuccagw.core.shard.ShardsSnapshot.Ownership;
 
 /**
- * Claims of keyed requests, both sides: {@link ClaimClient} asks for this entry's traffic, a {@link ClaimShard}
- * for each owned shard decides.
+ * Claims of requests with an idempotency key. {@link ClaimClient} requests claims for the traffic of this entry, and a
+ * {@link ClaimShard} for each owned shard decides on them.
  *
- * <p>Promise: for one key, at most one request is ever granted, over all entries, for as long as the record is kept;
- * and a request that is refused as not run is never granted afterwards.
+ * <p>Guarantees: for one key, at most one request is granted over all entries while the record is retained; and a
+ * request that was refused as not run is never granted afterwards.
  */
 public final class ClaimComponent implements ControlComponent {
-    private static final Duration MEMBERS_SETTLE = Duration.ofSeconds(10);
+    private static final Duration MEMBERSHIP_SETTLING_TIME = Duration.ofSeconds(10);
 
     private final ShardAuthority authority;
     private final Supplier<ShardsSnapshot> shards;
     private final ClaimLogCodec codec;
     private final ClaimGuards guards;
-    private final Map<ShardNumber, ClaimShard> owned = new HashMap<>();
+    private final Map<ShardNumber, ClaimShard> ownedShards = new HashMap<>();
     private final Map<EntryId, EntryStatus> members = new HashMap<>();
     private SystemLimits limits = SystemLimits.usual();
     private ControlContext context;
     private ClaimClient client;
-    private long membersSinceNanos;
+    private long firstMembersNanos;
 
     private ClaimComponent(
             ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec, ClaimGuards guards) {
@@ -58,16 +58,16 @@
     }
 
     /**
-     * Makes the part.
+     * Creates the component.
      *
-     * @param authority proves the lease right before an effect
-     * @param shards who owns which shard, as far as this entry knows; asked on the control thread
+     * @param authority checks the lease immediately before an effect
+     * @param shards supplies the owners of the shards in the local view; called on the control thread
      */
     public static ClaimComponent of(ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec) {
         return withGuards(authority, shards, codec, ClaimGuards.usual());
     }
 
-    /** For tests and experiments that take a guard away; daemons use {@link #of}. */
+    /** Creates the component for tests and experiments that disable a guard; daemons use {@link #of}. */
     public static ClaimComponent withGuards(
             ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec, ClaimGuards guards) {
         return new ClaimComponent(authority, shards, codec, guards);
@@ -76,23 +76,23 @@
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        client = new ClaimClient(context, new Owners());
+        client = new ClaimClient(context, new SnapshotOwnerResolver());
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof ClaimRequested requested) {
-            client.asked(requested);
+            client.onClaimRequested(requested);
         } else if (event instanceof ClaimEnded ended) {
-            client.ended(ended);
+            client.onClaimEnded(ended);
         } else if (event instanceof PeerReceived received && received.message() instanceof ClaimPeerMessage message) {
             receive(message);
         } else if (event instanceof ShardGained gained) {
-            gain(gained);
+            startShard(gained);
         } else if (event instanceof ShardLost lost) {
-            lose(lost.shard());
+            retireShard(lost.shard());
         } else if (event instanceof MembersChanged changed) {
-            learnMembers(changed);
+            updateMembers(changed);
         } else if (event instanceof CatalogueChanged changed) {
             limits = changed.catalogue().system();
         }
@@ -100,52 +100,54 @@
 
     @Override
     public void contribute(ControlSnapshot.Builder snapshot) {
-        snapshot.put(ClaimsSnapshot.class, new ClaimsSnapshot(owned.size(), client.running(), client.endsToRecord()));
+        snapshot.put(
+                ClaimsSnapshot.class,
+                new ClaimsSnapshot(ownedShards.size(), client.runningCount(), client.unrecordedEndCount()));
     }
 
     private void receive(ClaimPeerMessage message) {
         if (message instanceof Decided decided) {
-            client.decided(decided);
+            client.onDecided(decided);
         } else if (message instanceof EndRecorded recorded) {
-            client.endRecorded(recorded);
-        } else if (message instanceof StillRunning question) {
-            client.stillRunning(question);
-        } else if (owned.containsKey(message.shard())) {
-            receiveAsOwner(message, owned.get(message.shard()));
+            client.onEndRecorded(recorded);
+        } else if (message instanceof StillRunning query) {
+            client.onStatusQuery(query);
+        } else if (ownedShards.containsKey(message.shard())) {
+            receiveAsOwner(message, ownedShards.get(message.shard()));
         }
     }
 
     private static void receiveAsOwner(ClaimPeerMessage message, ClaimShard shard) {
-        if (message instanceof Ask ask) {
-            shard.ask(ask);
+        if (message instanceof Ask request) {
+            shard.handleRequest(request);
         } else if (message instanceof Ended ended) {
-            shard.ended(ended);
+            shard.handleEnded(ended);
         }
     }
 
-    private void gain(ShardGained gained) {
-        lose(gained.shard());
-        ClaimShard shard = new ClaimShard(gained.shard(), gained.epoch(), new OwnSide(), context);
-        owned.put(gained.shard(), shard);
+    private void startShard(ShardGained gained) {
+        retireShard(gained.shard());
+        ClaimShard shard = new ClaimShard(gained.shard(), gained.epoch(), new ShardHost(), context);
+        ownedShards.put(gained.shard(), shard);
         shard.start();
     }
 
-    private void lose(ShardNumber number) {
-        ClaimShard shard = owned.remove(number);
+    private void retireShard(ShardNumber number) {
+        ClaimShard shard = ownedShards.remove(number);
         if (shard != null) {
             shard.retire();
         }
     }
 
-    private void learnMembers(MembersChanged changed) {
+    private void updateMembers(MembersChanged changed) {
         if (members.isEmpty()) {
-            membersSinceNanos = context.nowNanos();
+            firstMembersNanos = context.nowNanos();
         }
         members.clear();
         changed.entries().forEach(status -> members.put(status.entry(), status));
     }
 
-    private void deliver(EntryId to, ClaimPeerMessage message) {
+    private void sendMessage(EntryId to, ClaimPeerMessage message) {
         if (to.equals(context.self().entry())) {
             context.raise(new PeerReceived(to, message));
         } else {
@@ -153,8 +155,8 @@
         }
     }
 
-    /** What the asking side needs. */
-    private final class Owners implements ClaimClient.Directory {
+    /** Resolves owners for the client side. */
+    private final class SnapshotOwnerResolver implements ClaimClient.OwnerResolver {
         @Override
         public Optional<ShardNumber> shardOf(ClaimKey key) {
             int count = shards.get().count();
@@ -168,43 +170,43 @@
 
         @Override
         public void send(EntryId to, ClaimPeerMessage message) {
-            deliver(to, message);
+            sendMessage(to, message);
         }
     }
 
-    /** What the owning side needs. */
-    private final class OwnSide implements ClaimOwner {
+    /** Provides services to the owner side. */
+    private final class ShardHost implements ClaimShardHost {
         @Override
-        public boolean holds(ShardNumber shard, long epoch) {
+        public boolean holdsLease(ShardNumber shard, long epoch) {
             OptionalLong held = authority.epochIfHeld(shard, context.nowNanos());
             return held.isPresent() && held.getAsLong() == epoch;
         }
 
         @Override
-        public boolean mayBeAlive(ClaimAttempt attempt) {
+        public boolean mayBeRunning(ClaimAttempt attempt) {
             if (attempt.entry().equals(context.self().entry())) {
                 return attempt.incarnation() == context.self().incarnation();
             }
             EntryStatus member = members.get(attempt.entry());
             if (member == null) {
-                return members.isEmpty() || context.nowNanos() - membersSinceNanos < MEMBERS_SETTLE.toNanos();
+                return members.isEmpty() || context.nowNanos() - firstMembersNanos < MEMBERSHIP_SETTLING_TIME.toNanos();
             }
-            boolean replaced = member.incarnation() > attempt.incarnation();
-            return !replaced && member.state() != EntryStatus.State.DEAD;
+            boolean restarted = member.incarnation() > attempt.incarnation();
+            return !restarted && member.state() != EntryStatus.State.DEAD;
         }
 
         @Override
         public void send(EntryId to, ClaimPeerMessage message) {
-            deliver(to, message);
+            sendMessage(to, message);
         }
 
         @Override
-        public long oldestWallMillis() {
+        public long oldestRetainedWallMillis() {
             return context.wallMillis() - limits.claimRetention().toMillis();
         }
 
         @Override
-        public Duration commitGap(int writesPerSecond) {
+        public Duration minCommitInterval(int writesPerSecond) {
             return Duration.ofSeconds(1)
                     .multipliedBy(Math.max(1, shards.get().count()))
                     .dividedBy(writesPerSecond);
--- a/src/main/java/org/yuccagw/core/claim/ClaimDecision.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimDecision.java
@@ -6,22 +6,23 @@
 
 /** The answer to a {@link ClaimRequested}. */
 public interface ClaimDecision {
-    /** The claim is committed: the endpoint may see the request, once. */
+    /** The claim is committed: the request may be sent to an endpoint, once. */
     record Granted() implements ClaimDecision {}
 
-    /** The same key and body runs on another attempt now: follow its answer at that entry. */
+    /** Another attempt with the same key and body is running: its answer can be followed through that entry. */
     record Running(EntryId entry, RequestId request) implements ClaimDecision {}
 
-    /** The same key and body ended; the whole answer was kept. */
+    /** An earlier attempt with the same key and body has ended, and its whole answer was retained. */
     record Answered(KeptAnswer answer) implements ClaimDecision {}
 
-    /** The request must not run: KEY_REUSED, OUTCOME_UNKNOWN, CLAIM_UNAVAILABLE. */
+    /** The request must not run. The error is of kind KEY_REUSED, OUTCOME_UNKNOWN or CLAIM_UNAVAILABLE. */
     record Refused(YuccagwException error) implements ClaimDecision {}
 
     /**
      * A whole answer as it was sent to the caller.
      *
-     * @param contentType header of the same name
+     * @param status HTTP status
+     * @param contentType value of the header {@code Content-Type}
      */
     record KeptAnswer(int status, String contentType, byte[] body) {}
 }
--- a/src/main/java/org/yuccagw/core/claim/ClaimEnded.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimEnded.java
@@ -5,9 +5,9 @@
 import org.yuccagw.core.control.ControlEvent;
 
 /**
- * A granted claim came to its end.
+ * Raised by traffic when the run under a granted claim has ended.
  *
- * @param outcome what is known
+ * @param outcome what is known about the run
  * @param answer the whole answer, if the outcome is ANSWERED and it is small enough to keep
  */
 public record ClaimEnded(Claim claim, Outcome outcome, Optional<KeptAnswer> answer) implements ControlEvent {
@@ -15,9 +15,9 @@
     public enum Outcome {
         /** Not one byte was sent to an endpoint: the key may be claimed again. */
         NOT_SENT,
-        /** The whole answer went through this entry. */
+        /** The whole answer passed through this entry. */
         ANSWERED,
-        /** It may have run; no whole answer is known. */
+        /** The request may have run; no whole answer is known. */
         UNKNOWN
     }
 }
--- a/src/main/java/org/yuccagw/core/claim/ClaimGuards.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimGuards.java
@@ -5,25 +5,26 @@
 import org.yuccagw.core.port.KeyValueAnswer;
 
 /**
- * The two guards that at most once rests on, as values, so that a test or an experiment can take one away and see the
- * duplicate that it prevents. Daemons use {@link #usual} only.
+ * The two checks on which at-most-once execution depends. They are values so that a test or an experiment can disable
+ * one and observe the duplicate run that it prevents. Daemons use only {@link #usual}.
  *
- * @param expectedRevision from the revision at which the owner knows the head to the one that its commit expects
+ * @param expectedRevision maps the revision of the head known to the owner to the revision that its commit expects
  * @param confirms whether an answer to a commit proves that the claims in it are recorded
  */
 public record ClaimGuards(LongUnaryOperator expectedRevision, Predicate<KeyValueAnswer> confirms) {
-    private static final ClaimGuards USUAL =
+    private static final ClaimGuards DEFAULTS =
             new ClaimGuards(revision -> revision, answer -> answer instanceof KeyValueAnswer.Written);
 
+    /** Returns the guards with both checks enabled. */
     public static ClaimGuards usual() {
-        return USUAL;
+        return DEFAULTS;
     }
 
-    public ClaimGuards withExpectedRevision(LongUnaryOperator other) {
-        return new ClaimGuards(other, confirms);
+    public ClaimGuards withExpectedRevision(LongUnaryOperator replacement) {
+        return new ClaimGuards(replacement, confirms);
     }
 
-    public ClaimGuards withConfirms(Predicate<KeyValueAnswer> other) {
-        return new ClaimGuards(expectedRevision, other);
+    public ClaimGuards withConfirms(Predicate<KeyValueAnswer> replacement) {
+        return new ClaimGuards(expectedRevision, replacement);
     }
 }
--- a/src/main/java/org/yuccagw/core/claim/ClaimHead.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimHead.java
@@ -5,7 +5,8 @@
 /**
  * The head document of a shard's log of claims: the newest records and the names of the segments with older ones.
  *
- * @param epoch fencing number of the owner that wrote it; for people who look, the revision alone is what fences
+ * @param epoch fencing number of the owner that wrote the document; for diagnosis only, since fencing relies on the
+ *     revision alone
  */
 public record ClaimHead(long epoch, List<ClaimRecord> records, List<Segment> segments) {
     public ClaimHead {
@@ -14,9 +15,11 @@
     }
 
     /**
-     * An immutable document with older records.
+     * Reference to an immutable document with older records.
      *
-     * @param newestWallMillis when its newest record was made; the segment is deleted when that is past retention
+     * @param name key of the document in the key-value service
+     * @param newestWallMillis time of its newest record, in milliseconds since 1970; the segment is deleted once that
+     *     time is past retention
      */
     public record Segment(String name, long newestWallMillis) {}
 }
--- a/src/main/java/org/yuccagw/core/claim/ClaimKey.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimKey.java
@@ -5,12 +5,13 @@
 import org.yuccagw.core.id.WorkspaceId;
 import org.yuccagw.core.shard.Shards;
 
-/** What a claim is on: a workspace's idempotency key. Equal keys of two workspaces are different claims. */
+/** The idempotency key of a workspace, to which a claim applies. Equal keys of two workspaces are different claims. */
 public record ClaimKey(WorkspaceId workspace, IdempotencyKey key) {
     static ClaimKey of(Claim claim) {
         return new ClaimKey(claim.workspace(), claim.key());
     }
 
+    /** Returns the shard whose owner decides on claims of this key. */
     ShardNumber shard(int count) {
         return Shards.of(workspace.value() + key.value(), count);
     }
--- a/src/main/java/org/yuccagw/core/claim/ClaimLog.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimLog.java
@@ -20,23 +20,24 @@
 import org.yuccagw.core.port.KeyValueCall;
 
 /**
- * What an owner knows of its shard's log at one revision of the head document: the records of the head, and those of
- * the segments that it names.
+ * The log of one shard at one revision of its head document: the records of the head and those of the segments that the
+ * head references. Immutable; held by the owner of the shard.
  *
- * <p>The log is a chain. Each head is made from the one before by {@link #draft} and written by a compare-and-swap on
- * that one's revision, so a key that is absent at the revision a draft was made from is absent when the draft takes
- * effect, or the draft never takes effect. A record in the head wins over one of the same key in a segment.
+ * <p>The revisions of the head form a chain. Each head is derived from its predecessor by {@link #draft} and written by
+ * a compare-and-swap on the predecessor's revision. Therefore a key that is absent at the revision from which a draft
+ * was made is still absent when the draft takes effect, or the draft never takes effect. A record in the head has
+ * precedence over a record of the same key in a segment.
  *
- * <p>Example: the head holds {k1 running}. A draft with the claim of k2 and the end of k1 gives {k1 answered, k2
- * running}. When that is committed and the head has grown past its limit, {k1 answered} is written to a segment, and
- * the next head is {k2 running} and the segment's name.
+ * <p>Example: the head contains {k1 running}. A draft with the claim of k2 and the end of k1 yields {k1 answered, k2
+ * running}. When that has been committed and the head exceeds its size limit, {k1 answered} is written to a segment,
+ * and the next head contains {k2 running} and the name of the segment.
  */
 final class ClaimLog {
     private final String segmentPrefix;
     private final long epoch;
     private final long headRevision;
-    private final Map<ClaimKey, ClaimRecord> head;
-    private final Map<ClaimKey, ClaimRecord> rolled;
+    private final Map<ClaimKey, ClaimRecord> headRecords;
+    private final Map<ClaimKey, ClaimRecord> segmentRecords;
     private final List<Segment> segments;
     private final Map<String, Long> segmentRevisions;
     private final List<String> orphans;
@@ -45,22 +46,22 @@
             ShardNumber shard,
             long epoch,
             long headRevision,
-            Map<ClaimKey, ClaimRecord> head,
-            Map<ClaimKey, ClaimRecord> rolled,
+            Map<ClaimKey, ClaimRecord> headRecords,
+            Map<ClaimKey, ClaimRecord> segmentRecords,
             List<Segment> segments,
             Map<String, Long> segmentRevisions,
             List<String> orphans) {
         this.segmentPrefix = prefix(shard) + "segment/";
         this.epoch = epoch;
         this.headRevision = headRevision;
-        this.head = head;
-        this.rolled = rolled;
+        this.headRecords = headRecords;
+        this.segmentRecords = segmentRecords;
         this.segments = segments;
         this.segmentRevisions = segmentRevisions;
         this.orphans = orphans;
     }
 
-    /** The prefix of every key of a shard's log. */
+    /** Returns the prefix of every key of a shard's log in the key-value service. */
     static String prefix(ShardNumber shard) {
         return "yuccagw/claims/" + shard.value() + "/";
     }
@@ -70,9 +71,9 @@
     }
 
     /**
-     * Reads the log from all items under {@link #prefix}.
+     * Decodes the log from all items under {@link #prefix}.
      *
-     * @throws YuccagwException of kind CLAIM_UNAVAILABLE when a document is damaged or a named segment is missing
+     * @throws YuccagwException of kind CLAIM_UNAVAILABLE when a document is damaged or a referenced segment is missing
      */
     static ClaimLog read(ShardNumber shard, long epoch, List<Item> items, ClaimLogCodec codec) throws YuccagwException {
         Map<String, Item> byKey = new HashMap<>();
@@ -80,37 +81,43 @@
         Item headItem = byKey.remove(headKey(shard));
         ClaimHead document =
                 headItem == null ? new ClaimHead(epoch, List.of(), List.of()) : codec.decodeHead(headItem.value());
-        Map<ClaimKey, ClaimRecord> rolled = new HashMap<>();
+        Map<ClaimKey, ClaimRecord> segmentRecords = new HashMap<>();
         for (Segment segment : document.segments()) {
             Item item = byKey.get(segment.name());
             if (item == null) {
                 throw ErrorKind.CLAIM_UNAVAILABLE.raise("segment " + segment.name() + " is gone");
             }
-            codec.decodeSegment(item.value()).forEach(record -> rolled.put(record.key(), record));
+            codec.decodeSegment(item.value()).forEach(record -> segmentRecords.put(record.key(), record));
         }
-        LinkedHashMap<ClaimKey, ClaimRecord> head = new LinkedHashMap<>();
-        document.records().forEach(record -> head.put(record.key(), record));
+        LinkedHashMap<ClaimKey, ClaimRecord> headRecords = new LinkedHashMap<>();
+        document.records().forEach(record -> headRecords.put(record.key(), record));
         Map<String, Long> revisions = new HashMap<>();
         byKey.values().forEach(item -> revisions.put(item.key(), item.revision()));
-        Set<String> named = document.segments().stream().map(Segment::name).collect(Collectors.toSet());
+        Set<String> referencedSegments =
+                document.segments().stream().map(Segment::name).collect(Collectors.toSet());
         List<String> orphans = revisions.keySet().stream()
-                .filter(name -> !named.contains(name))
+                .filter(name -> !referencedSegments.contains(name))
                 .sorted()
                 .toList();
         long revision = headItem == null ? KeyValueCall.ABSENT : headItem.revision();
-        return new ClaimLog(shard, epoch, revision, head, rolled, document.segments(), revisions, orphans);
+        return new ClaimLog(
+                shard, epoch, revision, headRecords, segmentRecords, document.segments(), revisions, orphans);
     }
 
     long headRevision() {
         return headRevision;
     }
 
+    /** Returns the record of a key, from the head or from a segment. */
     Optional<ClaimRecord> find(ClaimKey key) {
-        ClaimRecord record = head.get(key);
-        return Optional.ofNullable(record != null ? record : rolled.get(key));
+        ClaimRecord record = headRecords.get(key);
+        return Optional.ofNullable(record != null ? record : segmentRecords.get(key));
     }
 
-    /** Segments that no head names: their writer died, or was fenced, before it could commit the name. */
+    /**
+     * Returns the names of the segments that the head doesn't reference: their writer failed, or was fenced, before it
+     * could commit the reference.
+     */
     List<String> orphans() {
         return orphans;
     }
@@ -119,6 +126,7 @@
         return Optional.ofNullable(segmentRevisions.get(name));
     }
 
+    /** Returns the name of a new segment; unique because it contains the epoch of the owner. */
     String segmentName(long number) {
         return segmentPrefix + epoch + "-" + number;
     }
@@ -127,37 +135,37 @@
         return new Draft();
     }
 
-    /** Records of the head that a segment can take: no end is awaited for them any more. */
-    List<ClaimRecord> rollable(Predicate<ClaimAttempt> mayBeAlive) {
+    /** Returns the records of the head that may be moved to a segment: no further end is expected for them. */
+    List<ClaimRecord> recordsForSegment(Predicate<ClaimAttempt> mayBeRunning) {
         List<ClaimRecord> found = new ArrayList<>();
-        for (ClaimRecord record : head.values()) {
+        for (ClaimRecord record : headRecords.values()) {
             if (record.state() != State.RUNNING) {
                 found.add(record);
-            } else if (!mayBeAlive.test(record.attempt())) {
+            } else if (!mayBeRunning.test(record.attempt())) {
                 found.add(record.ended(State.UNKNOWN, Optional.empty()));
             }
         }
         return found;
     }
 
-    /** A segment that is written but not yet named by a head. */
-    record RolledSegment(Segment segment, long revision, List<ClaimRecord> records) {}
+    /** A segment that has been written and isn't referenced by a head yet. */
+    record PendingSegment(Segment segment, long revision, List<ClaimRecord> records) {}
 
-    /** The next head in the making. */
+    /** A mutable copy of the log from which the next head is written. */
     final class Draft {
-        private final Map<ClaimKey, ClaimRecord> records = new LinkedHashMap<>(head);
-        private final List<Segment> named = new ArrayList<>(segments);
-        private final Map<ClaimKey, ClaimRecord> newlyRolled = new HashMap<>();
-        private final List<String> dropped = new ArrayList<>();
+        private final Map<ClaimKey, ClaimRecord> records = new LinkedHashMap<>(headRecords);
+        private final List<Segment> referencedSegments = new ArrayList<>(segments);
+        private final Map<ClaimKey, ClaimRecord> newSegmentRecords = new HashMap<>();
+        private final List<String> droppedSegments = new ArrayList<>();
         private final Map<String, Long> newRevisions = new HashMap<>();
 
         private Draft() {}
 
         /**
-         * Applies an end if the key's record is of that attempt.
+         * Applies the end of an attempt if the record of the key belongs to that attempt.
          *
-         * <p>NOT_SENT frees a key only while its record says running: an end that was recorded before is final,
-         * however late, doubled or out of order later words about the same attempt are.
+         * <p>NOT_SENT releases a key only while its record is in the state RUNNING. An end that was recorded before is
+         * final, even if further messages about the same attempt arrive late, duplicated or out of order.
          */
         void end(ClaimPeerMessage.Ended ended) {
             Optional<ClaimRecord> found = find(ended.key());
@@ -170,82 +178,96 @@
             } else if (ended.outcome() == Outcome.UNKNOWN && record.state() == State.RUNNING) {
                 records.put(ended.key(), record.ended(State.UNKNOWN, Optional.empty()));
             } else if (ended.outcome() == Outcome.NOT_SENT) {
-                forget(record);
+                removeIfRunning(record);
             }
         }
 
-        /** Takes out claims whose askers were refused while the commit with them was in doubt. */
+        /** Removes claims whose requests were refused while the outcome of their commit was unknown. */
         void release(Collection<ClaimAttempt> refused) {
             records.values().stream()
                     .filter(record -> refused.contains(record.attempt()))
                     .toList()
-                    .forEach(this::forget);
+                    .forEach(this::removeIfRunning);
         }
 
-        private void forget(ClaimRecord record) {
+        private void removeIfRunning(ClaimRecord record) {
             if (record.state() == State.RUNNING) {
                 records.remove(record.key(), record);
             }
         }
 
-        /** Adds a claim unless its key is taken. */
-        void claim(ClaimRecord wanted) {
-            ClaimKey key = wanted.key();
-            boolean inSegment = rolled.containsKey(key) || newlyRolled.containsKey(key);
+        /** Adds a claim unless its key has a record. */
+        void claim(ClaimRecord requested) {
+            ClaimKey key = requested.key();
+            boolean inSegment = segmentRecords.containsKey(key) || newSegmentRecords.containsKey(key);
             if (!inSegment && !records.containsKey(key)) {
-                records.put(key, wanted);
+                records.put(key, requested);
             }
         }
 
-        /** Moves records that were written to a segment out of the head, but for those that changed since. */
-        void roll(RolledSegment rolledSegment) {
-            named.add(rolledSegment.segment());
-            newRevisions.put(rolledSegment.segment().name(), rolledSegment.revision());
-            for (ClaimRecord record : rolledSegment.records()) {
-                ClaimRecord present = records.get(record.key());
-                if (present != null && present.attempt().equals(record.attempt())) {
-                    boolean changed = present.state() != record.state() && present.state() != State.RUNNING;
+        /**
+         * References a written segment and removes its records from the head, except those that have changed since the
+         * segment was written.
+         */
+        void moveToSegment(PendingSegment pendingSegment) {
+            referencedSegments.add(pendingSegment.segment());
+            newRevisions.put(pendingSegment.segment().name(), pendingSegment.revision());
+            for (ClaimRecord record : pendingSegment.records()) {
+                ClaimRecord current = records.get(record.key());
+                if (current != null && current.attempt().equals(record.attempt())) {
+                    boolean changed = current.state() != record.state() && current.state() != State.RUNNING;
                     if (!changed) {
                         records.remove(record.key());
                     }
                 }
-                newlyRolled.put(record.key(), record);
+                newSegmentRecords.put(record.key(), record);
             }
         }
 
-        /** Drops whole segments, and ended records of the head, that are past retention. */
-        void expire(long oldestWallMillis) {
-            for (Segment segment : List.copyOf(named)) {
-                if (segment.newestWallMillis() < oldestWallMillis) {
-                    named.remove(segment);
-                    dropped.add(segment.name());
+        /** Removes whole segments and ended records of the head that are past retention. */
+        void expire(long oldestRetainedWallMillis) {
+            for (Segment segment : List.copyOf(referencedSegments)) {
+                if (segment.newestWallMillis() < oldestRetainedWallMillis) {
+                    referencedSegments.remove(segment);
+                    droppedSegments.add(segment.name());
                 }
             }
             records.values()
-                    .removeIf(record -> record.state() != State.RUNNING && record.wallMillis() < oldestWallMillis);
+                    .removeIf(record ->
+                            record.state() != State.RUNNING && record.wallMillis() < oldestRetainedWallMillis);
         }
 
-        /** The segments that this draft names no more; deleted only after it is committed. */
-        List<String> dropped() {
-            return dropped;
+        /** Returns the segments that this draft no longer references; deleted only after the draft is committed. */
+        List<String> droppedSegments() {
+            return droppedSegments;
         }
 
+        /** Returns the head document to write. */
         ClaimHead document() {
-            return new ClaimHead(epoch, List.copyOf(records.values()), named);
+            return new ClaimHead(epoch, List.copyOf(records.values()), referencedSegments);
         }
 
-        /** The log once this draft is committed at the revision. */
-        ClaimLog committed(ShardNumber shard, long revision, long oldestWallMillis) {
-            if (newlyRolled.isEmpty() && dropped.isEmpty()) {
-                return new ClaimLog(shard, epoch, revision, records, rolled, segments, segmentRevisions, List.of());
+        /** Returns the log after this draft has been committed at the given revision. */
+        ClaimLog committed(ShardNumber shard, long revision, long oldestRetainedWallMillis) {
+            if (newSegmentRecords.isEmpty() && droppedSegments.isEmpty()) {
+                return new ClaimLog(
+                        shard, epoch, revision, records, segmentRecords, segments, segmentRevisions, List.of());
             }
-            Map<ClaimKey, ClaimRecord> older = new HashMap<>(rolled);
-            older.putAll(newlyRolled);
-            older.values().removeIf(record -> record.wallMillis() < oldestWallMillis);
+            Map<ClaimKey, ClaimRecord> allSegmentRecords = new HashMap<>(segmentRecords);
+            allSegmentRecords.putAll(newSegmentRecords);
+            allSegmentRecords.values().removeIf(record -> record.wallMillis() < oldestRetainedWallMillis);
             Map<String, Long> revisions = new HashMap<>(segmentRevisions);
             revisions.putAll(newRevisions);
-            revisions.keySet().removeAll(Set.copyOf(dropped));
-            return new ClaimLog(shard, epoch, revision, records, older, List.copyOf(named), revisions, List.of());
+            revisions.keySet().removeAll(Set.copyOf(droppedSegments));
+            return new ClaimLog(
+                    shard,
+                    epoch,
+                    revision,
+                    records,
+                    allSegmentRecords,
+                    List.copyOf(referencedSegments),
+                    revisions,
+                    List.of());
         }
     }
 }
--- a/src/main/java/org/yuccagw/core/claim/ClaimLogCodec.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimLogCodec.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import org.yuccagw.core.error.YuccagwException;
 
-/** How the documents of a shard's log of claims are written as bytes; the adapter decides the form. */
+/** Encodes and decodes the documents of a shard's log of claims. The adapter determines the format. */
 public interface ClaimLogCodec {
     byte[] encodeHead(ClaimHead head);
 
     /**
-     * Reads a head document.
+     * Decodes a head document.
      *
      * @throws YuccagwException of kind CLAIM_UNAVAILABLE when the document is damaged
      */
@@ -17,7 +17,7 @@
     byte[] encodeSegment(List<ClaimRecord> records);
 
     /**
-     * Reads a segment.
+     * Decodes a segment.
      *
      * @throws YuccagwException of kind CLAIM_UNAVAILABLE when the document is damaged
      */
--- a/src/main/java/org/yuccagw/core/claim/ClaimPeerMessage.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimPeerMessage.java
@@ -9,27 +9,29 @@
 import org.yuccagw.core.id.ShardNumber;
 import org.yuccagw.core.port.PeerMessage;
 
-/** What an entry and the owner of a shard say to each other about claims. Any of them may be lost, late or doubled. */
+/**
+ * Messages between an entry and the owner of a shard about claims. Each message may be lost, delayed or duplicated.
+ */
 public interface ClaimPeerMessage extends PeerMessage {
     ShardNumber shard();
 
-    /** The entry asks for the claim; repeated under the same attempt until it is decided. */
+    /** Requests a claim from the owner; sent again under the same attempt until it is decided. */
     record Ask(ShardNumber shard, ClaimRecord wanted) implements ClaimPeerMessage {}
 
-    /** The owner decided. */
+    /** The decision of the owner on a request. */
     record Decided(ShardNumber shard, ClaimAttempt attempt, Verdict verdict) implements ClaimPeerMessage {}
 
-    /** The entry says how the run ended; repeated until {@link EndRecorded}. */
+    /** Reports to the owner how the run ended; sent again until {@link EndRecorded} is received. */
     record Ended(ShardNumber shard, ClaimKey key, ClaimAttempt attempt, Outcome outcome, Optional<KeptAnswer> answer)
             implements ClaimPeerMessage {}
 
-    /** The end is committed; the entry may forget the attempt. */
+    /** Notifies the entry that the end is committed, so that it may discard the attempt. */
     record EndRecorded(ShardNumber shard, ClaimAttempt attempt) implements ClaimPeerMessage {}
 
-    /** The owner asks the entry whether an attempt that the log holds for running still is. */
+    /** Query of the owner whether an attempt that the log records as running still is. */
     record StillRunning(ShardNumber shard, ClaimKey key, ClaimAttempt attempt) implements ClaimPeerMessage {}
 
-    /** The owner's decision in a form that can travel. */
+    /** The decision of the owner in the form that is sent to the entry. */
     interface Verdict {
         record Granted() implements Verdict {}
 
@@ -40,8 +42,9 @@
         /**
          * The attempt must not run.
          *
-         * @param kind KEY_REUSED, OUTCOME_UNKNOWN, CLAIM_UNAVAILABLE, or STALE_OWNER for "ask the owner instead"
-         * @param detail what the kind's message template takes; empty if it takes nothing
+         * @param kind KEY_REUSED, OUTCOME_UNKNOWN, CLAIM_UNAVAILABLE, or STALE_OWNER if the sender is no longer the
+         *     owner and the request must be sent to the present one
+         * @param detail argument of the message template of the kind; empty if it has none
          */
         record Refused(ErrorKind kind, String detail) implements Verdict {}
     }
--- a/src/main/java/org/yuccagw/core/claim/ClaimRecord.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimRecord.java
@@ -5,13 +5,13 @@
 import org.yuccagw.core.id.RequestId;
 
 /**
- * What the log of claims holds of one key.
+ * The record of one key in the log of claims.
  *
- * @param bodyHash of the body that came with the key
- * @param request the caller's attempt that got the claim
- * @param attempt the ask that got the claim
- * @param wallMillis when it was recorded, in milliseconds since 1970; for retention only
- * @param answer the whole answer, if it was small enough to keep
+ * @param bodyHash hash of the body that was sent with the key; see {@link Claim}
+ * @param request identifier of the caller's request that was granted the claim
+ * @param attempt the claim request that was granted
+ * @param wallMillis time of the record in milliseconds since 1970; for retention only
+ * @param answer the whole answer, if it was small enough to retain
  */
 public record ClaimRecord(
         ClaimKey key,
@@ -21,13 +21,14 @@
         State state,
         long wallMillis,
         Optional<KeptAnswer> answer) {
-    /** Where the run is, as far as was recorded. */
+    /** The last recorded state of the run. */
     public enum State {
         RUNNING,
         ANSWERED,
         UNKNOWN
     }
 
+    /** Returns the record of a claim whose run has not ended. */
     static ClaimRecord running(Claim claim, ClaimAttempt attempt, long wallMillis) {
         return new ClaimRecord(
                 ClaimKey.of(claim),
@@ -39,10 +40,12 @@
                 Optional.empty());
     }
 
+    /** Returns this record with the state and the answer of an ended run. */
     ClaimRecord ended(State newState, Optional<KeptAnswer> newAnswer) {
         return new ClaimRecord(key, bodyHash, request, attempt, newState, wallMillis, newAnswer);
     }
 
+    /** Returns this record with another time. */
     ClaimRecord recordedAt(long newWallMillis) {
         return new ClaimRecord(key, bodyHash, request, attempt, state, newWallMillis, answer);
     }
--- a/src/main/java/org/yuccagw/core/claim/ClaimShard.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimShard.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.yuccagw.core.claim.ClaimHead.Segment;
-import org.yuccagw.core.claim.ClaimLog.RolledSegment;
+import org.yuccagw.core.claim.ClaimLog.PendingSegment;
 import org.yuccagw.core.claim.ClaimPeerMessage.Ask;
 import org.yuccagw.core.claim.ClaimPeerMessage.Decided;
 import org.yuccagw.core.claim.ClaimPeerMessage.EndRecorded;
@@ -32,126 +32,133 @@
 import org.yuccagw.core.port.KeyValueCall.ReadPrefix;
 
 /**
- * The owner's side of claims for one shard: collects asks, commits them in groups, and decides.
+ * The owner side of claims for one shard: collects claim requests, commits them in groups, and decides on them.
  *
- * <p>Every decision to let a request run is the confirmed compare-and-swap of the shard's head document, from the
- * revision at which the key was absent to a head that holds the claim. The lease and the epoch only choose who
- * tries; a paused owner that wakes, or two owners at once, meet at the revision, and one of them reads the log
- * again. One commit is in flight at a time; what arrives meanwhile goes into the next.
+ * <p>Every decision to let a request run is the confirmed compare-and-swap of the shard's head document from the
+ * revision at which the key was absent to a head that contains the claim. The lease and the epoch only determine which
+ * entry makes the attempt: if a suspended owner resumes, or two owners exist at once, the compare-and-swap of one of
+ * them fails on the revision, and that owner reads the log again. One commit is in flight at a time; requests that
+ * arrive during it are part of the next commit.
  *
- * <p>What an answer to a commit, or its absence, means:
+ * <p>Meaning of the answer to a commit, or of its absence:
  *
  * <ol>
- *   <li>Written: the claims in it are granted, the ends in it acknowledged. No earlier commit on the same revision
- *       can take effect any more, so claims refused while one of those was in doubt are forgotten.
- *   <li>Conflict: the head is not what this owner knows. Another owner wrote it, or an earlier commit of this owner
- *       whose answer was lost. Which one does not matter: the log is read again, and each waiting ask is decided by
- *       what it holds. An ask finds its own record, and is granted, exactly if its commit took effect.
- *   <li>Refused: nothing happened. The asks are refused at once, as not run.
- *   <li>Lost, for the first time: the commit took effect, or not, or will later. Reading can't settle that, as the
- *       commit may land after the read. Another commit on the same revision does: only one of them can ever take
- *       effect, and then case 1 or 2 says which.
- *   <li>Lost again: the service is down. The asks are refused at once, as not run, which is true since their entries
- *       were not granted anything. Their attempts are remembered as refused: if the lost commit did land, the records
- *       are taken out by the next commit, and until then nobody is told that they run.
- *   <li>A lost commit lands after the owner lost the shard or died: the next owner finds a record whose entry never
- *       got a grant. When the key is asked for again it asks that entry, which says that it sent nothing; see
- *       {@link ClaimClient}. If that entry is dead too, the outcome stays unknown and the key never runs.
- *   <li>No answer at all within the longest wait: as lost. An answer after that is ignored.
+ *   <li>Written: the claims in the commit are granted, and the ends in it are acknowledged. No earlier commit on the
+ *       same revision can take effect any more, so claims that were refused while the outcome of such a commit was
+ *       unknown are discarded.
+ *   <li>Conflict: the head differs from the local view. It was written by another owner, or by an earlier commit of
+ *       this owner whose answer was lost. The two needn't be distinguished: the log is read again, and each waiting
+ *       request is decided by its content. A request finds its own record, and is granted, exactly if its commit took
+ *       effect.
+ *   <li>Refused: the commit had no effect. The requests are refused at once, as not run.
+ *   <li>Lost, for the first time: the commit took effect, or it didn't, or it will later. A read can't determine which,
+ *       as the commit may take effect after the read. A second commit on the same revision can: at most one of the two
+ *       ever takes effect, and the answer is then case 1 or 2.
+ *   <li>Lost again: the service is down. The requests are refused at once, as not run, which is correct because their
+ *       entries were not granted anything. Their attempts are recorded as refused: if the lost commit did take effect,
+ *       the next commit removes their records, and until then no entry receives the answer that they are running.
+ *   <li>A lost commit takes effect after the owner lost the shard or failed: the next owner finds a record whose entry
+ *       was never granted the claim. When the key is requested again, the owner queries that entry, which answers
+ *       NOT_SENT; see {@link ClaimClient}. If that entry has failed too, the outcome remains unknown and the key never
+ *       runs.
+ *   <li>No answer within the call timeout: treated as lost. An answer after that is ignored.
  * </ol>
  *
- * <p>An end is acknowledged only by a confirmed commit that came after it, even if it changes nothing: an owner that
- * doesn't know yet that it was replaced must not make an entry forget how a run ended, since a later question about
- * the forgotten attempt would be answered with "sent nothing".
+ * <p>An end is acknowledged only by a confirmed commit that came after it, even if the commit changes nothing.
+ * Otherwise an owner that has been replaced without knowing it could make an entry discard how a run ended, and the
+ * entry would answer a later query about the discarded attempt with NOT_SENT.
  */
 final class ClaimShard {
-    /** Claims' part of the writes a second that the platform grants, over all shards. */
+    /** Share of the writes per second granted by the platform that claims may use, over all shards. */
     private static final int WRITES_PER_SECOND = 200;
 
-    private static final Duration LONGEST_CALL = Duration.ofSeconds(3);
-    private static final Duration END_DELAY = Duration.ofMillis(500);
-    private static final Duration FIRST_BACKOFF = Duration.ofMillis(200);
-    private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(2);
-    private static final int MOST_BATCH = 500;
-    private static final int MOST_WAITING = 5_000;
-    private static final int ROLL_BYTES = 64 * 1024;
-    private static final int MOST_HEAD_BYTES = 900 * 1024;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration END_COMMIT_DELAY = Duration.ofMillis(500);
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(200);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(2);
+    private static final int MAX_REQUESTS_PER_COMMIT = 500;
+    private static final int MAX_WAITING_REQUESTS = 5_000;
+    private static final int SEGMENT_THRESHOLD_BYTES = 64 * 1024;
+    private static final int MAX_HEAD_BYTES = 900 * 1024;
 
     private final ShardNumber shard;
     private final long epoch;
-    private final ClaimOwner owner;
+    private final ClaimShardHost host;
     private final ControlContext context;
-    private final LinkedHashMap<ClaimAttempt, Ask> waiting = new LinkedHashMap<>();
-    private final LinkedHashMap<ClaimAttempt, Ended> ends = new LinkedHashMap<>();
-    private final Set<ClaimAttempt> refused = new HashSet<>();
+    private final LinkedHashMap<ClaimAttempt, Ask> waitingRequests = new LinkedHashMap<>();
+    private final LinkedHashMap<ClaimAttempt, Ended> uncommittedEnds = new LinkedHashMap<>();
+    private final Set<ClaimAttempt> refusedAttempts = new HashSet<>();
 
     private Optional<ClaimLog> log = Optional.empty();
-    private Optional<RolledSegment> unnamed = Optional.empty();
-    private boolean calling;
+    private Optional<PendingSegment> pendingSegment = Optional.empty();
+    private boolean callInProgress;
     private boolean unavailable;
     private boolean retired;
-    private Optional<ControlContext.Timer> wake = Optional.empty();
+    private Optional<ControlContext.Timer> wakeTimer = Optional.empty();
     private long wakeNanos;
     private long callNumber;
     private long segmentNumber;
-    private int failuresInARow;
-    private long nextCommitNanos;
-    private long endsDueNanos = Long.MAX_VALUE;
+    private int consecutiveFailures;
+    private long earliestCommitNanos;
+    private long endsCommitNanos = Long.MAX_VALUE;
 
-    ClaimShard(ShardNumber shard, long epoch, ClaimOwner owner, ControlContext context) {
+    ClaimShard(ShardNumber shard, long epoch, ClaimShardHost host, ControlContext context) {
         this.shard = shard;
         this.epoch = epoch;
-        this.owner = owner;
+        this.host = host;
         this.context = context;
-        this.nextCommitNanos = context.nowNanos();
+        this.earliestCommitNanos = context.nowNanos();
     }
 
     void start() {
         read();
     }
 
-    /** The shard is lost: asks go to the next owner, answers to calls that still run are ignored. */
+    /**
+     * Called when the shard is lost: requests are redirected to the next owner, and answers to pending calls are
+     * ignored.
+     */
     void retire() {
         retired = true;
-        sendElsewhere();
+        redirectWaiting();
     }
 
-    void ask(Ask ask) {
+    void handleRequest(Ask request) {
         if (!holdsLease()) {
-            refuse(ask, ErrorKind.STALE_OWNER, shard.toString());
-        } else if (waiting.size() >= MOST_WAITING) {
-            refuse(ask, ErrorKind.CLAIM_UNAVAILABLE, "too many claims wait");
-        } else if (!settled(ask)) {
-            waiting.put(ask.wanted().attempt(), ask);
-            pump();
+            refuse(request, ErrorKind.STALE_OWNER, shard.toString());
+        } else if (waitingRequests.size() >= MAX_WAITING_REQUESTS) {
+            refuse(request, ErrorKind.CLAIM_UNAVAILABLE, "too many claims wait");
+        } else if (!decideWithoutCommit(request)) {
+            waitingRequests.put(request.wanted().attempt(), request);
+            startNextCall();
         }
     }
 
-    void ended(Ended ended) {
-        waiting.remove(ended.attempt());
-        ends.putIfAbsent(ended.attempt(), ended);
-        endsDueNanos = Math.min(endsDueNanos, context.nowNanos() + END_DELAY.toNanos());
-        pump();
+    void handleEnded(Ended ended) {
+        waitingRequests.remove(ended.attempt());
+        uncommittedEnds.putIfAbsent(ended.attempt(), ended);
+        endsCommitNanos = Math.min(endsCommitNanos, context.nowNanos() + END_COMMIT_DELAY.toNanos());
+        startNextCall();
     }
 
-    /** Answers the ask if that needs no commit. */
-    private boolean settled(Ask ask) {
+    /** Decides on the request if that requires no commit; returns whether it has been decided. */
+    private boolean decideWithoutCommit(Ask request) {
         Optional<ClaimRecord> found =
-                log.flatMap(present -> present.find(ask.wanted().key()));
-        if (found.isPresent() && !isBeingFreed(found.get())) {
-            decide(ask, verdict(withUncommittedEnd(found.get()), ask.wanted()));
+                log.flatMap(current -> current.find(request.wanted().key()));
+        if (found.isPresent() && !isBeingReleased(found.get())) {
+            decide(request, decisionOn(withUncommittedEnd(found.get()), request.wanted()));
             return true;
         }
         if (unavailable) {
-            refuse(ask, ErrorKind.CLAIM_UNAVAILABLE, "the key-value service does not answer");
+            refuse(request, ErrorKind.CLAIM_UNAVAILABLE, "the key-value service does not answer");
             return true;
         }
         return false;
     }
 
-    /** An end that is not committed yet is true all the same, and may be told. */
+    /** Returns the record with its end if that isn't committed yet; such an end is final and may be sent in answers. */
     private ClaimRecord withUncommittedEnd(ClaimRecord record) {
-        Ended ended = ends.get(record.attempt());
+        Ended ended = uncommittedEnds.get(record.attempt());
         if (ended == null || record.state() == State.ANSWERED) {
             return record;
         }
@@ -159,22 +166,22 @@
         return record.ended(answered ? State.ANSWERED : State.UNKNOWN, ended.answer());
     }
 
-    private boolean isBeingFreed(ClaimRecord record) {
-        Ended ended = ends.get(record.attempt());
+    private boolean isBeingReleased(ClaimRecord record) {
+        Ended ended = uncommittedEnds.get(record.attempt());
         boolean notSent = ended != null && ended.outcome() == ClaimEnded.Outcome.NOT_SENT;
-        return record.state() == State.RUNNING && (notSent || refused.contains(record.attempt()));
+        return record.state() == State.RUNNING && (notSent || refusedAttempts.contains(record.attempt()));
     }
 
-    private Verdict verdict(ClaimRecord record, ClaimRecord wanted) {
-        if (!record.bodyHash().equals(wanted.bodyHash())) {
+    private Verdict decisionOn(ClaimRecord record, ClaimRecord requested) {
+        if (!record.bodyHash().equals(requested.bodyHash())) {
             return new Verdict.Refused(ErrorKind.KEY_REUSED, "");
         }
         boolean running = record.state() == State.RUNNING;
-        if (running && record.attempt().equals(wanted.attempt())) {
+        if (running && record.attempt().equals(requested.attempt())) {
             return new Verdict.Granted();
         }
-        if (running && owner.mayBeAlive(record.attempt())) {
-            owner.send(record.attempt().entry(), new StillRunning(shard, record.key(), record.attempt()));
+        if (running && host.mayBeRunning(record.attempt())) {
+            host.send(record.attempt().entry(), new StillRunning(shard, record.key(), record.attempt()));
             return new Verdict.Running(record.attempt().entry(), record.request());
         }
         if (record.answer().isPresent()) {
@@ -183,86 +190,88 @@
         return new Verdict.Refused(ErrorKind.OUTCOME_UNKNOWN, "");
     }
 
-    private void decide(Ask ask, Verdict verdict) {
-        ClaimAttempt attempt = ask.wanted().attempt();
-        owner.send(attempt.entry(), new Decided(shard, attempt, verdict));
+    private void decide(Ask request, Verdict verdict) {
+        ClaimAttempt attempt = request.wanted().attempt();
+        host.send(attempt.entry(), new Decided(shard, attempt, verdict));
     }
 
-    private void refuse(Ask ask, ErrorKind kind, String detail) {
-        decide(ask, new Verdict.Refused(kind, detail));
+    private void refuse(Ask request, ErrorKind kind, String detail) {
+        decide(request, new Verdict.Refused(kind, detail));
     }
 
     private void refuseWaiting(String reason) {
-        for (Ask ask : waiting.values()) {
-            refuse(ask, ErrorKind.CLAIM_UNAVAILABLE, reason);
-            refused.add(ask.wanted().attempt());
+        for (Ask request : waitingRequests.values()) {
+            refuse(request, ErrorKind.CLAIM_UNAVAILABLE, reason);
+            refusedAttempts.add(request.wanted().attempt());
         }
-        waiting.clear();
+        waitingRequests.clear();
     }
 
-    private void sendElsewhere() {
-        waiting.values().forEach(ask -> refuse(ask, ErrorKind.STALE_OWNER, shard.toString()));
-        waiting.clear();
+    private void redirectWaiting() {
+        waitingRequests.values().forEach(request -> refuse(request, ErrorKind.STALE_OWNER, shard.toString()));
+        waitingRequests.clear();
     }
 
-    /** Starts the next call if one is due and none runs. */
-    private void pump() {
-        if (calling || retired || unavailable || log.isEmpty()) {
+    /** Starts the next call if one is due and none is in progress. */
+    private void startNextCall() {
+        if (callInProgress || retired || unavailable || log.isEmpty()) {
             return;
         }
-        waiting.values().removeIf(this::settled);
+        waitingRequests.values().removeIf(this::decideWithoutCommit);
         long now = context.nowNanos();
-        long due = waiting.isEmpty() && refused.isEmpty() ? endsDueNanos : now;
-        if (ends.isEmpty() && due == endsDueNanos) {
+        long due = waitingRequests.isEmpty() && refusedAttempts.isEmpty() ? endsCommitNanos : now;
+        if (uncommittedEnds.isEmpty() && due == endsCommitNanos) {
             return;
         }
-        long start = Math.max(due, nextCommitNanos);
+        long start = Math.max(due, earliestCommitNanos);
         if (start > now) {
-            wakeAt(start);
+            scheduleWake(start);
         } else {
             commit();
         }
     }
 
-    private void wakeAt(long nanos) {
-        if (wake.isPresent() && wakeNanos <= nanos) {
+    private void scheduleWake(long nanos) {
+        if (wakeTimer.isPresent() && wakeNanos <= nanos) {
             return;
         }
-        wake.ifPresent(ControlContext.Timer::cancel);
+        wakeTimer.ifPresent(ControlContext.Timer::cancel);
         wakeNanos = nanos;
-        wake = Optional.of(context.after(Duration.ofNanos(nanos - context.nowNanos()), () -> {
-            wake = Optional.empty();
-            pump();
+        wakeTimer = Optional.of(context.after(Duration.ofNanos(nanos - context.nowNanos()), () -> {
+            wakeTimer = Optional.empty();
+            startNextCall();
         }));
     }
 
-    /** Says right before a call whether the lease still holds: guards against a pause since the last event. */
+    /**
+     * Checks immediately before a call whether the lease is valid: guards against a suspension since the last event.
+     */
     private boolean holdsLease() {
-        return owner.holds(shard, epoch);
+        return host.holdsLease(shard, epoch);
     }
 
     private void read() {
         if (!holdsLease()) {
-            sendElsewhere();
+            redirectWaiting();
             retryLater();
             return;
         }
         call(new ReadPrefix(ClaimLog.prefix(shard)), answer -> {
             if (answer instanceof Found found) {
-                takeLog(found);
+                handleLog(found);
             } else {
                 fail("the key-value service does not answer");
             }
         });
     }
 
-    private void takeLog(Found found) {
+    private void handleLog(Found found) {
         try {
-            ClaimLog fresh = ClaimLog.read(shard, epoch, found.items(), owner.codec());
-            log = Optional.of(fresh);
+            ClaimLog readLog = ClaimLog.read(shard, epoch, found.items(), host.codec());
+            log = Optional.of(readLog);
             unavailable = false;
-            failuresInARow = 0;
-            pump();
+            consecutiveFailures = 0;
+            startNextCall();
         } catch (YuccagwException damaged) {
             fail(damaged.getMessage());
         }
@@ -270,49 +279,51 @@
 
     private void commit() {
         if (!holdsLease()) {
-            sendElsewhere();
+            redirectWaiting();
             retryLater();
             return;
         }
         ClaimLog base = log.orElseThrow();
         ClaimLog.Draft draft = base.draft();
-        List<Ended> endsInIt = List.copyOf(ends.values());
-        endsInIt.forEach(draft::end);
-        draft.release(refused);
-        unnamed.ifPresent(draft::roll);
-        draft.expire(owner.oldestWallMillis());
-        List<Ask> asksInIt = waiting.values().stream().limit(MOST_BATCH).toList();
-        asksInIt.forEach(ask -> draft.claim(ask.wanted().recordedAt(context.wallMillis())));
-        byte[] document = owner.codec().encodeHead(draft.document());
-        if (document.length > MOST_HEAD_BYTES) {
+        List<Ended> endsInCommit = List.copyOf(uncommittedEnds.values());
+        endsInCommit.forEach(draft::end);
+        draft.release(refusedAttempts);
+        pendingSegment.ifPresent(draft::moveToSegment);
+        draft.expire(host.oldestRetainedWallMillis());
+        List<Ask> requestsInCommit =
+                waitingRequests.values().stream().limit(MAX_REQUESTS_PER_COMMIT).toList();
+        requestsInCommit.forEach(request -> draft.claim(request.wanted().recordedAt(context.wallMillis())));
+        byte[] document = host.codec().encodeHead(draft.document());
+        if (document.length > MAX_HEAD_BYTES) {
             refuseWaiting("the head of " + shard + " is full");
             retryLater();
             return;
         }
-        nextCommitNanos =
-                context.nowNanos() + owner.commitGap(WRITES_PER_SECOND).toNanos();
-        long expected = owner.guards().expectedRevision().applyAsLong(base.headRevision());
-        CompareAndSwap swap = new CompareAndSwap(ClaimLog.headKey(shard), expected, document, Optional.empty());
-        Commit commit = new Commit(base, draft, asksInIt, endsInIt, document.length);
-        call(swap, answer -> committed(commit, answer));
+        earliestCommitNanos =
+                context.nowNanos() + host.minCommitInterval(WRITES_PER_SECOND).toNanos();
+        long expected = host.guards().expectedRevision().applyAsLong(base.headRevision());
+        CompareAndSwap compareAndSwap =
+                new CompareAndSwap(ClaimLog.headKey(shard), expected, document, Optional.empty());
+        Commit commit = new Commit(base, draft, requestsInCommit, endsInCommit, document.length);
+        call(compareAndSwap, answer -> handleCommitAnswer(commit, answer));
     }
 
     /** One commit in flight. */
-    private record Commit(ClaimLog base, ClaimLog.Draft draft, List<Ask> asks, List<Ended> ends, int bytes) {}
+    private record Commit(ClaimLog base, ClaimLog.Draft draft, List<Ask> requests, List<Ended> ends, int bytes) {}
 
-    private void committed(Commit commit, KeyValueAnswer answer) {
-        if (owner.guards().confirms().test(answer)) {
+    private void handleCommitAnswer(Commit commit, KeyValueAnswer answer) {
+        if (host.guards().confirms().test(answer)) {
             long revision = answer instanceof Written written
                     ? written.revision()
                     : commit.base().headRevision();
             confirm(commit, revision);
         } else if (answer instanceof Conflict) {
             log = Optional.empty();
-            unnamed = Optional.empty();
+            pendingSegment = Optional.empty();
             unavailable = false;
             read();
-        } else if (answer instanceof Lost && failuresInARow == 0) {
-            failuresInARow++;
+        } else if (answer instanceof Lost && consecutiveFailures == 0) {
+            consecutiveFailures++;
             commit();
         } else {
             fail("the key-value service does not answer");
@@ -320,74 +331,80 @@
     }
 
     private void confirm(Commit commit, long revision) {
-        ClaimLog present = commit.draft().committed(shard, revision, owner.oldestWallMillis());
-        log = Optional.of(present);
+        ClaimLog current = commit.draft().committed(shard, revision, host.oldestRetainedWallMillis());
+        log = Optional.of(current);
         unavailable = false;
-        failuresInARow = 0;
-        refused.clear();
-        unnamed = Optional.empty();
+        consecutiveFailures = 0;
+        refusedAttempts.clear();
+        pendingSegment = Optional.empty();
         for (Ended ended : commit.ends()) {
-            ends.remove(ended.attempt());
-            owner.send(ended.attempt().entry(), new EndRecorded(shard, ended.attempt()));
+            uncommittedEnds.remove(ended.attempt());
+            host.send(ended.attempt().entry(), new EndRecorded(shard, ended.attempt()));
         }
-        endsDueNanos = ends.isEmpty() ? Long.MAX_VALUE : context.nowNanos() + END_DELAY.toNanos();
-        for (Ask ask : commit.asks()) {
-            if (waiting.containsKey(ask.wanted().attempt()) && settled(ask)) {
-                waiting.remove(ask.wanted().attempt());
+        endsCommitNanos = uncommittedEnds.isEmpty() ? Long.MAX_VALUE : context.nowNanos() + END_COMMIT_DELAY.toNanos();
+        for (Ask request : commit.requests()) {
+            if (waitingRequests.containsKey(request.wanted().attempt()) && decideWithoutCommit(request)) {
+                waitingRequests.remove(request.wanted().attempt());
             }
         }
         delete(commit);
-        if (commit.bytes() > ROLL_BYTES) {
-            roll(present);
+        if (commit.bytes() > SEGMENT_THRESHOLD_BYTES) {
+            writeSegment(current);
         } else {
-            pump();
+            startNextCall();
         }
     }
 
-    /** Deletes what the committed head names no more; a lost answer leaves an orphan for the next owner to delete. */
+    /**
+     * Deletes the segments that the committed head no longer references. A deletion that fails leaves an orphan, which
+     * the next owner deletes.
+     */
     private void delete(Commit commit) {
-        List<String> names = new ArrayList<>(commit.draft().dropped());
-        names.addAll(commit.base().orphans());
-        for (String name : names) {
+        List<String> obsoleteSegments = new ArrayList<>(commit.draft().droppedSegments());
+        obsoleteSegments.addAll(commit.base().orphans());
+        for (String name : obsoleteSegments) {
             commit.base()
                     .segmentRevision(name)
                     .ifPresent(revision -> context.call(new Delete(name, revision), ignored -> {}));
         }
     }
 
-    /** Writes the ended records of the head to a segment; the next commit names it and drops them from the head. */
-    private void roll(ClaimLog present) {
-        List<ClaimRecord> records = present.rollable(owner::mayBeAlive);
+    /**
+     * Writes the ended records of the head to a segment; the next commit references it and removes them from the head.
+     */
+    private void writeSegment(ClaimLog current) {
+        List<ClaimRecord> records = current.recordsForSegment(host::mayBeRunning);
         if (records.isEmpty() || !holdsLease()) {
-            pump();
+            startNextCall();
             return;
         }
-        String name = present.segmentName(segmentNumber++);
+        String name = current.segmentName(segmentNumber++);
         long newest = records.stream().mapToLong(ClaimRecord::wallMillis).max().orElseThrow();
-        byte[] document = owner.codec().encodeSegment(records);
+        byte[] document = host.codec().encodeSegment(records);
         CompareAndSwap write = new CompareAndSwap(name, KeyValueCall.ABSENT, document, Optional.empty());
         call(write, answer -> {
             if (answer instanceof Written written) {
-                unnamed = Optional.of(new RolledSegment(new Segment(name, newest), written.revision(), records));
+                pendingSegment =
+                        Optional.of(new PendingSegment(new Segment(name, newest), written.revision(), records));
             }
-            // Otherwise the head stays as it is and rolls after a later commit, under another name.
-            pump();
+            // Otherwise the head is unchanged, and a later commit moves the records to a segment with another name.
+            startNextCall();
         });
     }
 
     private void fail(String reason) {
-        failuresInARow++;
+        consecutiveFailures++;
         unavailable = true;
         refuseWaiting(reason);
         retryLater();
     }
 
     private void retryLater() {
-        int doublings = Math.min(failuresInARow, 8);
-        long wait = Math.min(LONGEST_BACKOFF.toNanos(), FIRST_BACKOFF.toNanos() << doublings);
-        calling = true;
+        int doublings = Math.min(consecutiveFailures, 8);
+        long wait = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << doublings);
+        callInProgress = true;
         context.after(Duration.ofNanos(wait), () -> {
-            calling = false;
+            callInProgress = false;
             if (retired) {
                 return;
             }
@@ -400,20 +417,20 @@
     }
 
     private void call(KeyValueCall call, Consumer<KeyValueAnswer> continuation) {
-        calling = true;
+        callInProgress = true;
         long number = ++callNumber;
-        ControlContext.Timer longest =
-                context.after(LONGEST_CALL, () -> answered(number, new Lost("no answer in time"), continuation));
+        ControlContext.Timer timeout =
+                context.after(CALL_TIMEOUT, () -> handleAnswer(number, new Lost("no answer in time"), continuation));
         context.call(call, answer -> {
-            longest.cancel();
-            answered(number, answer, continuation);
+            timeout.cancel();
+            handleAnswer(number, answer, continuation);
         });
     }
 
-    private void answered(long number, KeyValueAnswer answer, Consumer<KeyValueAnswer> continuation) {
-        if (number == callNumber && calling && !retired) {
+    private void handleAnswer(long number, KeyValueAnswer answer, Consumer<KeyValueAnswer> continuation) {
+        if (number == callNumber && callInProgress && !retired) {
             callNumber++;
-            calling = false;
+            callInProgress = false;
             continuation.accept(answer);
         }
     }
--- a/src/main/java/org/yuccagw/core/claim/ClaimShardHost.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimShardHost.java
@@ -4,22 +4,22 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.ShardNumber;
 
-/** What a shard's owner side may ask of the part that it belongs to. */
-interface ClaimOwner {
-    /** Whether this entry holds the shard's lease with this epoch right now. */
-    boolean holds(ShardNumber shard, long epoch);
+/** Services that {@link ClaimComponent} provides to a {@link ClaimShard}. */
+interface ClaimShardHost {
+    /** Whether this entry holds the lease of the shard with this epoch at the present time. */
+    boolean holdsLease(ShardNumber shard, long epoch);
 
-    /** Whether the process that made the attempt may still run. */
-    boolean mayBeAlive(ClaimAttempt attempt);
+    /** Whether the process that made the attempt may still be running. */
+    boolean mayBeRunning(ClaimAttempt attempt);
 
-    /** Sends to an entry, this one included. */
+    /** Sends a message to an entry, which may be this one. */
     void send(EntryId to, ClaimPeerMessage message);
 
-    /** Records of ended requests older than this, in milliseconds since 1970, are past retention. */
-    long oldestWallMillis();
+    /** Returns the time, in milliseconds since 1970, before which records of ended requests are past retention. */
+    long oldestRetainedWallMillis();
 
-    /** The least time between two commits of one shard if all shards together shall keep to this rate. */
-    Duration commitGap(int writesPerSecond);
+    /** Returns the minimum time between two commits of one shard that limits all shards together to this rate. */
+    Duration minCommitInterval(int writesPerSecond);
 
     ClaimLogCodec codec();
 
--- a/src/main/java/org/yuccagw/core/claim/ClaimsSnapshot.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimsSnapshot.java
@@ -1,10 +1,11 @@
 package org.yuccagw.core.claim;
 
 /**
- * What operators see of claims on one entry.
+ * State of the claims on one entry, as shown to operators.
  *
- * @param ownedShards shards whose claims this entry decides
- * @param running granted claims of this entry's traffic that haven't ended
- * @param endsToRecord ends that the log doesn't have yet; grows while the key-value service is away
+ * @param ownedShards number of shards whose claims this entry decides
+ * @param running number of granted claims of this entry's traffic that haven't ended
+ * @param endsToRecord number of ends that aren't recorded in the log yet; grows while the key-value service is
+ *     unavailable
  */
 public record ClaimsSnapshot(int ownedShards, int running, int endsToRecord) {}
--- a/src/main/java/org/yuccagw/core/claim/package-info.java
+++ b/src/main/java/org/yuccagw/core/claim/package-info.java
@@ -1,2 +1,2 @@
-/** At most once: claims of keyed requests, committed in groups by compare-and-swap, and prompts that end endpoints. */
+/** At-most-once execution: claims of requests with an idempotency key, committed in groups by compare-and-swap. */
 package org.yuccagw.core.claim;
