--- a/src/main/java/org/yuccagw/core/request/AnswerHead.java
+++ b/src/main/java/org/yuccagw/core/request/AnswerHead.java
@@ -5,8 +5,9 @@
 /**
  * The head of an endpoint's answer.
  *
- * @param stream the engine's name of the stream, empty for a plain service
- * @param version weight version that runs it, empty for a plain service
- * @param headers of a plain service's answer that are passed on
+ * @param status HTTP status
+ * @param stream identifier of the stream on the engine; empty for a plain service
+ * @param version weight version that runs the request; empty for a plain service
+ * @param headers headers of a plain service's answer that are forwarded to the caller
  */
 public record AnswerHead(int status, String stream, String version, ImmutableMap<String, String> headers) {}
--- a/src/main/java/org/yuccagw/core/request/AttemptFailure.java
+++ b/src/main/java/org/yuccagw/core/request/AttemptFailure.java
@@ -5,38 +5,38 @@
 import org.yuccagw.core.retry.FailureClass;
 import org.yuccagw.core.retry.RetryTable;
 
-/** What an attempt at an endpoint ended with when it wasn't a whole answer. */
+/** The ways in which an attempt on an endpoint ends without a whole answer. */
 public enum AttemptFailure {
-    /** No connection: not one byte was sent. */
+    /** No connection was established, so not one byte was sent. */
     CONNECT_FAILED(FailureClass.CONNECT_FAILED, AttemptObserved.Outcome.CONNECT_FAILED),
-    /** The endpoint refused for want of room, before running. */
+    /** The endpoint refused before running, because it has no free capacity. */
     OVERLOADED(FailureClass.OVERLOADED, AttemptObserved.Outcome.OVERLOADED),
-    /** The endpoint refused because it is leaving, before running. */
+    /** The endpoint refused before running, because it is leaving. */
     LEAVING(FailureClass.LEAVING, AttemptObserved.Outcome.SAID_LEAVING),
-    /** The engine runs another weight version and refused before running. */
+    /** The engine refused before running, because it runs another weight version. */
     WRONG_VERSION(FailureClass.WRONG_VERSION, AttemptObserved.Outcome.ANSWERED),
-    /** The endpoint holds the request for wrong and refused before running. */
+    /** The endpoint refused before running, because it regards the request as invalid. */
     REJECTED(FailureClass.REJECTED, AttemptObserved.Outcome.ANSWERED),
-    /** The endpoint answered with a fault of its own. */
+    /** The endpoint answered with a server error. */
     SERVER_ERROR(FailureClass.FAILED, AttemptObserved.Outcome.FAILED),
-    /** The connection broke, or ended before the end mark. */
+    /** The connection broke, or ended before the end mark of the answer. */
     BROKEN(FailureClass.CONNECTION_RESET, AttemptObserved.Outcome.FAILED),
-    /** No byte came within the progress timeout. */
+    /** No byte was received within the progress timeout. */
     SILENT(FailureClass.CONNECTION_SILENT, AttemptObserved.Outcome.SILENT),
-    /** The endpoint doesn't know the stream that should be resumed. */
+    /** The endpoint doesn't know the stream to resume. */
     STREAM_FORGOTTEN(FailureClass.CONNECTION_RESET, AttemptObserved.Outcome.ANSWERED),
-    /** The connection broke and nobody listens there any more. */
+    /** The connection broke, and the endpoint doesn't accept connections any more. */
     DIED(FailureClass.ENDPOINT_DIED, AttemptObserved.Outcome.DIED);
 
     private final FailureClass failureClass;
-    private final AttemptObserved.Outcome observed;
+    private final AttemptObserved.Outcome observedOutcome;
 
-    AttemptFailure(FailureClass failureClass, AttemptObserved.Outcome observed) {
+    AttemptFailure(FailureClass failureClass, AttemptObserved.Outcome observedOutcome) {
         this.failureClass = failureClass;
-        this.observed = observed;
+        this.observedOutcome = observedOutcome;
     }
 
-    /** The row of the retry table that decides on it. */
+    /** Returns the row of the retry table that applies to this failure. */
     public FailureClass failureClass() {
         return failureClass;
     }
@@ -46,8 +46,8 @@
         return RetryTable.row(failureClass).ran() == ErrorKind.Ran.NOT_RUN;
     }
 
-    /** What it says of the endpoint. */
-    public AttemptObserved.Outcome observed() {
-        return observed;
+    /** Returns the outcome to record for the endpoint. */
+    public AttemptObserved.Outcome observedOutcome() {
+        return observedOutcome;
     }
 }
--- a/src/main/java/org/yuccagw/core/request/RequestEffects.java
+++ b/src/main/java/org/yuccagw/core/request/RequestEffects.java
@@ -15,94 +15,108 @@
 import org.yuccagw.core.routing.ImportPlan;
 
 /**
- * What the request machine asks of its surroundings. Every question is answered by one call of the machine's method
- * named in its comment, on the thread of the request.
+ * The effects of {@link RequestMachine} on its environment. Each request is answered by one call of the method of the
+ * machine that its comment names, on the thread of the request.
  */
 public interface RequestEffects {
+    /** Returns the monotonic time. */
     long nowNanos();
 
-    /** Answered by {@link RequestMachine#onAdmitted}. */
+    /** Requests admission. Answered by {@link RequestMachine#onAdmitted}. */
     void askAdmission();
 
-    /** Answered by {@link RequestMachine#onClaim}. */
+    /** Requests the claim of the idempotency key. Answered by {@link RequestMachine#onClaim}. */
     void askClaim();
 
-    /** Answered by {@link RequestMachine#onVerdict}. */
+    /** Requests the decision of the quarantine. Answered by {@link RequestMachine#onVerdict}. */
     void askQuarantine();
 
-    /** Answered by {@link RequestMachine#onRoute}. */
+    /**
+     * Requests an endpoint. Answered by {@link RequestMachine#onRoute}.
+     *
+     * @param version weight version that the endpoint must run; empty if any
+     * @param excluded endpoints that must not be chosen
+     * @param alone whether the prompt must run isolated
+     */
     void askRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone);
 
-    /** Answered by {@link RequestMachine#onImported}, at the latest after the plan's deadline. */
+    /**
+     * Imports cached blocks into the engine. Answered by {@link RequestMachine#onImported}, at the latest after the
+     * deadline of the plan.
+     */
     void startImport(long attempt, EndpointStatus endpoint, ImportPlan plan);
 
     /**
-     * Sends the request. Answered by onHead, onPiece, onUsage, onDone and onFailure with the same leg.
+     * Sends the request to an endpoint. Answered by onHead, onPiece, onBytes, onUsage, onDone and onFailure with the
+     * same leg.
      *
-     * @param leg number of this connection, so that late events of an earlier one are told apart
-     * @param textSoFar what the caller has already, to be continued
-     * @param piecesSoFar how many pieces that is
+     * @param leg number of this connection, which distinguishes its events from late events of an earlier one
+     * @param textSoFar text that the caller has already received and that the engine continues
+     * @param piecesSoFar number of pieces of that text
      */
     void send(long leg, long attempt, EndpointStatus endpoint, String textSoFar, long piecesSoFar);
 
-    /** Reads the stream again after piece {@code from} over a new connection; answered as for send. */
+    /** Resumes the stream after piece {@code from} over a new connection. Answered like {@link #send}. */
     void resume(long leg, EndpointStatus endpoint, String stream, long from);
 
-    /** Closes the connection of a leg; nothing of it is answered any more. */
+    /** Closes the connection of a leg. No further events of the leg follow. */
     void abandon(long leg);
 
-    /** Asks the endpoint whether it lives; answered by {@link RequestMachine#onProbed}. */
+    /** Checks whether the endpoint is alive. Answered by {@link RequestMachine#onProbed}. */
     void probe(long leg, EndpointStatus endpoint);
 
-    /** Tells the engine to end a stream that nobody reads, after the wait. */
+    /** Makes the engine cancel a stream without reader after the wait. */
     void cancelStream(EndpointStatus endpoint, String stream, Duration wait);
 
-    /** Answered by {@link RequestMachine#onTimer} with the same kind and leg. */
+    /** Starts a timer. Answered by {@link RequestMachine#onTimer} with the same kind and leg. */
     void schedule(RequestMachine.TimerKind kind, long leg, Duration delay);
 
     /**
-     * Whether the retry table and the budget let another attempt go, and after which wait; spends from the budget.
+     * Decides whether the retry table and the retry budget allow another attempt, and after which delay. Debits the
+     * budget if they do.
      *
      * @param mayHaveRunBefore whether an attempt before the failed one may have run
+     * @param attemptsMade number of attempts that were sent, the failed one included
      */
     RetryDecision decideRetry(AttemptFailure failure, boolean mayHaveRunBefore, int attemptsMade);
 
-    /** Something of the request succeeded: the budget earns. */
+    /** Credits the retry budget after a whole answer. */
     void earnRetryBudget();
 
-    /** Tells the control core. */
+    /** Sends an event to the control core. */
     void report(ControlEvent event);
 
-    // Towards the caller.
+    // Effects on the caller.
 
     /**
-     * The answer begins.
+     * Starts the answer.
      *
-     * @param head of the endpoint's answer
-     * @param endpoint that runs it
+     * @param head head of the endpoint's answer
+     * @param endpoint endpoint that runs the request
      */
     void answerHead(AnswerHead head, EndpointStatus endpoint);
 
-    /** The next piece of a model's answer; {@code index} from 1 without gaps. */
+    /** Sends the next piece of a model's answer; {@code index} counts from 1 without gaps. */
     void answerPiece(long index, String text);
 
-    /** The next bytes of a plain answer; valid during the call. */
+    /** Sends the next bytes of a plain answer. The buffer is valid only during the call. */
     void answerBytes(java.nio.ByteBuffer bytes);
 
+    /** Ends a whole answer. */
     void answerEnd(Optional<Usage> usage);
 
-    /** The final error; before the head it is the whole answer, after it the stream ends with it. */
+    /** Sends the final error: before the head as the whole answer, after it as the end of the stream. */
     void answerError(YuccagwException error);
 
-    /** The same key runs as another request: its answer is followed there. */
+    /** Follows the answer of another request with the same key, which runs through the given entry. */
     void follow(EntryId entry, RequestId request);
 
-    /** The same key was answered before. */
+    /** Sends the retained answer of an earlier request with the same key. */
     void replay(ClaimDecision.KeptAnswer answer);
 
-    /** What was sent to the caller as a whole answer, if it was small enough to keep. */
+    /** Returns the whole answer that was sent to the caller, if it is small enough to retain. */
     Optional<ClaimDecision.KeptAnswer> keptAnswer();
 
-    /** The request is over; the last effect but for grants that arrive late and are given back. */
+    /** Called when the request has ended. Only releases of grants that arrive late follow this effect. */
     void ended();
 }
--- a/src/main/java/org/yuccagw/core/request/RequestMachine.java
+++ b/src/main/java/org/yuccagw/core/request/RequestMachine.java
@@ -22,32 +22,35 @@
 import org.yuccagw.core.routing.RouteRequested;
 
 /**
- * One request from arrival to its last byte. Deterministic: events in by its methods, effects out by
- * {@link RequestEffects}, all on one thread.
+ * State machine of one request from its arrival to the last byte of its answer. Deterministic: events arrive as method
+ * calls and effects leave through {@link RequestEffects}, all on one thread.
  *
- * <p>The usual way: admission, claim (when the caller sent a key), quarantine, route, import, send, stream, end.
+ * <p>The usual sequence is: admission, claim (if the caller sent an idempotency key), quarantine, route, import, send,
+ * stream, end.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>The caller gets exactly one end: {@code answerEnd}, {@code answerError}, {@code follow} or {@code replay}.
- *   <li>Pieces reach the caller with indexes 1, 2, 3, ... without gap or repetition, whatever connections they came by.
- *       Each connection is a <i>leg</i> with a number; events of any leg but the present one are ignored, so late,
- *       doubled or out-of-order pieces of an abandoned connection can't slip in.
- *   <li>A request that isn't idempotent is sent again only after a failure that proves that it did not run.
- *   <li>One answer, one weight version: the first head pins it, and every later attempt must keep it.
- *   <li>Whatever was granted (admission, claim, permit, place on an endpoint) is given back exactly once, also when the
- *       grant arrives after the end.
+ *   <li>The caller receives exactly one end: {@code answerEnd}, {@code answerError}, {@code follow} or {@code replay}.
+ *   <li>The pieces that the caller receives have the indexes 1, 2, 3, ... without gaps or duplicates, whichever
+ *       connections they arrived on. Each connection is a <i>leg</i> with a number. Events of any leg except the
+ *       current one are ignored, so late, duplicated or out-of-order pieces of an abandoned connection are never passed
+ *       on.
+ *   <li>A request that isn't idempotent is retried only after a failure that proves that it did not run.
+ *   <li>An answer is produced by one weight version: the first head pins it, and every later attempt must use the same
+ *       one.
+ *   <li>Everything that was granted (admission, claim, permit, placement on an endpoint) is released exactly once, even
+ *       if the grant arrives after the end.
  * </ul>
  *
- * <p>Example: pieces 1 to 5 arrived when the connection fell silent. Leg 2 asks the same engine for the stream after
- * piece 5. That engine is gone, and the request is idempotent: attempt 2 goes to another engine of the same version
- * with the text of the five pieces as a prefix to continue; its piece 1 is the caller's piece 6.
+ * <p>Example: pieces 1 to 5 have arrived when the connection falls silent. Leg 2 requests the stream after piece 5 from
+ * the same engine. The engine has terminated, and the request is idempotent: attempt 2 is sent to another engine of the
+ * same version with the text of the five pieces as a prefix to continue, and its piece 1 is the caller's piece 6.
  */
 public final class RequestMachine {
-    private static final int MOST_RESUMES_WITHOUT_PROGRESS = 2;
-    private static final int MOST_ROUTE_WAITS = 8;
-    private static final Duration ROUTE_WAIT = Duration.ofMillis(250);
+    private static final int MAX_RESUMES_WITHOUT_PROGRESS = 2;
+    private static final int MAX_ROUTE_RETRIES = 8;
+    private static final Duration ROUTE_RETRY_DELAY = Duration.ofMillis(250);
 
     private final RequestProfile profile;
     private final RequestEffects effects;
@@ -59,22 +62,22 @@
     private boolean claimHeld;
     private boolean mayHaveRun;
     private boolean mayHaveRunBefore;
-    private boolean callerLeft;
+    private boolean callerDisconnected;
     private boolean headSent;
     private long permit = NO_PERMIT;
 
     private int attemptsMade;
-    private int routeWaits;
+    private int routeRetries;
     private long attempt = NO_ATTEMPT;
     private EndpointStatus endpoint;
     private Optional<WeightVersion> version = Optional.empty();
     private String stream = "";
     private long leg;
-    private long legBase;
-    private long emitted;
+    private long piecesBeforeAttempt;
+    private long piecesSent;
     private int resumesWithoutProgress;
     private long sentNanos;
-    private boolean firstSeen;
+    private boolean firstTokenReported;
     private Usage usage;
     private AttemptFailure lastFailure;
     private String lastDetail = "";
@@ -97,7 +100,7 @@
         OVER
     }
 
-    /** What a timer of the machine is for. */
+    /** The purpose of a timer of the machine. */
     public enum TimerKind {
         DEADLINE,
         BACKOFF
@@ -112,25 +115,27 @@
         return new RequestMachine(profile, effects);
     }
 
+    /** Starts the request with its admission. */
     public void begin() {
         effects.schedule(TimerKind.DEADLINE, 0, profile.answerDeadline());
         state = State.ADMITTING;
         effects.askAdmission();
     }
 
-    /** Goes on with an answer that another request began; the endpoint is the one that the token names. */
+    /** Resumes an answer that another request started, on the endpoint that the resume token names. */
     public void beginResumed(EndpointStatus at) {
-        RequestProfile.ResumePoint point = profile.resumeAt().orElseThrow();
+        RequestProfile.ResumePoint point = profile.resumePoint().orElseThrow();
         effects.schedule(TimerKind.DEADLINE, 0, profile.answerDeadline());
         endpoint = at;
         version = Optional.of(point.version());
         stream = point.stream();
-        emitted = point.from();
+        piecesSent = point.from();
         point.textSoFar().ifPresent(text::append);
         mayHaveRun = true;
         resumeStream();
     }
 
+    /** Whether the request has ended. */
     public boolean isOver() {
         return state == State.OVER;
     }
@@ -143,7 +148,7 @@
             return;
         }
         if (refusal.isPresent()) {
-            finish(refusal.get());
+            fail(refusal.get());
             return;
         }
         admitted = true;
@@ -151,13 +156,13 @@
             state = State.CLAIMING;
             effects.askClaim();
         } else {
-            judge();
+            checkQuarantine();
         }
     }
 
     public void onClaim(ClaimDecision decision) {
         if (state != State.CLAIMING) {
-            // The deadline passed while the claim was being committed: it was granted to nobody and nothing was sent.
+            // The deadline passed while the claim was being committed. Nothing was sent, so it is released.
             if (decision instanceof ClaimDecision.Granted) {
                 endClaim(ClaimEnded.Outcome.NOT_SENT);
             }
@@ -165,15 +170,15 @@
         }
         if (decision instanceof ClaimDecision.Granted) {
             claimHeld = true;
-            judge();
+            checkQuarantine();
         } else if (decision instanceof ClaimDecision.Running running) {
             effects.follow(running.entry(), running.request());
-            over();
+            complete();
         } else if (decision instanceof ClaimDecision.Answered answered) {
             effects.replay(answered.answer());
-            over();
+            complete();
         } else if (decision instanceof ClaimDecision.Refused refused) {
-            finish(refused.error());
+            fail(refused.error());
         }
     }
 
@@ -185,11 +190,11 @@
             return;
         }
         if (verdict instanceof QuarantineRequested.Verdict.Refused refused) {
-            if (waitsForPermit(refused.error())) {
+            if (schedulePermitRetry(refused.error())) {
                 return;
             }
-            // A later attempt is refused although an earlier one may have run: "not run" would be a lie about that one.
-            finish(mayHaveRun ? lostError() : refused.error());
+            // An earlier attempt may have run, so the error of the refused one must not say that nothing ran.
+            fail(mayHaveRun ? attemptError() : refused.error());
             return;
         }
         if (verdict instanceof QuarantineRequested.Verdict.Alone alone) {
@@ -207,8 +212,8 @@
             return;
         }
         if (answer instanceof RouteRequested.Answer.Refused refused) {
-            if (!waitsForEndpoint(refused.error())) {
-                finish(routeError(refused.error()));
+            if (!scheduleRouteRetry(refused.error())) {
+                fail(routeError(refused.error()));
             }
             return;
         }
@@ -223,21 +228,22 @@
         }
     }
 
-    public void onImported(long ofAttempt) {
-        if (state == State.IMPORTING && ofAttempt == attempt) {
+    public void onImported(long eventAttempt) {
+        if (state == State.IMPORTING && eventAttempt == attempt) {
             send();
         }
     }
 
-    public void onHead(long ofLeg, AnswerHead head) {
-        if (isStale(ofLeg)) {
+    /** Handles the head of an answer; the first head of a model's answer pins the weight version. */
+    public void onHead(long eventLeg, AnswerHead head) {
+        if (isStale(eventLeg)) {
             return;
         }
         mayHaveRun = true;
         if (profile.model()) {
             if (version.isPresent() && !version.get().value().equals(head.version())) {
                 effects.cancelStream(endpoint, head.stream(), Duration.ZERO);
-                onFailure(ofLeg, AttemptFailure.WRONG_VERSION, "it runs version " + head.version());
+                onFailure(eventLeg, AttemptFailure.WRONG_VERSION, "it runs version " + head.version());
                 return;
             }
             version = Optional.of(WeightVersion.of(head.version()));
@@ -250,155 +256,162 @@
         }
     }
 
-    /** A piece of a model's answer; {@code index} counts from 1 on the engine that runs this attempt. */
-    public void onPiece(long ofLeg, long index, String pieceText) {
-        if (isStale(ofLeg) || state != State.STREAMING) {
+    /** Handles a piece of a model's answer; {@code index} counts from 1 on the engine that runs this attempt. */
+    public void onPiece(long eventLeg, long index, String pieceText) {
+        if (isStale(eventLeg) || state != State.STREAMING) {
             return;
         }
-        long position = legBase + index;
-        if (position <= emitted) {
+        long position = piecesBeforeAttempt + index;
+        if (position <= piecesSent) {
             return;
         }
-        if (position > emitted + 1) {
-            onFailure(ofLeg, AttemptFailure.BROKEN, "piece " + position + " came after piece " + emitted);
+        if (position > piecesSent + 1) {
+            onFailure(eventLeg, AttemptFailure.BROKEN, "piece " + position + " came after piece " + piecesSent);
             return;
         }
-        emitted = position;
+        piecesSent = position;
         resumesWithoutProgress = 0;
-        noteFirstToken();
+        reportFirstToken();
         text.append(pieceText);
-        effects.answerPiece(emitted, pieceText);
+        effects.answerPiece(piecesSent, pieceText);
     }
 
-    public void onBytes(long ofLeg, ByteBuffer bytes) {
-        if (isStale(ofLeg) || state != State.STREAMING) {
+    /** Handles the next bytes of a plain answer. */
+    public void onBytes(long eventLeg, ByteBuffer bytes) {
+        if (isStale(eventLeg) || state != State.STREAMING) {
             return;
         }
-        emitted++;
-        noteFirstToken();
+        piecesSent++;
+        reportFirstToken();
         effects.answerBytes(bytes);
     }
 
-    public void onUsage(long ofLeg, Usage reported) {
-        if (!isStale(ofLeg)) {
+    public void onUsage(long eventLeg, Usage reported) {
+        if (!isStale(eventLeg)) {
             usage = reported;
         }
     }
 
-    /** The whole answer of this leg arrived, end mark included. */
-    public void onDone(long ofLeg) {
-        if (isStale(ofLeg)) {
+    /** Called when the whole answer of this leg has arrived, including its end mark. */
+    public void onDone(long eventLeg) {
+        if (isStale(eventLeg)) {
             return;
         }
         if (profile.model() && usage == null) {
-            onFailure(ofLeg, AttemptFailure.BROKEN, "the answer ended without its last chunk");
+            onFailure(eventLeg, AttemptFailure.BROKEN, "the answer ended without its last chunk");
             return;
         }
         long cached = usage == null ? -1 : usage.cachedTokens();
         endAttempt(true, cached);
         effects.report(new AttemptObserved(endpoint.id(), endpoint.incarnation(), AttemptObserved.Outcome.ANSWERED));
         effects.earnRetryBudget();
-        effects.answerEnd(Optional.ofNullable(usage).map(this::overAllAttempts));
+        effects.answerEnd(Optional.ofNullable(usage).map(this::totalUsage));
         endClaim(ClaimEnded.Outcome.ANSWERED);
-        over();
+        complete();
     }
 
     /**
-     * The present leg failed. The cases, in this order:
+     * Handles the failure of the current leg. The cases are checked in this order:
      *
      * <ol>
-     *   <li>The endpoint holds the request for wrong: final, and it did not run.
-     *   <li>The failure proves that nothing ran, and no earlier leg of this attempt may have run: another endpoint may
-     *       try, within the budget, also for a request that isn't idempotent.
-     *   <li>A resume failed because nobody listens there any more: the endpoint died while running this prompt, which
-     *       is reported; go on as in 6.
-     *   <li>The connection broke or fell silent and the engine's stream is known: read on over a new connection to the
-     *       same engine. This runs nothing anew, so it is right for every request.
-     *   <li>The connection broke or fell silent before any head, or resuming came to nothing: ask the endpoint whether
-     *       it lives, because a death must be counted against this prompt. A refused connection is not the only sign
-     *       of it: something before a dead endpoint may accept connections and then close them. Go on as in 6.
-     *   <li>It may have run. An idempotent request may go on elsewhere: a model's answer from the text so far, a plain
-     *       one only if no byte reached the caller. Any other request ends, and says that it may have run.
+     *   <li>The endpoint rejected the request as invalid: the failure is final, and the request did not run.
+     *   <li>The failure proves that nothing ran, and no earlier leg of this attempt may have run: the request is
+     *       retried on another endpoint within the retry budget, even if it isn't idempotent.
+     *   <li>A resume failed because the endpoint refused the connection: the endpoint terminated while it ran this
+     *       prompt. The termination is reported, and case 6 applies.
+     *   <li>The connection broke or fell silent, and the stream on the engine is known: the stream is resumed over a
+     *       new connection to the same engine. This doesn't run anything again, so it is correct for every request.
+     *   <li>The connection broke or fell silent before any head arrived, or resuming did not succeed: the endpoint is
+     *       probed, because its termination must be counted for this prompt. A refused connection is not the only
+     *       indication of a termination: an intermediary in front of a terminated endpoint may accept connections and
+     *       then close them. After the probe, case 6 applies.
+     *   <li>The request may have run. An idempotent request is retried on another endpoint: a model's answer continues
+     *       from the text so far, and a plain answer starts again only if no byte of it reached the caller. Any other
+     *       request ends with an error which says that it may have run.
      * </ol>
      */
-    public void onFailure(long ofLeg, AttemptFailure failure, String detail) {
-        if (isStale(ofLeg)) {
+    public void onFailure(long eventLeg, AttemptFailure failure, String detail) {
+        if (isStale(eventLeg)) {
             return;
         }
         lastFailure = failure;
         lastDetail = detail;
         boolean resuming = state == State.RESUMING;
         effects.abandon(leg);
-        effects.report(new AttemptObserved(endpoint.id(), endpoint.incarnation(), failure.observed()));
+        effects.report(new AttemptObserved(endpoint.id(), endpoint.incarnation(), failure.observedOutcome()));
         mayHaveRunBefore = mayHaveRun;
         mayHaveRun |= resuming || !failure.provesNotRun();
         if (failure == AttemptFailure.REJECTED && !resuming) {
             endAttempt(false, -1);
-            finish(ErrorKind.ENDPOINT_REJECTED.raise(detail));
+            fail(ErrorKind.ENDPOINT_REJECTED.raise(detail));
         } else if (failure.provesNotRun() && !resuming) {
-            tryElsewhere();
+            retryOnOtherEndpoint();
         } else if (resuming && failure == AttemptFailure.CONNECT_FAILED) {
-            reportDeath();
-            tryElsewhere();
+            reportTermination();
+            retryOnOtherEndpoint();
         } else if (canResume(failure)) {
             resumeStream();
         } else if (failure == AttemptFailure.BROKEN || failure == AttemptFailure.SILENT) {
             state = State.PROBING;
             effects.probe(leg, endpoint);
         } else {
-            tryElsewhere();
+            retryOnOtherEndpoint();
         }
     }
 
-    public void onProbed(long ofLeg, boolean alive) {
-        if (isStale(ofLeg) || state != State.PROBING) {
+    /** Handles the result of a probe; the termination of an endpoint is counted for the prompt. */
+    public void onProbed(long eventLeg, boolean alive) {
+        if (isStale(eventLeg) || state != State.PROBING) {
             return;
         }
         if (!alive) {
-            reportDeath();
+            reportTermination();
         }
-        tryElsewhere();
+        retryOnOtherEndpoint();
     }
 
-    public void onTimer(TimerKind kind, long ofLeg) {
+    public void onTimer(TimerKind kind, long eventLeg) {
         if (state == State.OVER) {
             return;
         }
         if (kind == TimerKind.DEADLINE) {
-            giveUpAtDeadline();
-        } else if (state == State.WAITING && ofLeg == leg) {
-            judge();
+            failAtDeadline();
+        } else if (state == State.WAITING && eventLeg == leg) {
+            checkQuarantine();
         }
     }
 
     /**
-     * The caller's connection is gone. A keyed run goes on to its end, because its answer is kept for the caller's
-     * repeat. Any other run is left: the engine keeps a streamed answer for the grace time, in which a resume may come.
+     * Called when the caller's connection has been closed. A run with an idempotency key continues to its end, because
+     * its answer is retained for a retry of the caller. Any other run is released: the engine retains a streamed answer
+     * for the grace time, within which the caller may resume it.
      */
     public void onCallerLeft() {
-        if (state == State.OVER || callerLeft) {
+        if (state == State.OVER || callerDisconnected) {
             return;
         }
-        callerLeft = true;
+        callerDisconnected = true;
         if (claimHeld || state == State.CLAIMING) {
             return;
         }
         if (state == State.ADMITTING) {
             effects.report(new AdmissionRequested.Withdrawn(profile.request()));
         }
-        leaveEndpoint(profile.streamed() ? profile.resumeGrace() : Duration.ZERO);
-        over();
+        releaseEndpoint(profile.streamed() ? profile.resumeGrace() : Duration.ZERO);
+        complete();
     }
 
     /**
-     * Whether a run that has begun waits and asks again. After a death its prompt runs only under a permit, and the
-     * owner of permits has none to give while another run holds it, or for some seconds after it became the owner. The
-     * caller has a part of the answer already, so giving up would lose it; the deadline of the request bounds the wait.
+     * Schedules a retry for a run that has started and was refused a permit; returns whether it did.
+     *
+     * <p>After a termination the prompt runs only with a permit. The issuer grants none while another run holds the
+     * permit, or for some seconds after it became the owner of the shard. The caller may already have received a part
+     * of the answer, which an error would make useless. The deadline of the request bounds the wait.
      */
-    private boolean waitsForPermit(YuccagwException refusal) {
-        boolean passes =
+    private boolean schedulePermitRetry(YuccagwException refusal) {
+        boolean isTemporary =
                 refusal.kind() == ErrorKind.OVERLOADED && refusal.retryAfter().isPresent();
-        if (!passes || attemptsMade == 0) {
+        if (!isTemporary || attemptsMade == 0) {
             return false;
         }
         state = State.WAITING;
@@ -408,25 +421,27 @@
     }
 
     /**
-     * Whether a request that surely hasn't run asks again shortly. What an entry knows of endpoints lags: while a swap
-     * rolls fast, replicas that have finished loading still seem to load, or to run the older version and then refuse,
-     * so that for a moment none seems to serve. A few short waits bridge the lag, after which every endpoint may be
-     * tried again; after them the refusal is final and goes out at once.
+     * Schedules a retry for a request that certainly hasn't run and found no endpoint; returns whether it did.
+     *
+     * <p>The local view of the endpoints is delayed. During a fast rolling swap, replicas that have finished loading
+     * are still seen as loading, or as running the older version and then refuse the request, so that for a short time
+     * no replica seems to serve. A few short waits bridge the delay; after each of them every endpoint may be tried
+     * again. When they are used up, the refusal is final and is sent at once.
      */
-    private boolean waitsForEndpoint(YuccagwException refusal) {
-        boolean mayPass = refusal.kind() == ErrorKind.NO_ENDPOINT && !mayHaveRun;
-        if (!mayPass || routeWaits >= MOST_ROUTE_WAITS) {
+    private boolean scheduleRouteRetry(YuccagwException refusal) {
+        boolean isTemporary = refusal.kind() == ErrorKind.NO_ENDPOINT && !mayHaveRun;
+        if (!isTemporary || routeRetries >= MAX_ROUTE_RETRIES) {
             return false;
         }
-        routeWaits++;
+        routeRetries++;
         excluded.clear();
         state = State.WAITING;
         leg++;
-        effects.schedule(TimerKind.BACKOFF, leg, ROUTE_WAIT);
+        effects.schedule(TimerKind.BACKOFF, leg, ROUTE_RETRY_DELAY);
         return true;
     }
 
-    private void judge() {
+    private void checkQuarantine() {
         state = State.JUDGING;
         effects.askQuarantine();
     }
@@ -435,31 +450,31 @@
         state = State.SENDING;
         attemptsMade++;
         leg++;
-        legBase = emitted;
+        piecesBeforeAttempt = piecesSent;
         stream = "";
         usage = null;
         sentNanos = effects.nowNanos();
         effects.report(new AttemptReport.Sent(attempt));
-        effects.send(leg, attempt, endpoint, text.toString(), emitted);
+        effects.send(leg, attempt, endpoint, text.toString(), piecesSent);
     }
 
     private boolean canResume(AttemptFailure failure) {
         boolean connectionOnly = failure == AttemptFailure.BROKEN || failure == AttemptFailure.SILENT;
-        return connectionOnly && !stream.isEmpty() && resumesWithoutProgress < MOST_RESUMES_WITHOUT_PROGRESS;
+        return connectionOnly && !stream.isEmpty() && resumesWithoutProgress < MAX_RESUMES_WITHOUT_PROGRESS;
     }
 
     private void resumeStream() {
         resumesWithoutProgress++;
         state = State.RESUMING;
         leg++;
-        effects.resume(leg, endpoint, stream, emitted - legBase);
+        effects.resume(leg, endpoint, stream, piecesSent - piecesBeforeAttempt);
     }
 
-    private void tryElsewhere() {
+    private void retryOnOtherEndpoint() {
         endAttempt(false, -1);
         excluded.add(endpoint.id());
-        if (!mayGoElsewhere()) {
-            finish(lostError());
+        if (!mayRetryOnOtherEndpoint()) {
+            fail(attemptError());
             return;
         }
         RetryDecision decision = effects.decideRetry(lastFailure, mayHaveRunBefore, attemptsMade);
@@ -469,45 +484,47 @@
             leg++;
             effects.schedule(TimerKind.BACKOFF, leg, retry.after());
         } else {
-            finish(exhaustedError((RetryDecision.GiveUp) decision));
+            fail(retryError((RetryDecision.GiveUp) decision));
         }
     }
 
-    private boolean mayGoElsewhere() {
+    /** Whether another endpoint may run the request: it hasn't run, or it is idempotent and its answer can continue. */
+    private boolean mayRetryOnOtherEndpoint() {
         if (!mayHaveRun) {
             return true;
         }
         if (!profile.idempotent()) {
             return false;
         }
-        boolean textKnown = profile.resumeAt().isEmpty()
-                || profile.resumeAt().get().textSoFar().isPresent();
-        return profile.model() ? textKnown : emitted == 0 && !headSent;
+        boolean textKnown = profile.resumePoint().isEmpty()
+                || profile.resumePoint().get().textSoFar().isPresent();
+        return profile.model() ? textKnown : piecesSent == 0 && !headSent;
     }
 
-    private void reportDeath() {
+    private void reportTermination() {
         lastFailure = AttemptFailure.DIED;
         effects.report(new AttemptObserved(endpoint.id(), endpoint.incarnation(), AttemptObserved.Outcome.DIED));
         effects.report(
                 new EndpointDied(profile.fingerprint(), endpoint.id(), endpoint.incarnation(), permit != NO_PERMIT));
     }
 
-    private void noteFirstToken() {
-        if (!firstSeen && attempt != NO_ATTEMPT) {
-            firstSeen = true;
+    private void reportFirstToken() {
+        if (!firstTokenReported && attempt != NO_ATTEMPT) {
+            firstTokenReported = true;
             long millis = (effects.nowNanos() - sentNanos) / 1_000_000;
             effects.report(new AttemptReport.FirstToken(attempt, millis));
         }
     }
 
-    private Usage overAllAttempts(Usage ofLastAttempt) {
-        long answerTokens = Math.max(emitted, ofLastAttempt.answerTokens());
-        long promptTokens = ofLastAttempt.promptTokens() - legBase;
+    /** Returns the usage over all attempts; the prompt of a later attempt contains the pieces of the earlier ones. */
+    private Usage totalUsage(Usage ofLastAttempt) {
+        long answerTokens = Math.max(piecesSent, ofLastAttempt.answerTokens());
+        long promptTokens = ofLastAttempt.promptTokens() - piecesBeforeAttempt;
         return new Usage(
                 Math.max(0, promptTokens), answerTokens, ofLastAttempt.cachedTokens(), ofLastAttempt.finishReason());
     }
 
-    private void giveUpAtDeadline() {
+    private void failAtDeadline() {
         long millis = profile.answerDeadline().toMillis();
         if (state == State.ADMITTING) {
             effects.report(new AdmissionRequested.Withdrawn(profile.request()));
@@ -515,11 +532,11 @@
         mayHaveRun |= state == State.SENDING;
         YuccagwException error =
                 mayHaveRun ? ErrorKind.DEADLINE_PASSED.raise(millis) : ErrorKind.OVERLOADED.raise(millis);
-        leaveEndpoint(Duration.ZERO);
-        finish(error);
+        releaseEndpoint(Duration.ZERO);
+        fail(error);
     }
 
-    private void leaveEndpoint(Duration grace) {
+    private void releaseEndpoint(Duration grace) {
         if (leg > 0) {
             effects.abandon(leg);
         }
@@ -530,16 +547,16 @@
     }
 
     private YuccagwException routeError(YuccagwException error) {
-        boolean begun = emitted > 0 || headSent;
-        if (begun && version.isPresent()) {
+        boolean answerStarted = piecesSent > 0 || headSent;
+        if (answerStarted && version.isPresent()) {
             return ErrorKind.VERSION_GONE.raise(version.get());
         }
-        return mayHaveRun ? lostError() : error;
+        return mayHaveRun ? attemptError() : error;
     }
 
-    private YuccagwException lostError() {
+    private YuccagwException attemptError() {
         String detail = lastFailure == null ? lastDetail : lastFailure + ": " + lastDetail;
-        if (headSent || emitted > 0) {
+        if (headSent || piecesSent > 0) {
             return ErrorKind.STREAM_LOST.raise(detail);
         }
         return mayHaveRun
@@ -547,15 +564,15 @@
                 : ErrorKind.ENDPOINT_REFUSED.raise(endpoint.id(), detail);
     }
 
-    private YuccagwException exhaustedError(RetryDecision.GiveUp decision) {
+    private YuccagwException retryError(RetryDecision.GiveUp decision) {
         boolean budgetSpent = decision.error() == ErrorKind.RETRY_BUDGET_SPENT && !mayHaveRun;
-        return budgetSpent ? ErrorKind.RETRY_BUDGET_SPENT.raise(profile.service()) : lostError();
+        return budgetSpent ? ErrorKind.RETRY_BUDGET_SPENT.raise(profile.service()) : attemptError();
     }
 
-    private void finish(YuccagwException error) {
+    private void fail(YuccagwException error) {
         endClaim(mayHaveRun ? ClaimEnded.Outcome.UNKNOWN : ClaimEnded.Outcome.NOT_SENT);
         effects.answerError(error);
-        over();
+        complete();
     }
 
     private void endClaim(ClaimEnded.Outcome outcome) {
@@ -570,7 +587,7 @@
 
     private void endAttempt(boolean answered, long cachedTokens) {
         if (attempt != NO_ATTEMPT) {
-            effects.report(new AttemptReport.Ended(attempt, answered, cachedTokens, emitted - legBase));
+            effects.report(new AttemptReport.Ended(attempt, answered, cachedTokens, piecesSent - piecesBeforeAttempt));
             attempt = NO_ATTEMPT;
         }
         if (permit != NO_PERMIT) {
@@ -583,12 +600,12 @@
         effects.report(new QuarantineRequested.PermitReturned(profile.fingerprint(), number));
     }
 
-    private void over() {
+    private void complete() {
         state = State.OVER;
         if (admitted) {
             admitted = false;
-            long used = usage == null ? emitted : usage.promptTokens() + usage.answerTokens();
-            effects.report(new AdmissionRequested.Released(profile.request(), used));
+            long usedTokens = usage == null ? piecesSent : usage.promptTokens() + usage.answerTokens();
+            effects.report(new AdmissionRequested.Released(profile.request(), usedTokens));
         }
         if (permit != NO_PERMIT) {
             returnPermit(permit);
@@ -597,7 +614,8 @@
         effects.ended();
     }
 
-    private boolean isStale(long ofLeg) {
-        return ofLeg != leg || state == State.OVER;
+    /** Whether an event belongs to an earlier leg or arrives after the end. */
+    private boolean isStale(long eventLeg) {
+        return eventLeg != leg || state == State.OVER;
     }
 }
--- a/src/main/java/org/yuccagw/core/request/RequestProfile.java
+++ b/src/main/java/org/yuccagw/core/request/RequestProfile.java
@@ -11,13 +11,16 @@
 import org.yuccagw.core.quarantine.PromptFingerprint;
 
 /**
- * What the request machine needs to know of a request.
+ * The properties of a request on which {@link RequestMachine} depends.
  *
- * @param model whether it goes to a model engine, else to a plain service
- * @param idempotent whether running it again does no harm
- * @param claim present when the caller sent a key
- * @param answerDeadline longest time for the whole answer
- * @param resumeGrace how long the engine keeps the stream of a caller who left
+ * @param model whether the request is sent to a model engine; otherwise to a plain service
+ * @param idempotent whether the request may run more than once
+ * @param streamed whether the answer is streamed to the caller
+ * @param claim present if the caller sent an idempotency key
+ * @param fingerprint identifies the prompt in the quarantine
+ * @param answerDeadline maximum time for the whole answer
+ * @param resumeGrace time for which the engine retains the stream of a caller that disconnected
+ * @param resumePoint position at which to resume an answer that an earlier request started
  */
 public record RequestProfile(
         RequestId request,
@@ -30,13 +33,15 @@
         PromptFingerprint fingerprint,
         Duration answerDeadline,
         Duration resumeGrace,
-        Optional<ResumePoint> resumeAt) {
+        Optional<ResumePoint> resumePoint) {
 
     /**
-     * Where the answer goes on that an earlier request began.
+     * The position at which to resume an answer that an earlier request started.
      *
-     * @param from pieces that the caller has
-     * @param textSoFar their text, empty when the caller didn't send it: the run can then not go on elsewhere
+     * @param stream identifier of the stream on the engine
+     * @param from number of pieces that the caller has received
+     * @param textSoFar the text of those pieces; empty if the caller didn't send it, in which case the run can't
+     *     continue on another endpoint
      */
     public record ResumePoint(
             EndpointId endpoint, String stream, WeightVersion version, long from, Optional<String> textSoFar) {}
--- a/src/main/java/org/yuccagw/core/request/ResumeToken.java
+++ b/src/main/java/org/yuccagw/core/request/ResumeToken.java
@@ -15,18 +15,20 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * Everything that an entry needs to go on with an answer that another entry began, signed so that no caller can make
- * one up. No state is shared between entries for it.
+ * Token with which an entry can resume an answer that another entry started, without shared state between entries. It
+ * is signed so that callers can't forge it.
  *
- * <p>The text form is {@code payload.signature}, both in URL-safe Base64: the payload is the fields joined by newlines,
- * the signature HMAC-SHA-256 of the payload under the first key of the settings. A token is accepted when any of the
- * keys verifies it, so that keys are rotated by putting a new one first and dropping the old one later.
+ * <p>The text form is {@code payload.signature}, both in URL-safe Base64. The payload consists of the fields joined by
+ * newlines; the signature is the HMAC-SHA-256 of the payload under the first key of the settings. A token is accepted
+ * if any of the keys verifies it, so keys are rotated by inserting a new key in first position and removing the old one
+ * later.
  *
- * <p>A token names its workspace: it helps only a caller who also shows a key of that workspace.
+ * <p>A token contains its workspace and is valid only together with a key of that workspace.
  *
- * @param stream the engine's name of the stream
+ * @param incarnation of the VM of the endpoint
+ * @param stream identifier of the stream on the engine
  * @param version weight version that the run uses
- * @param chat whether the answer has the shape of a chat completion
+ * @param chat whether the answer has the format of a chat completion
  */
 public record ResumeToken(
         RequestId request,
@@ -41,7 +43,7 @@
     private static final int FIELDS = 9;
     private static final BaseEncoding ENCODING = BaseEncoding.base64Url().omitPadding();
 
-    /** The text form, signed with {@code key}. */
+    /** Returns the text form, signed with {@code key}. */
     public String sign(String key) {
         String payload = String.join(
                 "\n",
@@ -59,19 +61,19 @@
     }
 
     /**
-     * Reads a token that one of {@code keys} signed.
+     * Decodes a token that was signed with one of {@code keys}.
      *
-     * @throws YuccagwException of kind WRONG_RESUME_TOKEN
+     * @throws YuccagwException of kind WRONG_RESUME_TOKEN if the token is malformed or its signature is invalid
      */
     public static ResumeToken verify(String text, List<String> keys) throws YuccagwException {
-        List<String> halves = Splitter.on('.').splitToList(text);
-        if (halves.size() != 2) {
+        List<String> parts = Splitter.on('.').splitToList(text);
+        if (parts.size() != 2) {
             throw ErrorKind.WRONG_RESUME_TOKEN.raise("has no signature");
         }
-        byte[] payload = decode(halves.get(0));
-        byte[] signature = decode(halves.get(1));
-        boolean signed = keys.stream().anyMatch(key -> MessageDigest.isEqual(signature(key, payload), signature));
-        if (!signed) {
+        byte[] payload = decode(parts.get(0));
+        byte[] signature = decode(parts.get(1));
+        boolean valid = keys.stream().anyMatch(key -> MessageDigest.isEqual(signature(key, payload), signature));
+        if (!valid) {
             throw ErrorKind.WRONG_RESUME_TOKEN.raise("isn't signed by this deployment");
         }
         return parse(new String(payload, StandardCharsets.UTF_8));
--- a/src/main/java/org/yuccagw/core/request/Usage.java
+++ b/src/main/java/org/yuccagw/core/request/Usage.java
@@ -1,9 +1,9 @@
 package org.yuccagw.core.request;
 
 /**
- * What the engine says an answer took.
+ * Token counts of one answer, as reported by the engine.
  *
- * @param cachedTokens prompt tokens reused from its cache
- * @param finishReason the engine's word, such as {@code stop} or {@code length}
+ * @param cachedTokens number of prompt tokens reused from the engine's cache
+ * @param finishReason the engine's reason for ending the answer, such as {@code stop} or {@code length}
  */
 public record Usage(long promptTokens, long answerTokens, long cachedTokens, String finishReason) {}
--- a/src/main/java/org/yuccagw/core/request/package-info.java
+++ b/src/main/java/org/yuccagw/core/request/package-info.java
@@ -1,2 +1,2 @@
-/** One request from arrival to its last byte: the deterministic state machine that traffic threads drive. */
+/** The deterministic state machine of one request, from arrival to the last byte, which traffic threads drive. */
 package org.yuccagw.core.request;
--- a/src/test/java/org/yuccagw/core/request/RecordedEffects.java
+++ b/src/test/java/org/yuccagw/core/request/RecordedEffects.java
@@ -18,7 +18,7 @@
 import org.yuccagw.core.retry.RetryDecision;
 import org.yuccagw.core.routing.ImportPlan;
 
-/** Writes down every effect of a request machine as one line, in order. */
+/** Records each effect of a request machine as one line, in order. */
 final class RecordedEffects implements RequestEffects {
     final List<String> lines = new ArrayList<>();
     final List<ControlEvent> reports = new ArrayList<>();
@@ -33,27 +33,28 @@
 
     @Override
     public void askAdmission() {
-        lines.add("admission?");
+        lines.add("request admission");
     }
 
     @Override
     public void askClaim() {
-        lines.add("claim?");
+        lines.add("request claim");
     }
 
     @Override
     public void askQuarantine() {
-        lines.add("quarantine?");
+        lines.add("request quarantine decision");
     }
 
     @Override
     public void askRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
-        lines.add("route? version " + version.map(WeightVersion::value).orElse("any") + " without " + excluded);
+        lines.add("request route with version "
+                + version.map(WeightVersion::value).orElse("any") + " excluding " + excluded);
     }
 
     @Override
     public void startImport(long attempt, EndpointStatus endpoint, ImportPlan plan) {
-        lines.add("import at " + endpoint.id());
+        lines.add("import on " + endpoint.id());
     }
 
     @Override
@@ -63,7 +64,7 @@
 
     @Override
     public void resume(long leg, EndpointStatus endpoint, String stream, long from) {
-        lines.add("resume leg " + leg + " at " + endpoint.id() + " stream " + stream + " from " + from);
+        lines.add("resume leg " + leg + " on " + endpoint.id() + " stream " + stream + " from " + from);
     }
 
     @Override
@@ -88,7 +89,7 @@
 
     @Override
     public RetryDecision decideRetry(AttemptFailure failure, boolean mayHaveRunBefore, int attemptsMade) {
-        lines.add("retry after " + failure + "?");
+        lines.add("retry after " + failure + " requested");
         return new RetryDecision.Retry(Duration.ofMillis(1), true);
     }
 
@@ -123,15 +124,15 @@
     }
 
     @Override
-    public void answerError(YuccagwException given) {
-        lines.add("error " + given.kind());
-        error = given;
+    public void answerError(YuccagwException finalError) {
+        lines.add("error " + finalError.kind());
+        error = finalError;
         ends++;
     }
 
     @Override
     public void follow(EntryId entry, RequestId request) {
-        lines.add("follow " + request + " at " + entry);
+        lines.add("follow " + request + " on " + entry);
         ends++;
     }
 
@@ -148,7 +149,7 @@
 
     @Override
     public void ended() {
-        lines.add("over");
+        lines.add("ended");
     }
 
     <T extends ControlEvent> List<T> reports(Class<T> type) {
--- a/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
+++ b/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
@@ -37,15 +37,15 @@
     private RecordedEffects effects;
 
     @BeforeMethod
-    public void freshEffects() {
+    public void createEffects() {
         effects = new RecordedEffects();
     }
 
-    // ---- The usual way.
+    // ---- The usual sequence.
 
     @Test
-    public void aRequestGoesThroughAdmissionQuarantineAndRouteToItsEnd() {
-        RequestMachine machine = streaming(true, false);
+    public void aRequestPassesAdmissionQuarantineAndRoutingUntilItsEnd() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onPiece(1, 2, "b ");
@@ -55,26 +55,26 @@
                 effects.lines,
                 ImmutableList.of(
                         "timer DEADLINE",
-                        "admission?",
-                        "quarantine?",
-                        "route? version any without []",
+                        "request admission",
+                        "request quarantine decision",
+                        "request route with version any excluding []",
                         "send leg 1 to e1 after ''",
                         "head",
                         "piece 1",
                         "piece 2",
                         "end",
-                        "over"));
+                        "ended"));
         assertEquals(effects.reports(AdmissionRequested.Released.class).size(), 1);
         assertTrue(effects.reports(AttemptReport.Ended.class).get(0).answered());
     }
 
-    // ---- Whole answers.
+    // ---- Complete answers.
 
-    // The connection to the engine falls silent in mid-answer while new connections work: something between the two
-    // ends lost track of it. The user would see the answer stop. The stream is read on over a new connection.
+    // The connection to the engine falls silent during the answer while new connections work, because an intermediary
+    // has lost its state. The user would see the answer stop. The stream is resumed over a new connection.
     @Test
-    public void aSilentStreamIsReadOnOverANewConnection() {
-        RequestMachine machine = streaming(false, true);
+    public void aSilentStreamIsResumedOverANewConnection() {
+        RequestMachine machine = sentRequest(false, true);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onFailure(1, AttemptFailure.SILENT, "silent");
@@ -82,16 +82,16 @@
         machine.onPiece(2, 2, "b ");
         machine.onUsage(2, new Usage(10, 2, 0, "stop"));
         machine.onDone(2);
-        assertTrue(effects.lines.contains("resume leg 2 at e1 stream s1 from 1"));
+        assertTrue(effects.lines.contains("resume leg 2 on e1 stream s1 from 1"));
         assertEquals(effects.callerText.toString(), "a b ");
         assertEquals(effects.ends, 1);
     }
 
-    // After the new connection stands, bytes of the abandoned one still arrive, and the engine repeats a piece.
-    // The user would see words twice. Pieces of an old leg and pieces already sent are dropped.
+    // After the new connection is established, bytes of the abandoned one still arrive, and the engine sends a piece
+    // again. The user would see words twice. Pieces of an earlier leg and pieces that were already sent are dropped.
     @Test
     public void latePiecesOfAnAbandonedConnectionNeverReachTheCaller() {
-        RequestMachine machine = streaming(true, false);
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onFailure(1, AttemptFailure.SILENT, "silent");
@@ -104,29 +104,29 @@
         assertFalse(machine.isOver());
     }
 
-    // A piece is missing between two others. The user would get an answer with a hole that looks whole.
+    // A piece is missing between two others. The user would receive an incomplete answer without an error.
     @Test
-    public void aGapBetweenPiecesIsReadAgainInsteadOfPassedOn() {
-        RequestMachine machine = streaming(true, false);
+    public void aStreamWithAGapBetweenPiecesIsResumedBeforeTheGap() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onPiece(1, 3, "c ");
-        assertTrue(effects.lines.contains("resume leg 2 at e1 stream s1 from 1"));
+        assertTrue(effects.lines.contains("resume leg 2 on e1 stream s1 from 1"));
         assertEquals(effects.callerText.toString(), "a ");
     }
 
-    // The engine dies in mid-answer of an idempotent request: the resume finds nobody listening. The run goes on at
-    // another engine from the text so far, on the same weight version, and the caller sees one answer.
+    // The engine terminates during the answer to an idempotent request, and the resume is refused a connection. The run
+    // continues on another engine of the same weight version from the text so far, and the caller receives one answer.
     @Test
-    public void anIdempotentAnswerGoesOnElsewhereWhenItsEngineDied() {
-        RequestMachine machine = streaming(true, false);
+    public void anIdempotentAnswerContinuesOnAnotherEngineWhenItsEngineTerminated() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
         machine.onVerdict(new QuarantineRequested.Verdict.Free());
-        assertTrue(effects.lines.contains("route? version v1 without [e1]"));
+        assertTrue(effects.lines.contains("request route with version v1 excluding [e1]"));
         machine.onRoute(chosen("e2", 2));
         assertTrue(effects.lines.contains("send leg 4 to e2 after 'a '"));
         machine.onHead(4, head("s9", "v1"));
@@ -137,11 +137,11 @@
         assertEquals(effects.reports(EndpointDied.class).size(), 1);
     }
 
-    // The continued run lands on an engine that meanwhile swapped to other weights. The user would get an answer that
-    // two versions wrote. The engine's head gives it away before any of its pieces is passed on.
+    // The run continues on an engine that has been swapped to other weights in the meantime. The user would receive an
+    // answer from two versions. The head of the engine's answer shows its version before any of its pieces is sent.
     @Test
     public void anAnswerNeverMixesWeightVersions() {
-        RequestMachine machine = streaming(true, false);
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
@@ -155,13 +155,12 @@
         assertEquals(effects.callerText.toString(), "a ");
     }
 
-    // An engine dies in mid-answer behind something that still accepts connections and then closes them. No connection
-    // is ever refused, so the death went uncounted, and a prompt that ends engines ran on a third one. Once resuming
-    // has
-    // come to nothing the engine is asked whether it lives.
+    // An engine terminates during the answer behind an intermediary that still accepts connections and then closes
+    // them. No connection is ever refused, so the termination was not counted, and a prompt that terminates engines ran
+    // on a third one. After the resumes have failed, the engine is probed.
     @Test
-    public void aDeathBehindSomethingThatAcceptsConnectionsIsCounted() {
-        RequestMachine machine = streaming(true, false);
+    public void aTerminationBehindAnIntermediaryThatAcceptsConnectionsIsCounted() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.BROKEN, "reset");
@@ -171,11 +170,12 @@
         assertEquals(effects.reports(EndpointDied.class).size(), 1);
     }
 
-    // The engine died in mid-answer, and the owner of permits is new and grants none for some seconds. The caller has a
-    // part of its answer; the run waits for the permit instead of ending with an error.
+    // The engine terminated during the answer, and the owner of the prompt's shard is new and grants no permits for
+    // some seconds. The caller has received a part of its answer, so the run waits for the permit instead of ending
+    // with an error.
     @Test
-    public void aRunThatHasBegunWaitsForThePermitOfItsNextAttempt() {
-        RequestMachine machine = streaming(true, false);
+    public void aRunThatHasStartedWaitsForThePermitOfItsNextAttempt() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
@@ -191,8 +191,8 @@
     }
 
     @Test
-    public void anAnswerThatEndsWithoutItsLastChunkIsNotWhole() {
-        RequestMachine machine = streaming(true, false);
+    public void anAnswerThatEndsWithoutItsLastChunkIsIncomplete() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onDone(1);
@@ -201,11 +201,12 @@
 
     // ---- At most once.
 
-    // The connection breaks after a keyed, non-idempotent request was sent and before any answer. It may have run.
-    // Sending it to another endpoint could bill twice, so the caller is told that it may have run.
+    // The connection breaks after a non-idempotent request with an idempotency key was sent and before any answer. The
+    // request may have run, and a retry on another endpoint could bill twice, so the caller is informed that it may
+    // have run.
     @Test
-    public void aNonIdempotentRequestThatMayHaveRunIsNeverSentAgain() {
-        RequestMachine machine = streaming(false, true);
+    public void aNonIdempotentRequestThatMayHaveRunIsNeverRetried() {
+        RequestMachine machine = sentRequest(false, true);
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onProbed(1, true);
         assertEquals(effects.error.kind().ran(), ErrorKind.Ran.MAY_HAVE_RUN);
@@ -215,18 +216,18 @@
     }
 
     @Test
-    public void aNonIdempotentRequestGoesElsewhereWhenNothingWasSent() {
-        RequestMachine machine = streaming(false, true);
+    public void aNonIdempotentRequestIsRetriedOnAnotherEndpointWhenNothingWasSent() {
+        RequestMachine machine = sentRequest(false, true);
         machine.onFailure(1, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 2);
-        assertEquals(effects.lines.get(effects.lines.size() - 1), "quarantine?");
+        assertEquals(effects.lines.get(effects.lines.size() - 1), "request quarantine decision");
     }
 
-    // The first attempt of an idempotent request may have run; the second is refused for want of room. The last
-    // failure alone would say "not run", which would be a lie about the first.
+    // The first attempt of an idempotent request may have run, and the second is refused because no endpoint has free
+    // capacity. The second failure alone means that nothing ran, which may be false for the first attempt.
     @Test
-    public void aRefusalAfterAnAttemptThatMayHaveRunDoesNotSayNotRun() {
-        RequestMachine machine = streaming(true, false);
+    public void aRefusalAfterAnAttemptThatMayHaveRunIsNotReportedAsNotRun() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onProbed(1, true);
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 2);
@@ -235,11 +236,12 @@
         assertEquals(effects.error.kind().ran(), ErrorKind.Ran.MAY_HAVE_RUN);
     }
 
-    // An engine dies in mid-answer, and the next attempt is refused because its prompt must run alone and may not now.
-    // The user has read words of an answer whose error then says that nothing ran, and asks for it once more.
+    // An engine terminates during the answer, and the next attempt is refused because its prompt must run isolated and
+    // the permit is not available. The user, who has read a part of the answer, would be informed that nothing ran, and
+    // would send the request again.
     @Test
-    public void aQuarantineRefusalAfterAnAttemptThatMayHaveRunDoesNotSayNotRun() {
-        RequestMachine machine = streaming(true, false);
+    public void aQuarantineRefusalAfterAnAttemptThatMayHaveRunIsNotReportedAsNotRun() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
@@ -249,8 +251,8 @@
         assertEquals(effects.error.kind().ran(), ErrorKind.Ran.MAY_HAVE_RUN);
     }
 
-    // The claim is granted only after the caller's deadline has passed and it was told "not run". Nothing was sent, so
-    // the claim is given back, and the key can be used again.
+    // The claim is granted after the deadline has passed and the request was refused as not run. Nothing was sent, so
+    // the claim is released, and the key can be used again.
     @Test
     public void aClaimGrantedAfterTheDeadlineIsReleasedAsNotSent() {
         RequestMachine machine = machine(false, true);
@@ -263,39 +265,40 @@
     }
 
     @Test
-    public void aRepeatedKeyFollowsTheRunInProgress() {
+    public void aRetryWithTheSameKeyFollowsTheRunInProgress() {
         RequestMachine machine = machine(false, true);
         machine.begin();
         machine.onAdmitted(Optional.empty());
         machine.onClaim(new ClaimDecision.Running(EntryId.of("entry-2"), RequestId.of("r0")));
-        assertTrue(effects.lines.contains("follow r0 at entry-2"));
+        assertTrue(effects.lines.contains("follow r0 on entry-2"));
         assertEquals(effects.reports(AdmissionRequested.Released.class).size(), 1);
     }
 
-    // While a swap rolls fast, every replica seems to load for a moment, because reports lag. The user would be refused
-    // although replicas serve. The request asks again a few times; a pool that stays empty is a final refusal, not run.
+    // During a fast rolling swap every replica is seen as loading for a short time, because the reports are delayed.
+    // The user would be refused although replicas serve. The request is retried a few times; if the pool remains empty,
+    // the refusal as not run is final.
     @Test
-    public void aMomentWithoutEndpointsIsBridgedAndALongerOneRefused() {
+    public void aRequestWithoutEndpointsIsRetriedForAShortTimeAndThenRefused() {
         RequestMachine machine = machine(true, false);
         machine.begin();
         machine.onAdmitted(Optional.empty());
-        int asked = 0;
+        int refusals = 0;
         while (!machine.isOver()) {
             machine.onVerdict(new QuarantineRequested.Verdict.Free());
             machine.onRoute(new RouteRequested.Answer.Refused(ErrorKind.NO_ENDPOINT.raise("assistant")));
-            asked++;
-            machine.onTimer(RequestMachine.TimerKind.BACKOFF, asked);
+            refusals++;
+            machine.onTimer(RequestMachine.TimerKind.BACKOFF, refusals);
         }
-        assertEquals(asked, 9);
+        assertEquals(refusals, 9);
         assertEquals(effects.error.kind(), ErrorKind.NO_ENDPOINT);
         assertEquals(effects.ends, 1);
     }
 
-    // ---- Callers who leave.
+    // ---- Callers that disconnect.
 
     @Test
-    public void theStreamOfACallerWhoLeftWaitsItsGraceTime() {
-        RequestMachine machine = streaming(true, false);
+    public void theStreamOfADisconnectedCallerIsRetainedForTheGraceTime() {
+        RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
         machine.onCallerLeft();
         assertTrue(effects.lines.contains("cancel s1 after 20000 ms"));
@@ -303,8 +306,8 @@
     }
 
     @Test
-    public void aKeyedRunGoesOnWhenItsCallerLeft() {
-        RequestMachine machine = streaming(false, true);
+    public void aRunWithAnIdempotencyKeyContinuesWhenItsCallerDisconnects() {
+        RequestMachine machine = sentRequest(false, true);
         machine.onHead(1, head("s1", "v1"));
         machine.onCallerLeft();
         machine.onPiece(1, 1, "a ");
@@ -314,7 +317,7 @@
     }
 
     @Test
-    public void anAdmissionThatComesAfterTheCallerLeftIsGivenBack() {
+    public void anAdmissionThatIsGrantedAfterTheCallerDisconnectedIsReleased() {
         RequestMachine machine = machine(true, false);
         machine.begin();
         machine.onCallerLeft();
@@ -324,7 +327,7 @@
     }
 
     @Test
-    public void aPlaceOnAnEndpointThatComesAfterTheEndIsGivenBack() {
+    public void aPlacementThatIsGrantedAfterTheEndIsReleased() {
         RequestMachine machine = machine(true, false);
         machine.begin();
         machine.onAdmitted(Optional.empty());
@@ -336,7 +339,7 @@
 
     // ---- Helpers.
 
-    private RequestMachine streaming(boolean idempotent, boolean keyed) {
+    private RequestMachine sentRequest(boolean idempotent, boolean keyed) {
         RequestMachine machine = machine(idempotent, keyed);
         machine.begin();
         machine.onAdmitted(Optional.empty());
