--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -78,8 +78,8 @@
                         .put("claim_ends_to_record", claims.endsToRecord())
                         .put("claim_shards", claims.ownedShards()));
         snapshot.part(QuarantineSnapshot.class)
-                .ifPresent(quarantine ->
-                        node.put("suspected_prompts", quarantine.suspects()).put("permits", quarantine.permits()));
+                .ifPresent(quarantine -> node.put("suspected_prompts", quarantine.suspectedPrompts())
+                        .put("permits", quarantine.permits()));
     }
 
     ObjectNode endpoints(ControlSnapshot snapshot) {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public void askAdmission() {
+    public void requestAdmission() {
         spans.begin("admission");
         long promptTokens = target.engineBody().map(EngineBody::promptTokens).orElse(0L);
         long answerTokens =
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void askClaim() {
+    public void requestClaim() {
         spans.begin("claim");
         services.control()
                 .offer(new ClaimRequested(
@@ -201,14 +201,14 @@
     }
 
     @Override
-    public void askQuarantine() {
+    public void requestQuarantineDecision() {
         services.control()
                 .offer(new QuarantineRequested(
-                        profile.fingerprint(), verdict -> onThread(() -> machine.onVerdict(verdict))));
+                        profile.fingerprint(), verdict -> onThread(() -> machine.onQuarantineDecision(verdict))));
     }
 
     @Override
-    public void askRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
+    public void requestRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
         spans.begin("route");
         RouteRequested.Question question = new RouteRequested.Question(
                 profile.request(),
@@ -376,7 +376,7 @@
     }
 
     @Override
-    public void earnRetryBudget() {
+    public void creditRetryBudget() {
         services.retries().succeeded(profile.service());
     }
 
@@ -506,7 +506,7 @@
             if (current != null) {
                 current.resume();
             }
-            machine.onCallerLeft();
+            machine.onCallerDisconnected();
         });
     }
 
--- a/src/main/java/org/yuccagw/adapters/peer/ClaimCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ClaimCodec.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 import org.yuccagw.core.claim.ClaimEnded.Outcome;
 import org.yuccagw.core.claim.ClaimPeerMessage;
-import org.yuccagw.core.claim.ClaimPeerMessage.Ask;
 import org.yuccagw.core.claim.ClaimPeerMessage.Decided;
+import org.yuccagw.core.claim.ClaimPeerMessage.Decision;
 import org.yuccagw.core.claim.ClaimPeerMessage.EndRecorded;
 import org.yuccagw.core.claim.ClaimPeerMessage.Ended;
-import org.yuccagw.core.claim.ClaimPeerMessage.StillRunning;
-import org.yuccagw.core.claim.ClaimPeerMessage.Verdict;
+import org.yuccagw.core.claim.ClaimPeerMessage.Request;
+import org.yuccagw.core.claim.ClaimPeerMessage.StatusQuery;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EntryId;
@@ -49,11 +49,11 @@
         }
         ClaimMessage.Builder wire =
                 ClaimMessage.newBuilder().setShard(claimMessage.shard().value());
-        if (message instanceof Ask ask) {
-            wire.setKind(ASK).setRecord(ClaimRecords.toWire(ask.wanted()));
+        if (message instanceof Request request) {
+            wire.setKind(ASK).setRecord(ClaimRecords.toWire(request.record()));
         } else if (message instanceof Decided decided) {
             wire.setKind(DECIDED);
-            putVerdict(decided, wire);
+            putDecision(decided, wire);
         } else if (message instanceof Ended ended) {
             wire.setKind(ENDED).setOutcome(OUTCOMES.indexOf(ended.outcome()));
             PeerProtocol.ClaimRecord.Builder record = ClaimRecords.toWire(ended.key(), ended.attempt());
@@ -61,26 +61,26 @@
             wire.setRecord(record);
         } else if (message instanceof EndRecorded recorded) {
             wire.setKind(END_RECORDED).setRecord(ClaimRecords.toWire(recorded.attempt()));
-        } else if (message instanceof StillRunning question) {
+        } else if (message instanceof StatusQuery question) {
             wire.setKind(STILL_RUNNING).setRecord(ClaimRecords.toWire(question.key(), question.attempt()));
         }
         envelope.setClaim(wire);
         return true;
     }
 
-    private static void putVerdict(Decided decided, ClaimMessage.Builder wire) {
+    private static void putDecision(Decided decided, ClaimMessage.Builder wire) {
         PeerProtocol.ClaimRecord.Builder record = ClaimRecords.toWire(decided.attempt());
-        Verdict verdict = decided.verdict();
-        if (verdict instanceof Verdict.Granted) {
+        Decision decision = decided.decision();
+        if (decision instanceof Decision.Granted) {
             wire.setDecision(GRANTED);
-        } else if (verdict instanceof Verdict.Running running) {
+        } else if (decision instanceof Decision.Running running) {
             wire.setDecision(RUNNING)
                     .setRunningEntry(running.entry().value())
                     .setRunningRequest(running.request().value());
-        } else if (verdict instanceof Verdict.Answered answered) {
+        } else if (decision instanceof Decision.Answered answered) {
             wire.setDecision(ANSWERED);
             ClaimRecords.putAnswer(answered.answer(), record);
-        } else if (verdict instanceof Verdict.Refused refused) {
+        } else if (decision instanceof Decision.Refused refused) {
             wire.setDecision(REFUSED).setErrorKind(refused.kind().name()).setErrorMessage(refused.detail());
         }
         wire.setRecord(record);
@@ -102,8 +102,8 @@
         ShardNumber shard = ShardNumber.of(wire.getShard());
         PeerProtocol.ClaimRecord record = wire.getRecord();
         return switch (wire.getKind()) {
-            case ASK -> new Ask(shard, ClaimRecords.fromWire(record));
-            case DECIDED -> new Decided(shard, ClaimRecords.attempt(record), verdict(wire));
+            case ASK -> new Request(shard, ClaimRecords.fromWire(record));
+            case DECIDED -> new Decided(shard, ClaimRecords.attempt(record), decision(wire));
             case ENDED ->
                 new Ended(
                         shard,
@@ -112,20 +112,20 @@
                         ClaimRecords.oneOf(OUTCOMES, wire.getOutcome()),
                         ClaimRecords.answer(record));
             case END_RECORDED -> new EndRecorded(shard, ClaimRecords.attempt(record));
-            case STILL_RUNNING -> new StillRunning(shard, ClaimRecords.key(record), ClaimRecords.attempt(record));
+            case STILL_RUNNING -> new StatusQuery(shard, ClaimRecords.key(record), ClaimRecords.attempt(record));
             default -> throw new IllegalArgumentException("claim message of unknown kind " + wire.getKind());
         };
     }
 
-    private static Verdict verdict(ClaimMessage wire) {
+    private static Decision decision(ClaimMessage wire) {
         return switch (wire.getDecision()) {
-            case GRANTED -> new Verdict.Granted();
+            case GRANTED -> new Decision.Granted();
             case RUNNING ->
-                new Verdict.Running(EntryId.of(wire.getRunningEntry()), RequestId.of(wire.getRunningRequest()));
+                new Decision.Running(EntryId.of(wire.getRunningEntry()), RequestId.of(wire.getRunningRequest()));
             case ANSWERED ->
-                new Verdict.Answered(ClaimRecords.answer(wire.getRecord())
+                new Decision.Answered(ClaimRecords.answer(wire.getRecord())
                         .orElseThrow(() -> new IllegalArgumentException("an answered claim without an answer")));
-            case REFUSED -> new Verdict.Refused(ErrorKind.valueOf(wire.getErrorKind()), wire.getErrorMessage());
+            case REFUSED -> new Decision.Refused(ErrorKind.valueOf(wire.getErrorKind()), wire.getErrorMessage());
             default -> throw new IllegalArgumentException("claim decision of unknown kind " + wire.getDecision());
         };
     }
--- a/src/main/java/org/yuccagw/adapters/peer/QuarantineCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/QuarantineCodec.java
@@ -10,9 +10,9 @@
 import org.yuccagw.core.quarantine.QuarantinePeerMessage;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Death;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Deaths;
-import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitAsked;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitDecided;
-import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitGivenBack;
+import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitReleased;
+import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitRequested;
 import org.yuccagw.wire.PeerProtocol;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.QuarantineMessage;
@@ -39,11 +39,11 @@
         if (message instanceof Deaths deaths) {
             wire.setKind(DEATHS);
             deaths.deaths().forEach(death -> wire.addDeaths(toWire(death)));
-        } else if (message instanceof PermitAsked asked) {
-            put(wire, PERMIT_ASKED, asked.fingerprint(), asked.number()).setGranted(asked.held());
+        } else if (message instanceof PermitRequested asked) {
+            put(wire, PERMIT_ASKED, asked.fingerprint(), asked.number()).setGranted(asked.renewal());
         } else if (message instanceof PermitDecided decided) {
             put(wire, PERMIT_DECIDED, decided.fingerprint(), decided.number()).setGranted(decided.granted());
-        } else if (message instanceof PermitGivenBack back) {
+        } else if (message instanceof PermitReleased back) {
             put(wire, PERMIT_GIVEN_BACK, back.fingerprint(), back.number());
         }
         envelope.setQuarantine(wire);
@@ -83,9 +83,9 @@
                 new Deaths(wire.getDeathsList().stream()
                         .map(QuarantineCodec::fromWire)
                         .toList());
-            case PERMIT_ASKED -> new PermitAsked(fingerprint, wire.getPermit(), wire.getGranted());
+            case PERMIT_ASKED -> new PermitRequested(fingerprint, wire.getPermit(), wire.getGranted());
             case PERMIT_DECIDED -> new PermitDecided(fingerprint, wire.getPermit(), wire.getGranted());
-            case PERMIT_GIVEN_BACK -> new PermitGivenBack(fingerprint, wire.getPermit());
+            case PERMIT_GIVEN_BACK -> new PermitReleased(fingerprint, wire.getPermit());
             default -> throw new IllegalArgumentException("quarantine message of unknown kind " + wire.getKind());
         };
     }
--- a/src/main/java/org/yuccagw/bench/fuzz/FuzzWorld.java
+++ b/src/main/java/org/yuccagw/bench/fuzz/FuzzWorld.java
@@ -172,9 +172,9 @@
                 EndpointsComponent.of(),
                 shards,
                 SwapsComponent.of(shards),
-                ClaimComponent.of(shards, shards::known, ClaimLogProtobuf.of()),
-                QuarantineComponent.of(shards, shards::known),
-                AdmissionComponent.of(shards, shards::known),
+                ClaimComponent.of(shards, shards::snapshot, ClaimLogProtobuf.of()),
+                QuarantineComponent.of(shards, shards::snapshot),
+                AdmissionComponent.of(shards, shards::snapshot),
                 new TrafficPart());
         authorities.put(bench.start(name, components), shards);
     }
--- a/src/main/java/org/yuccagw/bench/requests/AtMostOnce.java
+++ b/src/main/java/org/yuccagw/bench/requests/AtMostOnce.java
@@ -56,7 +56,7 @@
                 "faults",
                 "KV calls for 1000 calls",
                 "largest KV value (bytes)");
-        ClaimGuards usual = ClaimGuards.usual();
+        ClaimGuards usual = ClaimGuards.defaults();
         add(table, "committed and fenced", usual, options.seed(), calls);
         add(
                 table,
--- a/src/main/java/org/yuccagw/core/claim/ClaimClient.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimClient.java
@@ -10,12 +10,12 @@
 import java.util.function.Consumer;
 import org.yuccagw.core.claim.ClaimDecision.KeptAnswer;
 import org.yuccagw.core.claim.ClaimEnded.Outcome;
-import org.yuccagw.core.claim.ClaimPeerMessage.Ask;
 import org.yuccagw.core.claim.ClaimPeerMessage.Decided;
+import org.yuccagw.core.claim.ClaimPeerMessage.Decision;
 import org.yuccagw.core.claim.ClaimPeerMessage.EndRecorded;
 import org.yuccagw.core.claim.ClaimPeerMessage.Ended;
-import org.yuccagw.core.claim.ClaimPeerMessage.StillRunning;
-import org.yuccagw.core.claim.ClaimPeerMessage.Verdict;
+import org.yuccagw.core.claim.ClaimPeerMessage.Request;
+import org.yuccagw.core.claim.ClaimPeerMessage.StatusQuery;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.EntryId;
@@ -28,7 +28,7 @@
  * <p>An attempt is in one of three states: it waits for a decision, it holds the claim, or its end waits to be
  * recorded. Only an attempt that holds the claim may be sent to an endpoint. An attempt in none of these states was
  * refused on this entry, or its end is recorded. In both cases a record in the state RUNNING can only belong to a claim
- * that was never granted to traffic. Therefore the answer to {@link StillRunning} about an unknown attempt of this
+ * that was never granted to traffic. Therefore the answer to {@link StatusQuery} about an unknown attempt of this
  * process is NOT_SENT.
  *
  * <p>An attempt that is abandoned before it was decided ends with NOT_SENT, so that the key can be claimed again if the
@@ -108,7 +108,7 @@
             abandon(number, "the shard of the key has no owner now");
             return;
         }
-        ownerResolver.send(owner.get(), new Ask(request.shard(), request.record()));
+        ownerResolver.send(owner.get(), new Request(request.shard(), request.record()));
         context.after(REQUEST_RESEND_INTERVAL, () -> sendRequest(number));
     }
 
@@ -133,30 +133,30 @@
         if (request == null) {
             return;
         }
-        Verdict verdict = decided.verdict();
-        boolean ownerChanged = verdict instanceof Verdict.Refused refused && refused.kind() == ErrorKind.STALE_OWNER;
+        Decision decision = decided.decision();
+        boolean ownerChanged = decision instanceof Decision.Refused refused && refused.kind() == ErrorKind.STALE_OWNER;
         if (ownerChanged) {
             return;
         }
         pendingRequests.remove(number);
         pendingClaims.remove(request.claim());
-        if (verdict instanceof Verdict.Granted) {
+        if (decision instanceof Decision.Granted) {
             heldClaims.put(request.claim(), number);
         }
-        answer(request.reply(), toClaimDecision(verdict));
+        answer(request.reply(), toClaimDecision(decision));
     }
 
-    private static ClaimDecision toClaimDecision(Verdict verdict) {
-        if (verdict instanceof Verdict.Granted) {
+    private static ClaimDecision toClaimDecision(Decision decision) {
+        if (decision instanceof Decision.Granted) {
             return new ClaimDecision.Granted();
         }
-        if (verdict instanceof Verdict.Running running) {
+        if (decision instanceof Decision.Running running) {
             return new ClaimDecision.Running(running.entry(), running.request());
         }
-        if (verdict instanceof Verdict.Answered answered) {
+        if (decision instanceof Decision.Answered answered) {
             return new ClaimDecision.Answered(answered.answer());
         }
-        Verdict.Refused refused = (Verdict.Refused) verdict;
+        Decision.Refused refused = (Decision.Refused) decision;
         return refused.kind() == ErrorKind.CLAIM_UNAVAILABLE
                 ? unavailable(refused.detail())
                 : new ClaimDecision.Refused(refused.kind().raise(refused.detail()));
@@ -215,7 +215,7 @@
         }
     }
 
-    void onStatusQuery(StillRunning query) {
+    void onStatusQuery(StatusQuery query) {
         long number = query.attempt().number();
         if (!isOfThisProcess(query.attempt())
                 || heldClaims.containsValue(number)
--- a/src/main/java/org/yuccagw/core/claim/ClaimComponent.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimComponent.java
@@ -8,11 +8,11 @@
 import java.util.function.Supplier;
 import org.yuccagw.core.catalogue.CatalogueChanged;
 import org.yuccagw.core.catalogue.SystemLimits;
-import org.yuccagw.core.claim.ClaimPeerMessage.Ask;
 import org.yuccagw.core.claim.ClaimPeerMessage.Decided;
 import org.yuccagw.core.claim.ClaimPeerMessage.EndRecorded;
 import org.yuccagw.core.claim.ClaimPeerMessage.Ended;
-import org.yuccagw.core.claim.ClaimPeerMessage.StillRunning;
+import org.yuccagw.core.claim.ClaimPeerMessage.Request;
+import org.yuccagw.core.claim.ClaimPeerMessage.StatusQuery;
 import org.yuccagw.core.control.ControlComponent;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.control.ControlEvent;
@@ -64,7 +64,7 @@
      * @param shards supplies the owners of the shards in the local view; called on the control thread
      */
     public static ClaimComponent of(ShardAuthority authority, Supplier<ShardsSnapshot> shards, ClaimLogCodec codec) {
-        return withGuards(authority, shards, codec, ClaimGuards.usual());
+        return withGuards(authority, shards, codec, ClaimGuards.defaults());
     }
 
     /** Creates the component for tests and experiments that disable a guard; daemons use {@link #of}. */
@@ -110,7 +110,7 @@
             client.onDecided(decided);
         } else if (message instanceof EndRecorded recorded) {
             client.onEndRecorded(recorded);
-        } else if (message instanceof StillRunning query) {
+        } else if (message instanceof StatusQuery query) {
             client.onStatusQuery(query);
         } else if (ownedShards.containsKey(message.shard())) {
             receiveAsOwner(message, ownedShards.get(message.shard()));
@@ -118,7 +118,7 @@
     }
 
     private static void receiveAsOwner(ClaimPeerMessage message, ClaimShard shard) {
-        if (message instanceof Ask request) {
+        if (message instanceof Request request) {
             shard.handleRequest(request);
         } else if (message instanceof Ended ended) {
             shard.handleEnded(ended);
--- a/src/main/java/org/yuccagw/core/claim/ClaimEnded.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimEnded.java
@@ -8,7 +8,7 @@
  * Raised by traffic when the run under a granted claim has ended.
  *
  * @param outcome what is known about the run
- * @param answer the whole answer, if the outcome is ANSWERED and it is small enough to keep
+ * @param answer the whole answer, if the outcome is ANSWERED and it is small enough to retain
  */
 public record ClaimEnded(Claim claim, Outcome outcome, Optional<KeptAnswer> answer) implements ControlEvent {
     /** What is known about the run. */
--- a/src/main/java/org/yuccagw/core/claim/ClaimGuards.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimGuards.java
@@ -6,7 +6,7 @@
 
 /**
  * The two checks on which at-most-once execution depends. They are values so that a test or an experiment can disable
- * one and observe the duplicate run that it prevents. Daemons use only {@link #usual}.
+ * one and observe the duplicate run that it prevents. Daemons use only {@link #defaults}.
  *
  * @param expectedRevision maps the revision of the head known to the owner to the revision that its commit expects
  * @param confirms whether an answer to a commit proves that the claims in it are recorded
@@ -16,7 +16,7 @@
             new ClaimGuards(revision -> revision, answer -> answer instanceof KeyValueAnswer.Written);
 
     /** Returns the guards with both checks enabled. */
-    public static ClaimGuards usual() {
+    public static ClaimGuards defaults() {
         return DEFAULTS;
     }
 
--- a/src/main/java/org/yuccagw/core/claim/ClaimPeerMessage.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimPeerMessage.java
@@ -16,10 +16,10 @@
     ShardNumber shard();
 
     /** Requests a claim from the owner; sent again under the same attempt until it is decided. */
-    record Ask(ShardNumber shard, ClaimRecord wanted) implements ClaimPeerMessage {}
+    record Request(ShardNumber shard, ClaimRecord record) implements ClaimPeerMessage {}
 
     /** The decision of the owner on a request. */
-    record Decided(ShardNumber shard, ClaimAttempt attempt, Verdict verdict) implements ClaimPeerMessage {}
+    record Decided(ShardNumber shard, ClaimAttempt attempt, Decision decision) implements ClaimPeerMessage {}
 
     /** Reports to the owner how the run ended; sent again until {@link EndRecorded} is received. */
     record Ended(ShardNumber shard, ClaimKey key, ClaimAttempt attempt, Outcome outcome, Optional<KeptAnswer> answer)
@@ -29,15 +29,15 @@
     record EndRecorded(ShardNumber shard, ClaimAttempt attempt) implements ClaimPeerMessage {}
 
     /** Query of the owner whether an attempt that the log records as running still is. */
-    record StillRunning(ShardNumber shard, ClaimKey key, ClaimAttempt attempt) implements ClaimPeerMessage {}
+    record StatusQuery(ShardNumber shard, ClaimKey key, ClaimAttempt attempt) implements ClaimPeerMessage {}
 
     /** The decision of the owner in the form that is sent to the entry. */
-    interface Verdict {
-        record Granted() implements Verdict {}
+    interface Decision {
+        record Granted() implements Decision {}
 
-        record Running(EntryId entry, RequestId request) implements Verdict {}
+        record Running(EntryId entry, RequestId request) implements Decision {}
 
-        record Answered(KeptAnswer answer) implements Verdict {}
+        record Answered(KeptAnswer answer) implements Decision {}
 
         /**
          * The attempt must not run.
@@ -46,6 +46,6 @@
          *     owner and the request must be sent to the present one
          * @param detail argument of the message template of the kind; empty if it has none
          */
-        record Refused(ErrorKind kind, String detail) implements Verdict {}
+        record Refused(ErrorKind kind, String detail) implements Decision {}
     }
 }
--- a/src/main/java/org/yuccagw/core/claim/ClaimShard.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimShard.java
@@ -10,12 +10,12 @@
 import java.util.function.Consumer;
 import org.yuccagw.core.claim.ClaimHead.Segment;
 import org.yuccagw.core.claim.ClaimLog.PendingSegment;
-import org.yuccagw.core.claim.ClaimPeerMessage.Ask;
 import org.yuccagw.core.claim.ClaimPeerMessage.Decided;
+import org.yuccagw.core.claim.ClaimPeerMessage.Decision;
 import org.yuccagw.core.claim.ClaimPeerMessage.EndRecorded;
 import org.yuccagw.core.claim.ClaimPeerMessage.Ended;
-import org.yuccagw.core.claim.ClaimPeerMessage.StillRunning;
-import org.yuccagw.core.claim.ClaimPeerMessage.Verdict;
+import org.yuccagw.core.claim.ClaimPeerMessage.Request;
+import org.yuccagw.core.claim.ClaimPeerMessage.StatusQuery;
 import org.yuccagw.core.claim.ClaimRecord.State;
 import org.yuccagw.core.control.ControlContext;
 import org.yuccagw.core.error.ErrorKind;
@@ -85,7 +85,7 @@
     private final long epoch;
     private final ClaimShardHost host;
     private final ControlContext context;
-    private final LinkedHashMap<ClaimAttempt, Ask> waitingRequests = new LinkedHashMap<>();
+    private final LinkedHashMap<ClaimAttempt, Request> waitingRequests = new LinkedHashMap<>();
     private final LinkedHashMap<ClaimAttempt, Ended> uncommittedEnds = new LinkedHashMap<>();
     private final Set<ClaimAttempt> refusedAttempts = new HashSet<>();
 
@@ -123,13 +123,13 @@
         redirectWaiting();
     }
 
-    void handleRequest(Ask request) {
+    void handleRequest(Request request) {
         if (!holdsLease()) {
             refuse(request, ErrorKind.STALE_OWNER, shard.toString());
         } else if (waitingRequests.size() >= MAX_WAITING_REQUESTS) {
             refuse(request, ErrorKind.CLAIM_UNAVAILABLE, "too many claims wait");
         } else if (!decideWithoutCommit(request)) {
-            waitingRequests.put(request.wanted().attempt(), request);
+            waitingRequests.put(request.record().attempt(), request);
             startNextCall();
         }
     }
@@ -142,11 +142,11 @@
     }
 
     /** Decides on the request if that requires no commit; returns whether it has been decided. */
-    private boolean decideWithoutCommit(Ask request) {
+    private boolean decideWithoutCommit(Request request) {
         Optional<ClaimRecord> found =
-                log.flatMap(current -> current.find(request.wanted().key()));
+                log.flatMap(current -> current.find(request.record().key()));
         if (found.isPresent() && !isBeingReleased(found.get())) {
-            decide(request, decisionOn(withUncommittedEnd(found.get()), request.wanted()));
+            decide(request, decisionOn(withUncommittedEnd(found.get()), request.record()));
             return true;
         }
         if (unavailable) {
@@ -172,37 +172,37 @@
         return record.state() == State.RUNNING && (notSent || refusedAttempts.contains(record.attempt()));
     }
 
-    private Verdict decisionOn(ClaimRecord record, ClaimRecord requested) {
+    private Decision decisionOn(ClaimRecord record, ClaimRecord requested) {
         if (!record.bodyHash().equals(requested.bodyHash())) {
-            return new Verdict.Refused(ErrorKind.KEY_REUSED, "");
+            return new Decision.Refused(ErrorKind.KEY_REUSED, "");
         }
         boolean running = record.state() == State.RUNNING;
         if (running && record.attempt().equals(requested.attempt())) {
-            return new Verdict.Granted();
+            return new Decision.Granted();
         }
         if (running && host.mayBeRunning(record.attempt())) {
-            host.send(record.attempt().entry(), new StillRunning(shard, record.key(), record.attempt()));
-            return new Verdict.Running(record.attempt().entry(), record.request());
+            host.send(record.attempt().entry(), new StatusQuery(shard, record.key(), record.attempt()));
+            return new Decision.Running(record.attempt().entry(), record.request());
         }
         if (record.answer().isPresent()) {
-            return new Verdict.Answered(record.answer().get());
+            return new Decision.Answered(record.answer().get());
         }
-        return new Verdict.Refused(ErrorKind.OUTCOME_UNKNOWN, "");
+        return new Decision.Refused(ErrorKind.OUTCOME_UNKNOWN, "");
     }
 
-    private void decide(Ask request, Verdict verdict) {
-        ClaimAttempt attempt = request.wanted().attempt();
-        host.send(attempt.entry(), new Decided(shard, attempt, verdict));
+    private void decide(Request request, Decision decision) {
+        ClaimAttempt attempt = request.record().attempt();
+        host.send(attempt.entry(), new Decided(shard, attempt, decision));
     }
 
-    private void refuse(Ask request, ErrorKind kind, String detail) {
-        decide(request, new Verdict.Refused(kind, detail));
+    private void refuse(Request request, ErrorKind kind, String detail) {
+        decide(request, new Decision.Refused(kind, detail));
     }
 
     private void refuseWaiting(String reason) {
-        for (Ask request : waitingRequests.values()) {
+        for (Request request : waitingRequests.values()) {
             refuse(request, ErrorKind.CLAIM_UNAVAILABLE, reason);
-            refusedAttempts.add(request.wanted().attempt());
+            refusedAttempts.add(request.record().attempt());
         }
         waitingRequests.clear();
     }
@@ -290,9 +290,9 @@
         draft.release(refusedAttempts);
         pendingSegment.ifPresent(draft::moveToSegment);
         draft.expire(host.oldestRetainedWallMillis());
-        List<Ask> requestsInCommit =
+        List<Request> requestsInCommit =
                 waitingRequests.values().stream().limit(MAX_REQUESTS_PER_COMMIT).toList();
-        requestsInCommit.forEach(request -> draft.claim(request.wanted().recordedAt(context.wallMillis())));
+        requestsInCommit.forEach(request -> draft.claim(request.record().recordedAt(context.wallMillis())));
         byte[] document = host.codec().encodeHead(draft.document());
         if (document.length > MAX_HEAD_BYTES) {
             refuseWaiting("the head of " + shard + " is full");
@@ -309,7 +309,7 @@
     }
 
     /** One commit in flight. */
-    private record Commit(ClaimLog base, ClaimLog.Draft draft, List<Ask> requests, List<Ended> ends, int bytes) {}
+    private record Commit(ClaimLog base, ClaimLog.Draft draft, List<Request> requests, List<Ended> ends, int bytes) {}
 
     private void handleCommitAnswer(Commit commit, KeyValueAnswer answer) {
         if (host.guards().confirms().test(answer)) {
@@ -342,9 +342,9 @@
             host.send(ended.attempt().entry(), new EndRecorded(shard, ended.attempt()));
         }
         endsCommitNanos = uncommittedEnds.isEmpty() ? Long.MAX_VALUE : context.nowNanos() + END_COMMIT_DELAY.toNanos();
-        for (Ask request : commit.requests()) {
-            if (waitingRequests.containsKey(request.wanted().attempt()) && decideWithoutCommit(request)) {
-                waitingRequests.remove(request.wanted().attempt());
+        for (Request request : commit.requests()) {
+            if (waitingRequests.containsKey(request.record().attempt()) && decideWithoutCommit(request)) {
+                waitingRequests.remove(request.record().attempt());
             }
         }
         delete(commit);
--- a/src/main/java/org/yuccagw/core/duty/DutyComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/DutyComponent.java
@@ -17,7 +17,7 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.lease.LeaseRenewer;
 import org.yuccagw.core.lease.LeaseTimes;
-import org.yuccagw.core.lease.PauseWatch;
+import org.yuccagw.core.lease.PauseDetector;
 import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueCall;
@@ -52,7 +52,7 @@
     private final Supplier<List<EntryId>> candidates;
     private final BooleanSupplier reachable;
     private final Duration separation;
-    private final PauseWatch pauses = new PauseWatch();
+    private final PauseDetector pauses = new PauseDetector();
 
     private ControlContext context;
     private LeaseRenewer lease;
@@ -131,7 +131,7 @@
 
     /** Whether this entry may act for the duty at this very moment. */
     public boolean mayAct() {
-        if (pauses.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
+        if (pauses.suspendedSinceLastCheck(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
             stepDown("stood still");
             return false;
         }
@@ -145,12 +145,12 @@
 
     /** When the belief in the lease ends, monotonic; for a last look just before an effect. */
     public long heldUntilNanos() {
-        return lease.heldUntilNanos();
+        return lease.expiryNanos();
     }
 
     private void look() {
         context.after(LOOK, this::look);
-        if (pauses.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
+        if (pauses.suspendedSinceLastCheck(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
             stepDown("stood still");
         } else if (claiming && context.nowNanos() - claimNanos > CLAIM_PATIENCE.toNanos()) {
             stepDown("claim came to nothing");
@@ -170,7 +170,7 @@
             if (wanted) {
                 claiming = true;
                 claimNanos = context.nowNanos();
-                lease.want();
+                lease.acquire();
             }
         });
     }
@@ -235,7 +235,7 @@
         boolean held = holding;
         holding = false;
         claiming = false;
-        lease.giveBack();
+        lease.release();
         if (held) {
             context.perform(Decision.of("duty-ended").with("duty", duty).with("reason", reason));
             context.raise(new DutyEnded(duty));
--- a/src/main/java/org/yuccagw/core/lease/LeaseRenewer.java
+++ b/src/main/java/org/yuccagw/core/lease/LeaseRenewer.java
@@ -57,12 +57,12 @@
     }
 
     /** Returns the monotonic time at which the lease expires on this entry unless it is renewed. */
-    public long heldUntilNanos() {
+    public long expiryNanos() {
         return expiryNanos;
     }
 
-    /** Acquires a lease and renews it until {@link #giveBack}; a lost lease is acquired again. */
-    public void want() {
+    /** Acquires a lease and renews it until {@link #release}; a lost lease is acquired again. */
+    public void acquire() {
         required = true;
         if (lease.isEmpty() && !requestingGrant) {
             requestingGrant = true;
@@ -71,7 +71,7 @@
     }
 
     /** Revokes the lease; the service removes every key that is bound to it. */
-    public void giveBack() {
+    public void release() {
         required = false;
         lease.ifPresent(this::revoke);
         lease = Optional.empty();
@@ -137,7 +137,7 @@
         lease = Optional.empty();
         onLeaseLost.run();
         if (required) {
-            want();
+            acquire();
         }
     }
 
--- a/src/main/java/org/yuccagw/core/lease/LeaseTimes.java
+++ b/src/main/java/org/yuccagw/core/lease/LeaseTimes.java
@@ -5,7 +5,7 @@
 /**
  * Durations that govern one lease.
  *
- * @param timeToLive time for which the service keeps the lease after a renewal
+ * @param timeToLive time for which the service retains the lease after a renewal
  * @param clockMargin time by which the lease expires earlier on this entry than at the service, because clocks run at
  *     different rates
  * @param renewInterval time between two renewals
--- a/src/main/java/org/yuccagw/core/lease/PauseWatch.java
+++ b/src/main/java/org/yuccagw/core/lease/PauseDetector.java
@@ -11,7 +11,7 @@
  * relative to the monotonic clock by the duration of the suspension. A step of the wall clock looks the same and costs
  * one lease renewal.
  */
-public final class PauseWatch {
+public final class PauseDetector {
     /** Longer than the delay of timers on a busy VM, shorter than the shortest lease. */
     private static final Duration MIN_PAUSE = Duration.ofMillis(400);
 
@@ -19,7 +19,7 @@
     private long offsetMillis;
 
     /** Whether the wall clock has advanced relative to the monotonic clock since the previous call. */
-    public boolean pausedSinceLastLook(long nowNanos, long wallMillis) {
+    public boolean suspendedSinceLastCheck(long nowNanos, long wallMillis) {
         long newOffsetMillis = wallMillis - nowNanos / 1_000_000;
         boolean paused = initialized && newOffsetMillis - offsetMillis > MIN_PAUSE.toMillis();
         initialized = true;
--- a/src/main/java/org/yuccagw/core/peers/RegistrationComponent.java
+++ b/src/main/java/org/yuccagw/core/peers/RegistrationComponent.java
@@ -44,13 +44,13 @@
     public void start(ControlContext startContext) {
         context = startContext;
         lease = LeaseRenewer.of(context, LEASE, this::register, () -> {});
-        lease.want();
+        lease.acquire();
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof StopRequested) {
-            lease.giveBack();
+            lease.release();
         } else if (event instanceof KeyValueRecordUpdated updated
                 && updated.record() instanceof KeyValueRecord.EntryListed listed) {
             if (listed.contact().entry().equals(context.self().entry())) {
--- a/src/main/java/org/yuccagw/core/quarantine/EndpointDied.java
+++ b/src/main/java/org/yuccagw/core/quarantine/EndpointTerminated.java
@@ -8,7 +8,7 @@
  * afterwards.
  *
  * @param incarnation of the VM of the endpoint
- * @param alone whether the prompt ran isolated, as the only one that this entry had running on the endpoint
+ * @param isolated whether the prompt ran isolated, as the only one that this entry had running on the endpoint
  */
-public record EndpointDied(PromptFingerprint fingerprint, EndpointId endpoint, long incarnation, boolean alone)
+public record EndpointTerminated(PromptFingerprint fingerprint, EndpointId endpoint, long incarnation, boolean isolated)
         implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
@@ -21,11 +21,11 @@
 import org.yuccagw.core.membership.MembersChanged;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Death;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Deaths;
-import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitAsked;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitDecided;
-import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitGivenBack;
+import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitReleased;
+import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitRequested;
+import org.yuccagw.core.quarantine.QuarantineRequested.Decision;
 import org.yuccagw.core.quarantine.QuarantineRequested.PermitReturned;
-import org.yuccagw.core.quarantine.QuarantineRequested.Verdict;
 import org.yuccagw.core.shard.ShardAuthority;
 import org.yuccagw.core.shard.ShardGained;
 import org.yuccagw.core.shard.ShardLost;
@@ -95,8 +95,8 @@
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof QuarantineRequested request) {
             handleRequest(request);
-        } else if (event instanceof EndpointDied died) {
-            recordTermination(died);
+        } else if (event instanceof EndpointTerminated terminated) {
+            recordTermination(terminated);
         } else if (event instanceof PermitReturned returned) {
             returnPermit(returned);
         } else if (event instanceof PeerReceived received
@@ -122,7 +122,7 @@
         deaths.expire(limits.quarantine(), context.nowNanos());
         int count = deaths.count(request.fingerprint());
         if (count == 0) {
-            reply(request, new Verdict.Free());
+            reply(request, new Decision.Unrestricted());
         } else if (count >= DeathRecords.MAX_DEATHS) {
             refuse(request);
         } else {
@@ -136,13 +136,13 @@
         int count = deaths.count(request.fingerprint());
         reply(
                 request,
-                new Verdict.Refused(ErrorKind.QUARANTINED
+                new Decision.Refused(ErrorKind.QUARANTINED
                         .raise(count, Math.max(1, left.toSeconds()))
                         .comeBackAfter(left)));
     }
 
-    private void reply(QuarantineRequested request, Verdict verdict) {
-        context.reply(() -> request.reply().accept(verdict));
+    private void reply(QuarantineRequested request, Decision decision) {
+        context.reply(() -> request.reply().accept(decision));
     }
 
     /**
@@ -154,17 +154,17 @@
             waitingByPermit.remove(permit);
             sendToOwner(
                     attempt.request().fingerprint(),
-                    new PermitGivenBack(attempt.request().fingerprint(), permit));
+                    new PermitReleased(attempt.request().fingerprint(), permit));
             reply(
                     attempt.request(),
-                    new Verdict.Refused(
+                    new Decision.Refused(
                             ErrorKind.OVERLOADED.raise(RETRY_AFTER.toMillis()).comeBackAfter(RETRY_AFTER)));
             return;
         }
         waitingByPermit.put(permit, new WaitingAttempt(attempt.request(), attempt.requestsSent() + 1));
         sendToOwner(
                 attempt.request().fingerprint(),
-                new PermitAsked(attempt.request().fingerprint(), permit, false));
+                new PermitRequested(attempt.request().fingerprint(), permit, false));
         context.after(PERMIT_RETRY_DELAY, () -> {
             WaitingAttempt waitingAttempt = waitingByPermit.get(permit);
             if (waitingAttempt != null) {
@@ -173,12 +173,12 @@
         });
     }
 
-    private void recordTermination(EndpointDied died) {
-        Death death = new Death(died.fingerprint(), died.endpoint(), died.incarnation(), Duration.ZERO);
+    private void recordTermination(EndpointTerminated terminated) {
+        Death death = new Death(terminated.fingerprint(), terminated.endpoint(), terminated.incarnation(), Duration.ZERO);
         if (deaths.add(death, context.nowNanos())) {
             Deaths message = new Deaths(List.of(death));
             otherEntries.forEach(peer -> context.send(peer, message));
-            refuseWaitingAttempts(died.fingerprint());
+            refuseWaitingAttempts(terminated.fingerprint());
         }
     }
 
@@ -196,7 +196,7 @@
 
     private void returnPermit(PermitReturned returned) {
         if (heldPermits.remove(returned.permit()) != null) {
-            sendToOwner(returned.fingerprint(), new PermitGivenBack(returned.fingerprint(), returned.permit()));
+            sendToOwner(returned.fingerprint(), new PermitReleased(returned.fingerprint(), returned.permit()));
         }
     }
 
@@ -207,16 +207,16 @@
                     refuseWaitingAttempts(death.fingerprint());
                 }
             }
-        } else if (message instanceof PermitAsked request) {
+        } else if (message instanceof PermitRequested request) {
             decideOnPermit(from, request);
         } else if (message instanceof PermitDecided decided) {
             handlePermitDecision(decided);
-        } else if (message instanceof PermitGivenBack released) {
+        } else if (message instanceof PermitReleased released) {
             issuer.release(released.fingerprint(), from, released.number());
         }
     }
 
-    private void decideOnPermit(EntryId from, PermitAsked request) {
+    private void decideOnPermit(EntryId from, PermitRequested request) {
         Optional<ShardNumber> shard = shardOf(request.fingerprint());
         boolean ownsShard = shard.isPresent() && issuer.ownsShard(shard.get());
         boolean holdsLease = ownsShard
@@ -224,7 +224,12 @@
         boolean granted = holdsLease
                 && deaths.count(request.fingerprint()) < DeathRecords.MAX_DEATHS
                 && issuer.grantOrRenew(
-                        shard.get(), request.fingerprint(), from, request.number(), request.held(), context.nowNanos());
+                        shard.get(),
+                        request.fingerprint(),
+                        from,
+                        request.number(),
+                        request.renewal(),
+                        context.nowNanos());
         send(from, new PermitDecided(request.fingerprint(), request.number(), granted));
     }
 
@@ -233,15 +238,15 @@
         WaitingAttempt attempt = decided.granted() ? waitingByPermit.remove(permit) : null;
         if (attempt != null) {
             heldPermits.put(permit, decided.fingerprint());
-            reply(attempt.request(), new Verdict.Alone(permit));
+            reply(attempt.request(), new Decision.Isolated(permit));
         } else if (decided.granted() && !heldPermits.containsKey(permit)) {
-            sendToOwner(decided.fingerprint(), new PermitGivenBack(decided.fingerprint(), permit));
+            sendToOwner(decided.fingerprint(), new PermitReleased(decided.fingerprint(), permit));
         }
     }
 
     private void renewPermits() {
         heldPermits.forEach(
-                (permit, fingerprint) -> sendToOwner(fingerprint, new PermitAsked(fingerprint, permit, true)));
+                (permit, fingerprint) -> sendToOwner(fingerprint, new PermitRequested(fingerprint, permit, true)));
         issuer.expire(context.nowNanos());
         context.after(RENEWAL_INTERVAL, this::renewPermits);
     }
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantinePeerMessage.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantinePeerMessage.java
@@ -28,14 +28,15 @@
      * Requests the permit to run a prompt isolated from the owner of its shard, or renews the permit.
      *
      * @param number identifies the permit; the same in the request and in its renewals
-     * @param held whether this renews a granted permit
+     * @param renewal whether this renews a granted permit
      */
-    record PermitAsked(PromptFingerprint fingerprint, long number, boolean held) implements QuarantinePeerMessage {}
+    record PermitRequested(PromptFingerprint fingerprint, long number, boolean renewal)
+            implements QuarantinePeerMessage {}
 
     /** The decision of the owner on a request or renewal. */
     record PermitDecided(PromptFingerprint fingerprint, long number, boolean granted)
             implements QuarantinePeerMessage {}
 
     /** Releases a permit, or withdraws the request for it. */
-    record PermitGivenBack(PromptFingerprint fingerprint, long number) implements QuarantinePeerMessage {}
+    record PermitReleased(PromptFingerprint fingerprint, long number) implements QuarantinePeerMessage {}
 }
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineRequested.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineRequested.java
@@ -9,20 +9,20 @@
  *
  * @param reply called exactly once
  */
-public record QuarantineRequested(PromptFingerprint fingerprint, Consumer<Verdict> reply) implements ControlEvent {
+public record QuarantineRequested(PromptFingerprint fingerprint, Consumer<Decision> reply) implements ControlEvent {
     /** The decision on one attempt. */
-    public interface Verdict {
+    public interface Decision {
         /** No endpoint terminated while it ran the prompt: it may run without a permit. */
-        record Free() implements Verdict {}
+        record Unrestricted() implements Decision {}
 
         /**
          * One endpoint terminated while it ran the prompt: this attempt holds the only permit, which must be returned
          * with {@link PermitReturned}.
          */
-        record Alone(long permit) implements Verdict {}
+        record Isolated(long permit) implements Decision {}
 
         /** The prompt is quarantined, or the permit is held by another attempt. */
-        record Refused(YuccagwException error) implements Verdict {}
+        record Refused(YuccagwException error) implements Decision {}
     }
 
     /** Returns the permit of an isolated attempt that has ended. */
--- a/src/main/java/org/yuccagw/core/request/RequestEffects.java
+++ b/src/main/java/org/yuccagw/core/request/RequestEffects.java
@@ -23,22 +23,22 @@
     long nowNanos();
 
     /** Requests admission. Answered by {@link RequestMachine#onAdmitted}. */
-    void askAdmission();
+    void requestAdmission();
 
     /** Requests the claim of the idempotency key. Answered by {@link RequestMachine#onClaim}. */
-    void askClaim();
+    void requestClaim();
 
-    /** Requests the decision of the quarantine. Answered by {@link RequestMachine#onVerdict}. */
-    void askQuarantine();
+    /** Requests the decision of the quarantine. Answered by {@link RequestMachine#onQuarantineDecision}. */
+    void requestQuarantineDecision();
 
     /**
      * Requests an endpoint. Answered by {@link RequestMachine#onRoute}.
      *
      * @param version weight version that the endpoint must run; empty if any
      * @param excluded endpoints that must not be chosen
-     * @param alone whether the prompt must run isolated
+     * @param isolated whether the prompt must run isolated
      */
-    void askRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone);
+    void requestRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean isolated);
 
     /**
      * Imports cached blocks into the engine. Answered by {@link RequestMachine#onImported}, at the latest after the
@@ -81,7 +81,7 @@
     RetryDecision decideRetry(AttemptFailure failure, boolean mayHaveRunBefore, int attemptsMade);
 
     /** Credits the retry budget after a whole answer. */
-    void earnRetryBudget();
+    void creditRetryBudget();
 
     /** Sends an event to the control core. */
     void report(ControlEvent event);
--- a/src/main/java/org/yuccagw/core/request/RequestMachine.java
+++ b/src/main/java/org/yuccagw/core/request/RequestMachine.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.WeightVersion;
-import org.yuccagw.core.quarantine.EndpointDied;
+import org.yuccagw.core.quarantine.EndpointTerminated;
 import org.yuccagw.core.quarantine.QuarantineRequested;
 import org.yuccagw.core.retry.RetryDecision;
 import org.yuccagw.core.routing.AttemptReport;
@@ -119,7 +119,7 @@
     public void begin() {
         effects.schedule(TimerKind.DEADLINE, 0, profile.answerDeadline());
         state = State.ADMITTING;
-        effects.askAdmission();
+        effects.requestAdmission();
     }
 
     /** Resumes an answer that another request started, on the endpoint that the resume token names. */
@@ -154,7 +154,7 @@
         admitted = true;
         if (profile.claim().isPresent()) {
             state = State.CLAIMING;
-            effects.askClaim();
+            effects.requestClaim();
         } else {
             checkQuarantine();
         }
@@ -182,14 +182,14 @@
         }
     }
 
-    public void onVerdict(QuarantineRequested.Verdict verdict) {
+    public void onQuarantineDecision(QuarantineRequested.Decision decision) {
         if (state != State.JUDGING) {
-            if (verdict instanceof QuarantineRequested.Verdict.Alone alone) {
-                returnPermit(alone.permit());
+            if (decision instanceof QuarantineRequested.Decision.Isolated isolated) {
+                returnPermit(isolated.permit());
             }
             return;
         }
-        if (verdict instanceof QuarantineRequested.Verdict.Refused refused) {
+        if (decision instanceof QuarantineRequested.Decision.Refused refused) {
             if (schedulePermitRetry(refused.error())) {
                 return;
             }
@@ -197,11 +197,11 @@
             fail(mayHaveRun ? attemptError() : refused.error());
             return;
         }
-        if (verdict instanceof QuarantineRequested.Verdict.Alone alone) {
-            permit = alone.permit();
+        if (decision instanceof QuarantineRequested.Decision.Isolated isolated) {
+            permit = isolated.permit();
         }
         state = State.ROUTING;
-        effects.askRoute(version, ImmutableSet.copyOf(excluded), permit != NO_PERMIT);
+        effects.requestRoute(version, ImmutableSet.copyOf(excluded), permit != NO_PERMIT);
     }
 
     public void onRoute(RouteRequested.Answer answer) {
@@ -304,7 +304,7 @@
         long cached = usage == null ? -1 : usage.cachedTokens();
         endAttempt(true, cached);
         effects.report(new AttemptObserved(endpoint.id(), endpoint.incarnation(), AttemptObserved.Outcome.ANSWERED));
-        effects.earnRetryBudget();
+        effects.creditRetryBudget();
         effects.answerEnd(Optional.ofNullable(usage).map(this::totalUsage));
         endClaim(ClaimEnded.Outcome.ANSWERED);
         complete();
@@ -386,7 +386,7 @@
      * its answer is retained for a retry of the caller. Any other run is released: the engine retains a streamed answer
      * for the grace time, within which the caller may resume it.
      */
-    public void onCallerLeft() {
+    public void onCallerDisconnected() {
         if (state == State.OVER || callerDisconnected) {
             return;
         }
@@ -443,7 +443,7 @@
 
     private void checkQuarantine() {
         state = State.JUDGING;
-        effects.askQuarantine();
+        effects.requestQuarantineDecision();
     }
 
     private void send() {
@@ -504,8 +504,8 @@
     private void reportTermination() {
         lastFailure = AttemptFailure.DIED;
         effects.report(new AttemptObserved(endpoint.id(), endpoint.incarnation(), AttemptObserved.Outcome.DIED));
-        effects.report(
-                new EndpointDied(profile.fingerprint(), endpoint.id(), endpoint.incarnation(), permit != NO_PERMIT));
+        effects.report(new EndpointTerminated(
+                profile.fingerprint(), endpoint.id(), endpoint.incarnation(), permit != NO_PERMIT));
     }
 
     private void reportFirstToken() {
--- a/src/main/java/org/yuccagw/core/shard/ShardsComponent.java
+++ b/src/main/java/org/yuccagw/core/shard/ShardsComponent.java
@@ -92,7 +92,7 @@
      * Returns the longest time for which a previous owner of a shard may still send orders: the time to live of its
      * lease and the margin for clocks.
      */
-    public static Duration longestEarlierAuthority() {
+    public static Duration maxPreviousOwnerAuthority() {
         return LEASE_TIMES.timeToLive().plus(LEASE_TIMES.clockMargin());
     }
 
@@ -132,13 +132,13 @@
     }
 
     /** Returns the owners of the shards in this entry's local view. Called by components on the control thread. */
-    public ShardsSnapshot known() {
+    public ShardsSnapshot snapshot() {
         return snapshot;
     }
 
     @Override
     public long authorityEndsNanos(long nowNanos) {
-        return lease.isHeldAt(nowNanos) ? lease.heldUntilNanos() : nowNanos;
+        return lease.isHeldAt(nowNanos) ? lease.expiryNanos() : nowNanos;
     }
 
     @Override
@@ -195,9 +195,9 @@
         }
         ImmutableMap.copyOf(pendingDeletes).forEach(this::delete);
         if (leaseRequired && startupDelayPassed) {
-            lease.want();
+            lease.acquire();
         } else if (ownedEpochs.isEmpty() && pendingDeletes.isEmpty()) {
-            lease.giveBack();
+            lease.release();
         }
         updateSnapshot();
     }
--- a/src/main/java/org/yuccagw/core/swap/PoolSwap.java
+++ b/src/main/java/org/yuccagw/core/swap/PoolSwap.java
@@ -104,7 +104,7 @@
 
     /** Endpoints that ignore fencing numbers obey an earlier owner as long as one of its orders can be on its way. */
     static Duration earlierOrdersGone() {
-        return ShardsComponent.longestEarlierAuthority().plus(ORDER_LIFE);
+        return ShardsComponent.maxPreviousOwnerAuthority().plus(ORDER_LIFE);
     }
 
     void lost() {
--- a/src/main/java/org/yuccagw/daemon/ControlComponents.java
+++ b/src/main/java/org/yuccagw/daemon/ControlComponents.java
@@ -52,9 +52,9 @@
                         EndpointsComponent.of(),
                         shards,
                         SwapsComponent.of(shards),
-                        ClaimComponent.of(shards, shards::known, ClaimLogProtobuf.of()),
-                        QuarantineComponent.of(shards, shards::known),
-                        AdmissionComponent.of(shards, shards::known),
+                        ClaimComponent.of(shards, shards::snapshot, ClaimLogProtobuf.of()),
+                        QuarantineComponent.of(shards, shards::snapshot),
+                        AdmissionComponent.of(shards, shards::snapshot),
                         CapacityComponent.create(),
                         CacheComponent.of(cache),
                         RouteComponent.of(RoutePolicies.byName(RoutePolicies.PREDICTED_FIRST_TOKEN), cache)));
--- a/src/test/java/org/yuccagw/adapters/peer/RequestCodecsTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/RequestCodecsTest.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.claim.ClaimEnded.Outcome;
 import org.yuccagw.core.claim.ClaimKey;
 import org.yuccagw.core.claim.ClaimPeerMessage;
-import org.yuccagw.core.claim.ClaimPeerMessage.Verdict;
+import org.yuccagw.core.claim.ClaimPeerMessage.Decision;
 import org.yuccagw.core.claim.ClaimRecord;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
@@ -46,23 +46,23 @@
         ClaimRecord wanted = new ClaimRecord(
                 KEY, "00ff", RequestId.of("request-1"), ATTEMPT, ClaimRecord.State.RUNNING, 9, Optional.empty());
         return new Object[][] {
-            {new ClaimPeerMessage.Ask(SHARD, wanted)},
-            {new ClaimPeerMessage.Decided(SHARD, ATTEMPT, new Verdict.Granted())},
+            {new ClaimPeerMessage.Request(SHARD, wanted)},
+            {new ClaimPeerMessage.Decided(SHARD, ATTEMPT, new Decision.Granted())},
             {
                 new ClaimPeerMessage.Decided(
-                        SHARD, ATTEMPT, new Verdict.Running(EntryId.of("entry-2"), RequestId.of("request-2")))
+                        SHARD, ATTEMPT, new Decision.Running(EntryId.of("entry-2"), RequestId.of("request-2")))
             },
-            {new ClaimPeerMessage.Decided(SHARD, ATTEMPT, new Verdict.Refused(ErrorKind.KEY_REUSED, ""))},
+            {new ClaimPeerMessage.Decided(SHARD, ATTEMPT, new Decision.Refused(ErrorKind.KEY_REUSED, ""))},
             {new ClaimPeerMessage.Ended(SHARD, KEY, ATTEMPT, Outcome.UNKNOWN, Optional.empty())},
             {new ClaimPeerMessage.EndRecorded(SHARD, ATTEMPT)},
-            {new ClaimPeerMessage.StillRunning(SHARD, KEY, ATTEMPT)},
+            {new ClaimPeerMessage.StatusQuery(SHARD, KEY, ATTEMPT)},
             {
                 new QuarantinePeerMessage.Deaths(List.of(new QuarantinePeerMessage.Death(
                         FINGERPRINT, EndpointId.of("engine-1"), 2, Duration.ofMillis(5))))
             },
-            {new QuarantinePeerMessage.PermitAsked(FINGERPRINT, 1L << 60, true)},
+            {new QuarantinePeerMessage.PermitRequested(FINGERPRINT, 1L << 60, true)},
             {new QuarantinePeerMessage.PermitDecided(FINGERPRINT, 8, true)},
-            {new QuarantinePeerMessage.PermitGivenBack(FINGERPRINT, 8)},
+            {new QuarantinePeerMessage.PermitReleased(FINGERPRINT, 8)},
             {new SharePeerMessage.Ask(SHARD, LIMIT, new Share(2, 0.25), 6, 7, 1, 3)},
             {new SharePeerMessage.Grant(SHARD, 6, LIMIT, new Share(3, 0.5), 8, Duration.ofSeconds(5))},
             {new SharePeerMessage.Present(SHARD)},
--- a/src/test/java/org/yuccagw/bench/requests/RequestExperimentsTest.java
+++ b/src/test/java/org/yuccagw/bench/requests/RequestExperimentsTest.java
@@ -25,7 +25,7 @@
     // lie.
     @Test(dataProvider = "seeds")
     public void underRandomFaultsNoKeyRunsTwiceAndNoRefusalLies(long seed) {
-        FaultyRun run = AtMostOnce.run(ClaimGuards.usual(), seed, CALLS);
+        FaultyRun run = AtMostOnce.run(ClaimGuards.defaults(), seed, CALLS);
         assertTrue(run.faults() > 10, "faults: " + run.faults());
         assertTrue(
                 run.calls().runs().size() > CALLS / 5,
@@ -38,7 +38,7 @@
     @Test
     public void theSameSeedShowsDuplicatesOnceTheFenceIsTakenAway() {
         FaultyRun run = AtMostOnce.run(
-                ClaimGuards.usual().withExpectedRevision(revision -> VirtualKeyValue.ANY_REVISION), 1, CALLS);
+                ClaimGuards.defaults().withExpectedRevision(revision -> VirtualKeyValue.ANY_REVISION), 1, CALLS);
         assertTrue(run.calls().duplicates() > 0);
         assertFalse(run.calls().violations().isEmpty());
     }
@@ -46,8 +46,8 @@
     @Test
     public void theSameSeedGivesTheSameRun() {
         assertEquals(
-                AtMostOnce.run(ClaimGuards.usual(), 9, 300).calls().runs(),
-                AtMostOnce.run(ClaimGuards.usual(), 9, 300).calls().runs());
+                AtMostOnce.run(ClaimGuards.defaults(), 9, 300).calls().runs(),
+                AtMostOnce.run(ClaimGuards.defaults(), 9, 300).calls().runs());
     }
 
     @Test
--- a/src/test/java/org/yuccagw/core/claim/AtMostOnceTest.java
+++ b/src/test/java/org/yuccagw/core/claim/AtMostOnceTest.java
@@ -34,7 +34,7 @@
 
     @BeforeMethod
     public void startThreeEntriesWithTheFirstAsShardOwner() {
-        startWith(ClaimGuards.usual());
+        startWith(ClaimGuards.defaults());
     }
 
     private void startWith(ClaimGuards guards) {
@@ -214,7 +214,7 @@
 
     @Test
     public void withoutTheExpectedRevisionTwoConcurrentOwnersGrantAKeyTwice() {
-        startWith(ClaimGuards.usual().withExpectedRevision(revision -> VirtualKeyValue.ANY_REVISION));
+        startWith(ClaimGuards.defaults().withExpectedRevision(revision -> VirtualKeyValue.ANY_REVISION));
         requestClaimsFromTwoOwnersAtOnce();
         assertTrue(calls.duplicates() > 0, "the check does not detect the missing revision check");
     }
@@ -231,7 +231,7 @@
 
     @Test
     public void treatingALostAnswerAsACommitLetsAKeyRunTwice() {
-        startWith(ClaimGuards.usual().withConfirms(answer -> true));
+        startWith(ClaimGuards.defaults().withConfirms(answer -> true));
         entries.keyValueFaults((from, call) -> call instanceof CompareAndSwap ? CallFate.CALL_LOST : CallFate.ANSWERED);
         calls.call(second, "label-1", "body");
         entries.run(RECOVERY_TIME);
--- a/src/test/java/org/yuccagw/core/quarantine/QuarantineTest.java
+++ b/src/test/java/org/yuccagw/core/quarantine/QuarantineTest.java
@@ -16,8 +16,8 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.ShardNumber;
 import org.yuccagw.core.id.WorkspaceId;
+import org.yuccagw.core.quarantine.QuarantineRequested.Decision;
 import org.yuccagw.core.quarantine.QuarantineRequested.PermitReturned;
-import org.yuccagw.core.quarantine.QuarantineRequested.Verdict;
 
 public class QuarantineTest {
     private static final ShardNumber SHARD = ShardNumber.of(0);
@@ -40,19 +40,19 @@
         entries.run(EARLIER_PERMITS_EXPIRY);
     }
 
-    private List<Verdict> requestDecision(EntryId entry) {
-        List<Verdict> verdicts = new ArrayList<>();
-        entries.tell(entry, new QuarantineRequested(PROMPT, verdicts::add));
-        return verdicts;
+    private List<Decision> requestDecision(EntryId entry) {
+        List<Decision> decisions = new ArrayList<>();
+        entries.tell(entry, new QuarantineRequested(PROMPT, decisions::add));
+        return decisions;
     }
 
     private void reportTermination(EntryId observer, String endpoint) {
-        entries.tell(observer, new EndpointDied(PROMPT, EndpointId.of(endpoint), 1, true));
+        entries.tell(observer, new EndpointTerminated(PROMPT, EndpointId.of(endpoint), 1, true));
     }
 
-    private static void assertQuarantined(List<Verdict> verdicts) {
-        assertEquals(verdicts.size(), 1);
-        Verdict.Refused refused = (Verdict.Refused) verdicts.get(0);
+    private static void assertQuarantined(List<Decision> decisions) {
+        assertEquals(decisions.size(), 1);
+        Decision.Refused refused = (Decision.Refused) decisions.get(0);
         assertEquals(refused.error().kind(), ErrorKind.QUARANTINED);
     }
 
@@ -62,17 +62,17 @@
     public void afterOneTerminationThePromptRunsIsolatedAcrossAllEntries() {
         reportTermination(entryIds.get(0), "engine-1");
         entries.run(MESSAGE_EXCHANGE_TIME);
-        List<Verdict> one = requestDecision(entryIds.get(1));
-        List<Verdict> other = requestDecision(entryIds.get(2));
+        List<Decision> one = requestDecision(entryIds.get(1));
+        List<Decision> other = requestDecision(entryIds.get(2));
         entries.run(MESSAGE_EXCHANGE_TIME);
-        List<Verdict> permits = new ArrayList<>(one);
+        List<Decision> permits = new ArrayList<>(one);
         permits.addAll(other);
         assertEquals(permits.size(), 1, "permits at once");
         EntryId holder = one.isEmpty() ? entryIds.get(2) : entryIds.get(1);
-        entries.tell(holder, new PermitReturned(PROMPT, ((Verdict.Alone) permits.get(0)).permit()));
+        entries.tell(holder, new PermitReturned(PROMPT, ((Decision.Isolated) permits.get(0)).permit()));
         entries.run(Duration.ofMillis(400));
         assertTrue(!one.isEmpty() && !other.isEmpty(), "the other attempt was never granted the permit");
-        assertTrue(other.get(0) instanceof Verdict.Alone && one.get(0) instanceof Verdict.Alone);
+        assertTrue(other.get(0) instanceof Decision.Isolated && one.get(0) instanceof Decision.Isolated);
     }
 
     // The prompt runs for a long time through one entry. An attempt on another entry must not wait until its deadline
@@ -83,9 +83,9 @@
         entries.run(MESSAGE_EXCHANGE_TIME);
         requestDecision(entryIds.get(1));
         entries.run(MESSAGE_EXCHANGE_TIME);
-        List<Verdict> other = requestDecision(entryIds.get(2));
+        List<Decision> other = requestDecision(entryIds.get(2));
         entries.run(Duration.ofSeconds(3));
-        Verdict.Refused refused = (Verdict.Refused) other.get(0);
+        Decision.Refused refused = (Decision.Refused) other.get(0);
         assertTrue(refused.error().retryAfter().isPresent());
     }
 
@@ -98,14 +98,14 @@
         reportTermination(entryIds.get(1), "engine-2");
         entries.run(MESSAGE_EXCHANGE_TIME);
         for (EntryId entry : entryIds) {
-            List<Verdict> verdicts = requestDecision(entry);
+            List<Decision> decisions = requestDecision(entry);
             entries.run(Duration.ofMillis(1));
-            assertQuarantined(verdicts);
+            assertQuarantined(decisions);
         }
         entries.run(Duration.ofMinutes(11));
-        List<Verdict> later = requestDecision(entryIds.get(2));
+        List<Decision> later = requestDecision(entryIds.get(2));
         entries.run(MESSAGE_EXCHANGE_TIME);
-        assertTrue(later.get(0) instanceof Verdict.Free);
+        assertTrue(later.get(0) instanceof Decision.Unrestricted);
     }
 
     // The entry that observed both terminations could reach only one other entry before it failed. The caller then
@@ -121,9 +121,9 @@
         entries.tellMembers();
         entries.run(Duration.ofSeconds(30));
         for (EntryId entry : entryIds.subList(1, 4)) {
-            List<Verdict> verdicts = requestDecision(entry);
+            List<Decision> decisions = requestDecision(entry);
             entries.run(MESSAGE_EXCHANGE_TIME);
-            assertQuarantined(verdicts);
+            assertQuarantined(decisions);
         }
     }
 
@@ -132,9 +132,9 @@
         reportTermination(entryIds.get(0), "engine-1");
         reportTermination(entryIds.get(1), "engine-1");
         entries.run(MESSAGE_EXCHANGE_TIME);
-        List<Verdict> verdicts = requestDecision(entryIds.get(2));
+        List<Decision> decisions = requestDecision(entryIds.get(2));
         entries.run(MESSAGE_EXCHANGE_TIME);
-        assertTrue(verdicts.get(0) instanceof Verdict.Alone);
+        assertTrue(decisions.get(0) instanceof Decision.Isolated);
     }
 
     // The owner that granted the permit fails while the prompt runs isolated. The next owner must not grant a second
@@ -149,9 +149,9 @@
         entries.own(SHARD, entryIds.get(2));
         entries.tellMembers();
         for (int second = 0; second < 20; second++) {
-            List<Verdict> other = requestDecision(entryIds.get(0));
+            List<Decision> other = requestDecision(entryIds.get(0));
             entries.run(Duration.ofSeconds(3));
-            assertTrue(other.get(0) instanceof Verdict.Refused, "a second permit");
+            assertTrue(other.get(0) instanceof Decision.Refused, "a second permit");
         }
     }
 
--- a/src/test/java/org/yuccagw/core/request/RecordedEffects.java
+++ b/src/test/java/org/yuccagw/core/request/RecordedEffects.java
@@ -32,22 +32,22 @@
     }
 
     @Override
-    public void askAdmission() {
+    public void requestAdmission() {
         lines.add("request admission");
     }
 
     @Override
-    public void askClaim() {
+    public void requestClaim() {
         lines.add("request claim");
     }
 
     @Override
-    public void askQuarantine() {
+    public void requestQuarantineDecision() {
         lines.add("request quarantine decision");
     }
 
     @Override
-    public void askRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
+    public void requestRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean isolated) {
         lines.add("request route with version "
                 + version.map(WeightVersion::value).orElse("any") + " excluding " + excluded);
     }
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void earnRetryBudget() {}
+    public void creditRetryBudget() {}
 
     @Override
     public void report(ControlEvent event) {
--- a/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
+++ b/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
@@ -26,7 +26,7 @@
 import org.yuccagw.core.id.VmId;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.id.WorkspaceId;
-import org.yuccagw.core.quarantine.EndpointDied;
+import org.yuccagw.core.quarantine.EndpointTerminated;
 import org.yuccagw.core.quarantine.PromptFingerprint;
 import org.yuccagw.core.quarantine.QuarantineRequested;
 import org.yuccagw.core.routing.AttemptReport;
@@ -125,7 +125,7 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineRequested.Verdict.Free());
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Unrestricted());
         assertTrue(effects.lines.contains("request route with version v1 excluding [e1]"));
         machine.onRoute(chosen("e2", 2));
         assertTrue(effects.lines.contains("send leg 4 to e2 after 'a '"));
@@ -134,7 +134,7 @@
         machine.onUsage(4, new Usage(11, 1, 0, "stop"));
         machine.onDone(4);
         assertEquals(effects.callerText.toString(), "a b ");
-        assertEquals(effects.reports(EndpointDied.class).size(), 1);
+        assertEquals(effects.reports(EndpointTerminated.class).size(), 1);
     }
 
     // The run continues on an engine that has been swapped to other weights in the meantime. The user would receive an
@@ -145,9 +145,9 @@
         machine.onHead(1, head("s1", "v1"));
         machine.onPiece(1, 1, "a ");
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
-        machine.onFailure(2, AttemptFailure.STREAM_FORGOTTEN, "gone");
+        machine.onFailure(2, AttemptFailure.STREAM_FORGOTTEN, "unknown stream");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineRequested.Verdict.Free());
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Unrestricted());
         machine.onRoute(chosen("e2", 2));
         machine.onHead(4, head("s9", "v2"));
         machine.onPiece(4, 1, "wrong ");
@@ -167,7 +167,7 @@
         machine.onFailure(3, AttemptFailure.BROKEN, "reset");
         assertTrue(effects.lines.contains("probe e1"));
         machine.onProbed(3, false);
-        assertEquals(effects.reports(EndpointDied.class).size(), 1);
+        assertEquals(effects.reports(EndpointTerminated.class).size(), 1);
     }
 
     // The engine terminated during the answer, and the owner of the prompt's shard is new and grants no permits for
@@ -181,11 +181,11 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineRequested.Verdict.Refused(
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Refused(
                 ErrorKind.OVERLOADED.raise(1_000).comeBackAfter(Duration.ofSeconds(1))));
         assertFalse(machine.isOver());
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 4);
-        machine.onVerdict(new QuarantineRequested.Verdict.Alone(9));
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Isolated(9));
         machine.onRoute(chosen("e2", 2));
         assertTrue(effects.lines.contains("send leg 5 to e2 after 'a '"));
     }
@@ -199,7 +199,7 @@
         assertFalse(effects.lines.contains("end"));
     }
 
-    // ---- At most once.
+    // ---- At-most-once execution.
 
     // The connection breaks after a non-idempotent request with an idempotency key was sent and before any answer. The
     // request may have run, and a retry on another endpoint could bill twice, so the caller is informed that it may
@@ -231,7 +231,7 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onProbed(1, true);
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 2);
-        machine.onVerdict(new QuarantineRequested.Verdict.Free());
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Unrestricted());
         machine.onRoute(new RouteRequested.Answer.Refused(ErrorKind.NO_ENDPOINT.raise("assistant")));
         assertEquals(effects.error.kind().ran(), ErrorKind.Ran.MAY_HAVE_RUN);
     }
@@ -247,7 +247,7 @@
         machine.onFailure(1, AttemptFailure.BROKEN, "reset");
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
-        machine.onVerdict(new QuarantineRequested.Verdict.Refused(ErrorKind.OVERLOADED.raise(2_000)));
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Refused(ErrorKind.OVERLOADED.raise(2_000)));
         assertEquals(effects.error.kind().ran(), ErrorKind.Ran.MAY_HAVE_RUN);
     }
 
@@ -284,7 +284,7 @@
         machine.onAdmitted(Optional.empty());
         int refusals = 0;
         while (!machine.isOver()) {
-            machine.onVerdict(new QuarantineRequested.Verdict.Free());
+            machine.onQuarantineDecision(new QuarantineRequested.Decision.Unrestricted());
             machine.onRoute(new RouteRequested.Answer.Refused(ErrorKind.NO_ENDPOINT.raise("assistant")));
             refusals++;
             machine.onTimer(RequestMachine.TimerKind.BACKOFF, refusals);
@@ -300,7 +300,7 @@
     public void theStreamOfADisconnectedCallerIsRetainedForTheGraceTime() {
         RequestMachine machine = sentRequest(true, false);
         machine.onHead(1, head("s1", "v1"));
-        machine.onCallerLeft();
+        machine.onCallerDisconnected();
         assertTrue(effects.lines.contains("cancel s1 after 20000 ms"));
         assertTrue(machine.isOver());
     }
@@ -309,7 +309,7 @@
     public void aRunWithAnIdempotencyKeyContinuesWhenItsCallerDisconnects() {
         RequestMachine machine = sentRequest(false, true);
         machine.onHead(1, head("s1", "v1"));
-        machine.onCallerLeft();
+        machine.onCallerDisconnected();
         machine.onPiece(1, 1, "a ");
         machine.onUsage(1, new Usage(1, 1, 0, "stop"));
         machine.onDone(1);
@@ -320,7 +320,7 @@
     public void anAdmissionThatIsGrantedAfterTheCallerDisconnectedIsReleased() {
         RequestMachine machine = machine(true, false);
         machine.begin();
-        machine.onCallerLeft();
+        machine.onCallerDisconnected();
         machine.onAdmitted(Optional.empty());
         assertEquals(effects.reports(AdmissionRequested.Withdrawn.class).size(), 1);
         assertEquals(effects.reports(AdmissionRequested.Released.class).size(), 1);
@@ -331,7 +331,7 @@
         RequestMachine machine = machine(true, false);
         machine.begin();
         machine.onAdmitted(Optional.empty());
-        machine.onVerdict(new QuarantineRequested.Verdict.Free());
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Unrestricted());
         machine.onTimer(RequestMachine.TimerKind.DEADLINE, 0);
         machine.onRoute(chosen("e1", 7));
         assertEquals(effects.reports(AttemptReport.Ended.class).get(0).attempt(), 7);
@@ -346,7 +346,7 @@
         if (keyed) {
             machine.onClaim(new ClaimDecision.Granted());
         }
-        machine.onVerdict(new QuarantineRequested.Verdict.Free());
+        machine.onQuarantineDecision(new QuarantineRequested.Decision.Unrestricted());
         machine.onRoute(chosen("e1", 1));
         return machine;
     }
--- a/src/test/java/org/yuccagw/core/shard/ShardsTest.java
+++ b/src/test/java/org/yuccagw/core/shard/ShardsTest.java
@@ -218,9 +218,9 @@
     }
 
     private BenchNode start(int index) {
-        ControlComponents.WithShards parts = ControlComponents.withShards();
-        BenchNode entry = bench.start("entry-" + index, parts.parts());
-        shardsByEntry.put(entry, parts.shards());
+        ControlComponents.WithShards components = ControlComponents.withShards();
+        BenchNode entry = bench.start("entry-" + index, components.parts());
+        shardsByEntry.put(entry, components.shards());
         return entry;
     }
 
