--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
@@ -174,7 +174,8 @@
     }
 
     private void recordTermination(EndpointTerminated terminated) {
-        Death death = new Death(terminated.fingerprint(), terminated.endpoint(), terminated.incarnation(), Duration.ZERO);
+        Death death =
+                new Death(terminated.fingerprint(), terminated.endpoint(), terminated.incarnation(), Duration.ZERO);
         if (deaths.add(death, context.nowNanos())) {
             Deaths message = new Deaths(List.of(death));
             otherEntries.forEach(peer -> context.send(peer, message));
