--- a/src/main/java/org/yuccagw/core/peers/PeersComponent.java
+++ b/src/main/java/org/yuccagw/core/peers/PeersComponent.java
@@ -30,104 +30,117 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /**
- * Heartbeats between entries: who lives, what each knows and what it carries.
+ * Exchanges heartbeats between entries, which carry their liveness, revision and load.
  *
- * <p>A few entries send their status to every other one, a <em>mesh</em>. From {@link #MOST_IN_MESH} on that would cost
- * messages by the square of their number, so each failure domain has two <em>leads</em>, the first two of {@link
- * LeadOrder}. Then it goes like this:
+ * <p>In a small fleet every entry sends its status to every other one, a <em>mesh</em>. With more than {@link
+ * #MAX_MESH_ENTRIES} entries, the number of messages, which grows with the square of the number of entries, would be
+ * too high. Each failure domain then has two <em>leads</em>, the first two of {@link LeadOrder}, and the protocol is:
  *
  * <ol>
  *   <li>Every entry sends its status to the leads of its domain.
- *   <li>Who hears a status from an entry of its domain answers with digests from then on. So an entry makes a lead of
- *       another one by turning to it, and the two need not agree on who leads.
- *   <li>A lead knows its domain by the statuses that it hears, and tells this roster to the leads of the other domains;
- *       what those tell it of theirs it passes on. Members of a roster travel when they change, otherwise its digest.
- *   <li>An entry believes the rosters of one lead at a time: the first in the order that sends digests. The leads of
- *       a domain believe what they hear themselves.
+ *   <li>An entry that receives a status from an entry of its domain sends digests in return from then on. An entry thus
+ *       makes another one its lead by sending it heartbeats, and the two need not agree on which entry leads.
+ *   <li>A lead builds the roster of its domain from the statuses that it receives and sends it to the leads of the
+ *       other domains. It forwards the rosters that these send to its followers. The members of a roster are sent when
+ *       they have changed, otherwise only its digest.
+ *   <li>An entry relies on the rosters of one lead at a time: the first in the order that sends digests. The leads of a
+ *       domain rely on the heartbeats that they receive themselves.
  * </ol>
  *
- * <p>An entry counts as alive until {@link #MISSED} intervals have passed without a sign of it: its own message, or
- * its name in a roster that is believed. A caller that is sent to a dead entry loses a second of its time on the
- * connection alone, so this has to be quick.
+ * <p>An entry counts as alive until {@link #MISSED_HEARTBEATS} intervals have passed without evidence, which is a
+ * message of its own or its listing in a roster that is relied on. Detection has to be fast, since a caller that is
+ * directed to a failed entry loses a second just by connecting.
  *
- * <p>When all leads of a domain die at once, its entries miss their digests for as long, choose the next two, and those
- * answer at once with what they know. While an entry hears no digest at all it turns to more and more others.
+ * <p>When all leads of a domain fail at once, its entries receive no digests for the same time and then follow the next
+ * two, which answer immediately with the state that they have. While an entry receives no digest at all, it sends its
+ * heartbeats to more and more others.
  *
- * <p>Example with 95 entries in five domains: an ordinary entry sends 3 and receives 3 messages a second, a first
- * lead some 45 each, where a mesh at the same interval sends and receives 190 at every entry.
+ * <p>Example with 95 entries in five domains: an ordinary entry sends and receives 3 messages per second each, a first
+ * lead about 45 each. In a mesh with the same interval, every entry sends and receives 190.
  */
 public final class PeersComponent implements ControlComponent {
-    /** How many entries lead one failure domain at most. */
-    public static final int LEADS_OF_DOMAIN = LeadOrder.LEADS;
+    /** Maximum number of leads of one failure domain. */
+    public static final int LEADS_OF_DOMAIN = LeadOrder.LEADS_PER_DOMAIN;
 
-    /** Time after a start by which the other entries have been heard or found in the key-value service. */
+    /**
+     * Time after the start of an entry by which it has received heartbeats from the others or found them in the
+     * key-value service.
+     */
     public static final Duration FLEET_UNKNOWN = Duration.ofSeconds(2);
 
-    /** In a mesh of 16 an entry sends 50 messages a second, as much as a lead of 16 others. */
-    static final int MOST_IN_MESH = 16;
+    /** In a mesh of 16 an entry sends 50 messages per second, as many as a lead of 16 other entries. */
+    static final int MAX_MESH_ENTRIES = 16;
 
-    /** A mesh that had grown is one again below this, so that one entry that comes and goes changes nothing. */
-    private static final int MOST_TO_MESH_AGAIN = 12;
+    /**
+     * Number of entries up to which a fleet with leads becomes a mesh again. Lower than {@link #MAX_MESH_ENTRIES}, so
+     * that a single entry that joins and leaves doesn't switch the mode.
+     */
+    private static final int MAX_ENTRIES_TO_RETURN_TO_MESH = 12;
 
-    private static final Duration MESH_INTERVAL = Duration.ofMillis(300);
+    private static final Duration MESH_HEARTBEAT_INTERVAL = Duration.ofMillis(300);
 
-    /** A lead takes an entry for dead after three of these, and tells it 60 ms later. */
-    static final Duration DOMAIN_INTERVAL = Duration.ofMillis(500);
+    /** A lead declares an entry failed after three of these intervals and reports it 60 ms later. */
+    static final Duration LEAD_HEARTBEAT_INTERVAL = Duration.ofMillis(500);
 
-    /** The second lead is there for the death of the first one, and hears and tells half as much. */
-    private static final int SECOND_LEAD_EVERY = 2;
+    /** The second lead is the backup of the first one and exchanges messages only in every second round. */
+    private static final int SECOND_LEAD_PERIOD_ROUNDS = 2;
 
-    /** A lead looks for deaths more often than it beats, since callers lose a second each on a dead entry. */
-    private static final Duration LOOK_FOR_DEATHS = Duration.ofMillis(100);
+    /**
+     * Interval of the failure checks of the first lead. Shorter than its heartbeat interval, since each caller that is
+     * directed to a failed entry loses a second.
+     */
+    private static final Duration FAILURE_CHECK_INTERVAL = Duration.ofMillis(100);
 
-    private static final int MISSED = 3;
-    private static final int MISSED_IN_MESH = 4;
-    private static final int UNHEARD_EVERY = 3;
+    private static final int MISSED_HEARTBEATS = 3;
+    private static final int MISSED_MESH_HEARTBEATS = 4;
+    private static final int UNREACHED_PERIOD_ROUNDS = 3;
 
-    /** By then an entry that goes on unheard has lost its connections or is stopped. */
-    private static final Duration SILENT_STILL = Duration.ofSeconds(3);
+    /** By the end of this time, an entry that still sends no heartbeats has lost its connections or has stopped. */
+    private static final Duration SILENCE_TOLERANCE = Duration.ofSeconds(3);
 
-    /** How long an entry that sent a heartbeat or a digest counts as follower or lead without a further one. */
-    private static final Duration FOLLOWED = DOMAIN_INTERVAL.multipliedBy(MISSED);
+    /** How long an entry counts as a follower after its last heartbeat, or as a lead after its last digest. */
+    private static final Duration FOLLOW_TIMEOUT = LEAD_HEARTBEAT_INTERVAL.multipliedBy(MISSED_HEARTBEATS);
 
-    /** Changes of rosters are told after so long, all that came meanwhile together. */
-    private static final Duration PUSH_DELAY = Duration.ofMillis(60);
+    /** Delay until changes of rosters are sent, so that changes during this time are sent together. */
+    private static final Duration ROSTER_PUSH_DELAY = Duration.ofMillis(60);
 
     /**
-     * How long whom a roster names counts as alive without a further one. When the leads of a domain die together, the
-     * others find out after {@link #FOLLOWED}, turn to the next ones within a beat and hear from them; until then they
-     * must not take each other for dead.
+     * How long an entry that a roster lists counts as alive without a further roster. When all leads of a domain fail
+     * at once, the other entries detect it after {@link #FOLLOW_TIMEOUT}, follow the next ones within one heartbeat
+     * interval and receive their rosters; until then they must not declare each other failed.
      */
-    private static final Duration ROSTER_LIFE = FOLLOWED.plus(DOMAIN_INTERVAL.multipliedBy(3));
+    private static final Duration ROSTER_TIME_TO_LIVE = FOLLOW_TIMEOUT.plus(LEAD_HEARTBEAT_INTERVAL.multipliedBy(3));
 
-    private final Knowledge knowledge;
+    private final Knowledge localState;
     private final List<NetworkAddress> seeds;
-    private final Map<EntryId, NetworkAddress> seedNames = new HashMap<>();
+    private final Map<EntryId, NetworkAddress> seedAddresses = new HashMap<>();
     private final PeerTable peers = new PeerTable(this::onContact, this::onChange);
     private final PeerRosters rosters = new PeerRosters();
-    private final RosterIntake intake = new RosterIntake(peers, rosters, this::isFirstLead, FOLLOWED, ROSTER_LIFE);
-    private final LeadSearch search = new LeadSearch(peers, intake, FOLLOWED);
-    private final DigestSender digests;
+    private final RosterReceiver rosterReceiver =
+            new RosterReceiver(peers, rosters, this::isFirstLead, FOLLOW_TIMEOUT, ROSTER_TIME_TO_LIVE);
+    private final LeadSearch leadSearch = new LeadSearch(peers, rosterReceiver, FOLLOW_TIMEOUT);
+    private final DigestSender digestSender;
     private ControlContext context;
     private FailureDomain ownDomain;
     private boolean meshed = true;
     private boolean leaving;
-    private boolean wasReady;
+    private boolean ready;
     private boolean everReady;
     private boolean pushScheduled;
-    private boolean looksForDeaths;
+    private boolean failureCheckScheduled;
     private long round;
     private Optional<FleetView> view = Optional.empty();
     private Optional<PeersSnapshot> snapshot = Optional.empty();
 
-    /** What the other parts of this entry know, for its own heartbeat. */
+    /** Supplies the state of the other components of this entry for its own heartbeat. */
     public interface Knowledge {
-        /** Why this entry can't serve, empty if it can. */
+        /** Returns why this entry can't serve; empty if it can. */
         String reasonAgainst(long nowNanos);
 
+        /** Returns the revision of the key-value service up to which this entry's copy is complete. */
         long revision();
 
-        /** When the key-value service last confirmed what is known, monotonic; empty if it never did. */
+        /** Returns the monotonic time at which the key-value service last confirmed the copy; empty if it never did. */
         OptionalLong confirmedNanos();
 
         ImmutableList<PeerStatus.Load> loads();
@@ -137,41 +150,42 @@
         ImmutableList<PeerStatus.Weights> weights();
     }
 
-    /** Another entry sent its status. */
+    /** Raised when another entry sent its status. */
     public record PeerHeard(EntryId entry, PeerStatus status) implements ControlEvent {}
 
-    /** Another entry hasn't been heard for too long, or started anew. */
+    /** Raised when there has been no evidence of another entry's liveness for too long, or the entry restarted. */
     public record PeerLost(EntryId entry) implements ControlEvent {}
 
-    private PeersComponent(Knowledge knowledge, List<NetworkAddress> seeds) {
-        this.knowledge = knowledge;
+    private PeersComponent(Knowledge localState, List<NetworkAddress> seeds) {
+        this.localState = localState;
         this.seeds = List.copyOf(seeds);
-        this.digests = new DigestSender(peers, rosters, this::view, this::status, knowledge::confirmedNanos, FOLLOWED);
+        this.digestSender =
+                new DigestSender(peers, rosters, this::view, this::status, localState::confirmedNanos, FOLLOW_TIMEOUT);
     }
 
     /**
-     * The heartbeats of one entry.
+     * Creates the component of one entry.
      *
-     * @param seeds where other entries may listen for peers; may be stale
+     * @param seeds addresses at which other entries may receive peer messages; may be outdated
      */
-    public static PeersComponent of(Knowledge knowledge, List<NetworkAddress> seeds) {
-        return new PeersComponent(knowledge, seeds);
+    public static PeersComponent of(Knowledge localState, List<NetworkAddress> seeds) {
+        return new PeersComponent(localState, seeds);
     }
 
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
         peers.start(startContext);
-        intake.start(startContext);
-        search.start(startContext);
-        digests.start(startContext);
+        rosterReceiver.start(startContext);
+        leadSearch.start(startContext);
+        digestSender.start(startContext);
         ownDomain = context.self().domain();
         for (NetworkAddress seed : seeds) {
             if (!seed.equals(context.self().peerAddress())) {
-                seedNames.put(EntryId.of("seed " + seed), seed);
+                seedAddresses.put(EntryId.of("seed " + seed), seed);
             }
         }
-        beat();
+        sendHeartbeats();
     }
 
     @Override
@@ -180,16 +194,16 @@
             receive(received);
         } else if (event instanceof KeyValueRecordUpdated updated
                 && updated.record() instanceof KeyValueRecord.EntryListed listed) {
-            list(listed.contact());
+            onEntryListed(listed.contact());
         } else if (event instanceof KeyValueRecordRemoved removed
                 && removed.subject() instanceof KeyValueRecord.Subject.EntrySubject subject) {
             peers.unlist(subject.entry());
         } else if (event instanceof PeerLost lost) {
-            rosters.forgetTold(lost.entry());
+            rosters.forgetSent(lost.entry());
         } else if (event instanceof StopRequested && !leaving) {
             leaving = true;
         }
-        noteReadiness();
+        updateReadiness();
     }
 
     @Override
@@ -197,39 +211,40 @@
         snapshotBuilder.put(PeersSnapshot.class, snapshot());
     }
 
-    // ---- What other parts ask.
+    // ---- Queries and messages of other components
 
-    /** Entries that are alive, this one included. */
+    /** Returns the number of entries that are alive, including this one. */
     public int aliveCount() {
         return 1 + peers.aliveCount();
     }
 
-    /** Entries of which this one knows, those that have died lately and this one included. */
+    /** Returns the number of known entries, including this one and those that failed recently. */
     public int knownCount() {
         return 1 + peers.size();
     }
 
     /**
-     * The entries that take requests, this one included if it does. One that has fallen silent counts for
-     * {@link #SILENT_STILL} as one that may go on; if most have, all count, since this one is cut off rather than they.
+     * Returns the entries that take requests, including this one if it does. An entry that has become silent is
+     * included for {@link #SILENCE_TOLERANCE}, since it may still run. If at least half of the known entries are
+     * silent, all are included, since it is this entry that is disconnected rather than they.
      */
     public List<EntryContact> servingOrSilent() {
         long now = context.nowNanos();
-        boolean cutOff = aliveCount() * 2 <= knownCount();
+        boolean disconnected = aliveCount() * 2 <= knownCount();
         List<EntryContact> entries = new ArrayList<>();
         if (reason().isEmpty()) {
             entries.add(ownContact());
         }
         for (Peer peer : peers.all()) {
-            boolean lately = peer.isAlive() || peer.silentNanos(now) < SILENT_STILL.toNanos();
-            if (peer.isReady() && (lately || cutOff)) {
+            boolean recentlyAlive = peer.isAlive() || peer.silentNanos(now) < SILENCE_TOLERANCE.toNanos();
+            if (peer.isReady() && (recentlyAlive || disconnected)) {
                 entries.add(peer.contact());
             }
         }
         return entries;
     }
 
-    /** Whether over half of the known entries of the own failure domain are alive, this one included. */
+    /** Returns whether more than half of the known entries of the own failure domain, including this one, are alive. */
     public boolean hearsMostOfOwnDomain() {
         int known = 1;
         int alive = 1;
@@ -242,17 +257,20 @@
         return alive * 2 > known;
     }
 
-    /** Entries that are alive and take requests, this one included if it does, in the order of their ids. */
+    /** Returns the entries that are alive and take requests, including this one if it does, ordered by id. */
     public List<EntryId> serving() {
-        return FleetView.ids(view().serving());
+        return FleetView.entryIds(view().serving());
     }
 
-    /** Whether the fleet is small enough that every entry hears every other one. */
+    /** Returns whether the fleet is small enough that every entry sends heartbeats to every other one. */
     public boolean isMeshed() {
         return meshed;
     }
 
-    /** Whether this entry is the first lead of its failure domain, which reads the key-value service for the others. */
+    /**
+     * Returns whether this entry is the first lead of its failure domain, which watches the key-value service on behalf
+     * of the others.
+     */
     public boolean isFirstLead() {
         return !meshed
                 && view().leadsOf(ownDomain).stream()
@@ -260,68 +278,71 @@
                         .equals(Optional.of(context.self().entry()));
     }
 
-    /** The leads of the own failure domain that serve, the first one first; in a mesh all entries that serve. */
+    /** Returns the serving leads of the own failure domain, the first lead first; in a mesh all serving entries. */
     public List<EntryId> ownLeads() {
         return meshed ? serving() : view().servingLeadsOf(ownDomain);
     }
 
-    /** The first lead of each failure domain; in a mesh all entries that serve. */
+    /** Returns the first serving lead of each failure domain; in a mesh all serving entries. */
     public List<EntryId> firstLeads() {
         return meshed ? serving() : view().servingLeadsOfAll(1);
     }
 
-    /** All leads of all failure domains that serve; in a mesh all entries that serve. */
+    /** Returns the serving leads of all failure domains; in a mesh all serving entries. */
     public List<EntryId> allLeads() {
-        return meshed ? serving() : view().servingLeadsOfAll(LeadOrder.LEADS);
+        return meshed ? serving() : view().servingLeadsOfAll(LeadOrder.LEADS_PER_DOMAIN);
     }
 
-    /** Sends to those that rely on this entry. */
+    /** Sends to the entries that rely on this one; in a mesh to none. */
     public void tellFollowers(PeerMessage message) {
         if (!meshed) {
-            Set<EntryId> receivers = new LinkedHashSet<>(digests.followers());
+            Set<EntryId> receivers = new LinkedHashSet<>(digestSender.followers());
             receivers.addAll(ownLeads());
             sendTo(List.copyOf(receivers), message);
         }
     }
 
-    /** Sends to every entry that places requests or may soon: in a mesh all that are alive, else all leads. */
+    /** Sends to every entry that places requests or may soon: in a mesh all live entries, otherwise all leads. */
     public void tellAll(PeerMessage message) {
         if (meshed) {
-            tellAlive(message);
+            sendToAlive(message);
             return;
         }
         sendTo(allLeads(), message);
     }
 
-    /** Sends to the leads of the own failure domain; in a mesh to all that are alive. */
+    /** Sends to the leads of the own failure domain; in a mesh to all live entries. */
     public void tellOwnLeads(PeerMessage message) {
         if (meshed) {
-            tellAlive(message);
+            sendToAlive(message);
             return;
         }
         sendTo(ownLeads(), message);
     }
 
-    /** Sends what changed on an endpoint to those that place requests there. */
+    /**
+     * Sends an update of an endpoint to the entries that place requests on it: in a mesh all live entries, otherwise
+     * the first lead of the endpoint's failure domain.
+     */
     public void tellOfEndpoint(FailureDomain domain, PeerMessage message) {
         if (meshed) {
-            tellAlive(message);
+            sendToAlive(message);
             return;
         }
         sendTo(view().servingLeadsOf(domain).stream().limit(1).toList(), message);
     }
 
-    /** Sends this entry's status now, for news that others should have before the next heartbeat. */
+    /** Sends this entry's status immediately, for changes that others should receive before the next heartbeat. */
     public void beatNow() {
         PeerStatus status = status();
         if (meshed) {
-            tellAlive(status);
+            sendToAlive(status);
         } else {
             sendTo(allLeads(), status);
         }
     }
 
-    private void tellAlive(PeerMessage message) {
+    private void sendToAlive(PeerMessage message) {
         peers.forEach((entry, peer) -> {
             if (peer.isAlive()) {
                 context.send(entry, message);
@@ -339,7 +360,7 @@
         return view().leadsOf(ownDomain).contains(context.self().entry());
     }
 
-    // ---- The view.
+    // ---- View and snapshot
 
     private FleetView view() {
         if (view.isEmpty()) {
@@ -354,7 +375,7 @@
         if (snapshot.isEmpty()) {
             String reason = reason();
             ImmutableMap.Builder<EntryId, NetworkAddress> addresses = ImmutableMap.builder();
-            addresses.putAll(seedNames);
+            addresses.putAll(seedAddresses);
             peers.forEach((entry, peer) -> addresses.put(entry, peer.contact().peers()));
             snapshot = Optional.of(
                     new PeersSnapshot(view().serving(), reason.isEmpty(), reason, addresses.buildOrThrow()));
@@ -362,67 +383,67 @@
         return snapshot.get();
     }
 
-    private void changed() {
+    private void invalidateViews() {
         view = Optional.empty();
         snapshot = Optional.empty();
     }
 
     private void onContact(EntryContact contact) {
-        seedNames.values().remove(contact.peers());
-        changed();
+        seedAddresses.values().remove(contact.peers());
+        invalidateViews();
     }
 
     private void onChange() {
-        changed();
-        pushSoon();
+        invalidateViews();
+        schedulePush();
     }
 
-    // ---- Sending.
+    // ---- Sending
 
-    private void beat() {
-        context.after(interval(), this::beat);
+    private void sendHeartbeats() {
+        context.after(interval(), this::sendHeartbeats);
         round++;
-        noticeMode();
-        peers.noticeDeaths().forEach(rosters::forgetTold);
-        changed();
-        noteReadiness();
+        updateMode();
+        peers.detectFailures().forEach(rosters::forgetSent);
+        invalidateViews();
+        updateReadiness();
         if (meshed) {
-            sendToAll();
+            sendStatusToAll();
         } else {
-            digests.noteOwnRoster(wasReady);
-            sendToLeads();
+            digestSender.updateOwnRoster(ready);
+            sendStatusToLeads();
             sendDigestsInTurn();
-            lookForDeaths();
+            scheduleFailureCheck();
         }
-        sendToSeeds();
+        sendStatusToSeeds();
     }
 
     private Duration interval() {
-        return meshed ? MESH_INTERVAL : DOMAIN_INTERVAL;
+        return meshed ? MESH_HEARTBEAT_INTERVAL : LEAD_HEARTBEAT_INTERVAL;
     }
 
     private boolean isTurnOfSecondLead() {
-        return round % SECOND_LEAD_EVERY == 0;
+        return round % SECOND_LEAD_PERIOD_ROUNDS == 0;
     }
 
-    private void lookForDeaths() {
-        if (!isFirstLead() || looksForDeaths) {
+    private void scheduleFailureCheck() {
+        if (!isFirstLead() || failureCheckScheduled) {
             return;
         }
-        looksForDeaths = true;
-        context.after(LOOK_FOR_DEATHS, () -> {
-            looksForDeaths = false;
-            peers.noticeDeaths().forEach(rosters::forgetTold);
-            lookForDeaths();
+        failureCheckScheduled = true;
+        context.after(FAILURE_CHECK_INTERVAL, () -> {
+            failureCheckScheduled = false;
+            peers.detectFailures().forEach(rosters::forgetSent);
+            scheduleFailureCheck();
         });
     }
 
-    private void noticeMode() {
+    private void updateMode() {
         int entries = peers.size() + 1;
-        boolean large = meshed ? entries > MOST_IN_MESH : entries > MOST_TO_MESH_AGAIN;
-        if (large == meshed) {
-            meshed = !large;
-            changed();
+        boolean exceedsMesh = meshed ? entries > MAX_MESH_ENTRIES : entries > MAX_ENTRIES_TO_RETURN_TO_MESH;
+        if (exceedsMesh == meshed) {
+            meshed = !exceedsMesh;
+            invalidateViews();
             context.perform(Decision.of("heartbeats-changed")
                     .with("mesh", meshed)
                     .with("entries", entries)
@@ -431,62 +452,65 @@
     }
 
     /**
-     * Tells others at once when this entry becomes ready or stops being so.
+     * Notifies the other entries immediately when this entry becomes ready or ceases to be ready.
      *
-     * <p>Guards against directories that lack an entry which could serve: after a loss of power of all entries each
-     * came back 0.3 s later than it had to, the time until its next heartbeat, and callers crowded the few that were
-     * named. A lead that stops tells its followers and the other leads, so that they turn to the next one before
-     * it is gone.
+     * <p>Guards against directories that omit an entry which could serve: after a power failure of all entries, each
+     * became available 0.3 s later than necessary, the time until its next heartbeat, and callers overloaded the few
+     * entries that were listed. A lead that stops notifies its followers and the other leads, so that they follow the
+     * next one before it terminates.
      */
-    private void noteReadiness() {
+    private void updateReadiness() {
         String reason = reason();
-        if (reason.isEmpty() == wasReady) {
+        if (reason.isEmpty() == ready) {
             return;
         }
-        boolean led = isAmongLeads();
-        wasReady = reason.isEmpty();
-        everReady |= wasReady;
-        changed();
-        noticeMode();
-        context.perform(Decision.of(wasReady ? "ready" : "not-ready").with("reason", reason));
+        boolean wasLead = isAmongLeads();
+        ready = reason.isEmpty();
+        everReady |= ready;
+        invalidateViews();
+        updateMode();
+        context.perform(Decision.of(ready ? "ready" : "not-ready").with("reason", reason));
         if (meshed) {
             PeerStatus status = status();
             peers.ids().forEach(entry -> context.send(entry, status));
         } else {
-            digests.noteOwnRoster(wasReady);
-            sendToLeads();
-            digests.send(false, led || isAmongLeads(), round);
+            digestSender.updateOwnRoster(ready);
+            sendStatusToLeads();
+            digestSender.send(false, wasLead || isAmongLeads(), round);
         }
     }
 
-    private void sendToAll() {
+    private void sendStatusToAll() {
         PeerStatus status = status();
         peers.forEach((entry, peer) -> {
-            if (peer.isAlive() || round % UNHEARD_EVERY == 0) {
+            if (peer.isAlive() || round % UNREACHED_PERIOD_ROUNDS == 0) {
                 context.send(entry, status);
             }
         });
     }
 
-    private void sendToSeeds() {
-        if (round % UNHEARD_EVERY == 1 && !seedNames.isEmpty()) {
+    private void sendStatusToSeeds() {
+        if (round % UNREACHED_PERIOD_ROUNDS == 1 && !seedAddresses.isEmpty()) {
             PeerStatus status = status();
-            seedNames.keySet().forEach(seed -> context.send(seed, status));
+            seedAddresses.keySet().forEach(seed -> context.send(seed, status));
         }
     }
 
-    /** The heartbeat of an entry that isn't a lead; a lead sends digests instead. */
-    private void sendToLeads() {
+    /**
+     * Sends the heartbeat of an entry that isn't a lead; a lead sends digests instead. Endpoints that load weights and
+     * weights that engines run are also reported to all leads.
+     */
+    private void sendStatusToLeads() {
         Set<EntryId> receivers = new LinkedHashSet<>();
         if (!isAmongLeads()) {
-            search.turnTo(view().leadsOf(ownDomain));
-            changed();
+            leadSearch.follow(view().leadsOf(ownDomain));
+            invalidateViews();
             view().leadsOf(ownDomain).stream()
-                    .limit(isTurnOfSecondLead() ? LeadOrder.LEADS : 1)
+                    .limit(isTurnOfSecondLead() ? LeadOrder.LEADS_PER_DOMAIN : 1)
                     .forEach(receivers::add);
-            receivers.addAll(search.furtherWithoutDigest());
+            receivers.addAll(leadSearch.fallbackEntries());
         }
-        if (!knowledge.loading().isEmpty() || !knowledge.weights().isEmpty()) {
+        if (!localState.loading().isEmpty() || !localState.weights().isEmpty()) {
             receivers.addAll(allLeads());
         }
         receivers.remove(context.self().entry());
@@ -494,26 +518,26 @@
         receivers.forEach(entry -> context.send(entry, status));
     }
 
-    /** The first lead sends at each beat; others that are followed send less often. */
+    /** Sends the digests of this round: the first lead in each, other entries with followers in every second one. */
     private void sendDigestsInTurn() {
         if (isFirstLead() || isTurnOfSecondLead()) {
-            digests.send(false, isAmongLeads(), round);
+            digestSender.send(false, isAmongLeads(), round);
         }
     }
 
-    private void pushSoon() {
+    private void schedulePush() {
         if (!pushScheduled && !meshed) {
             pushScheduled = true;
-            context.after(PUSH_DELAY, () -> {
+            context.after(ROSTER_PUSH_DELAY, () -> {
                 pushScheduled = false;
-                digests.noteOwnRoster(wasReady);
-                digests.send(true, isAmongLeads(), round);
+                digestSender.updateOwnRoster(ready);
+                digestSender.send(true, isAmongLeads(), round);
             });
         }
     }
 
     private String reason() {
-        return leaving ? "is stopping" : knowledge.reasonAgainst(context.nowNanos());
+        return leaving ? "is stopping" : localState.reasonAgainst(context.nowNanos());
     }
 
     private PeerStatus status() {
@@ -521,66 +545,66 @@
                 ownContact(),
                 reason().isEmpty(),
                 leaving,
-                knowledge.revision(),
+                localState.revision(),
                 interval().toMillis(),
-                knowledge.loads(),
-                knowledge.loading(),
-                knowledge.weights());
+                localState.loads(),
+                localState.loading(),
+                localState.weights());
     }
 
     private EntryContact ownContact() {
         return EntryContact.of(context.self());
     }
 
-    // ---- Receiving.
+    // ---- Receiving
 
     private void receive(PeerReceived received) {
         if (received.message() instanceof PeerStatus status) {
-            hear(status).ifPresent(peer -> onStatus(status.contact().entry(), peer));
+            recordHeartbeat(status).ifPresent(peer -> onStatus(status.contact().entry(), peer));
         } else if (received.message() instanceof DomainDigest digest) {
-            hear(digest.status()).ifPresent(peer -> onDigest(digest, peer));
+            recordHeartbeat(digest.status()).ifPresent(peer -> onDigest(digest, peer));
         } else if (received.message() instanceof RosterRequest request) {
-            rosters.forgetTold(received.from(), request.domain());
-            pushSoon();
+            rosters.forgetSent(received.from(), request.domain());
+            schedulePush();
         }
     }
 
-    /** A new follower gets a digest at once, so that it knows its domain as soon as this entry does. */
+    /** Handles a status. A new follower is sent a digest immediately, so that it learns its domain without delay. */
     private void onStatus(EntryId entry, Peer peer) {
         long now = context.nowNanos();
-        boolean follows = peer.follows(now, FOLLOWED.toNanos());
-        peer.sentStatus(now);
-        if (!meshed && !follows && peer.contact().domain().equals(ownDomain)) {
-            digests.noteOwnRoster(wasReady);
-            digests.sendTo(entry);
+        boolean alreadyFollows = peer.isFollower(now, FOLLOW_TIMEOUT.toNanos());
+        peer.recordStatus(now);
+        if (!meshed && !alreadyFollows && peer.contact().domain().equals(ownDomain)) {
+            digestSender.updateOwnRoster(ready);
+            digestSender.sendTo(entry);
         }
     }
 
     private void onDigest(DomainDigest digest, Peer sender) {
-        sender.sentDigest(context.nowNanos());
+        sender.recordDigest(context.nowNanos());
         if (digest.confirmedAgeMillis().isPresent()) {
-            long age =
+            long ageNanos =
                     Duration.ofMillis(digest.confirmedAgeMillis().getAsLong()).toNanos();
-            context.raise(
-                    new KeyValueFollowComponent.PeerConfirmed(digest.status().revision(), context.nowNanos() - age));
+            context.raise(new KeyValueFollowComponent.PeerConfirmed(
+                    digest.status().revision(), context.nowNanos() - ageNanos));
         }
-        boolean news = false;
+        boolean changed = false;
         for (Roster roster : digest.rosters()) {
-            news |= intake.take(roster, sender.contact());
+            changed |= rosterReceiver.receive(roster, sender.contact());
         }
-        if (news) {
-            pushSoon();
+        if (changed) {
+            schedulePush();
         }
     }
 
-    private Optional<Peer> hear(PeerStatus status) {
+    private Optional<Peer> recordHeartbeat(PeerStatus status) {
         EntryId entry = status.contact().entry();
         long now = context.nowNanos();
-        Optional<Peer> heard = peers.meet(status.contact());
-        heard.ifPresent(peer -> {
-            long interval = Duration.ofMillis(status.intervalMillis()).toNanos();
-            peer.heard(now, now + (meshed ? MISSED_IN_MESH : MISSED) * interval);
-            if (peers.revive(peer, status.ready()) && meshed) {
+        Optional<Peer> updated = peers.update(status.contact());
+        updated.ifPresent(peer -> {
+            long intervalNanos = Duration.ofMillis(status.intervalMillis()).toNanos();
+            peer.recordHeartbeat(now, now + (meshed ? MISSED_MESH_HEARTBEATS : MISSED_HEARTBEATS) * intervalNanos);
+            if (peers.markAlive(peer, status.ready()) && meshed) {
                 context.perform(Decision.of("peer-alive")
                         .with("peer", entry)
                         .with("address", peer.contact().peers()));
@@ -588,19 +612,19 @@
             context.raise(new PeerHeard(entry, status));
             context.raise(new KeyValueFollowComponent.PeerRevisionHeard(entry, status.revision()));
         });
-        return heard;
+        return updated;
     }
 
-    // ---- Registrations.
+    // ---- Registrations
 
-    private void list(EntryContact contact) {
-        boolean isNew = peers.of(contact.entry()).isEmpty();
-        peers.meet(contact).ifPresent(peer -> {
-            peer.listed(true);
-            if (isNew && wasReady && meshed) {
+    private void onEntryListed(EntryContact contact) {
+        boolean isNew = peers.find(contact.entry()).isEmpty();
+        peers.update(contact).ifPresent(peer -> {
+            peer.setListed(true);
+            if (isNew && ready && meshed) {
                 context.send(contact.entry(), status());
             }
         });
-        changed();
+        invalidateViews();
     }
 }
--- a/src/main/java/org/yuccagw/core/peers/PeersSnapshot.java
+++ b/src/main/java/org/yuccagw/core/peers/PeersSnapshot.java
@@ -8,12 +8,13 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * The entries as this one sees them.
+ * This entry's local view of the entries.
  *
- * @param serving entries that are alive and take requests, this one among them if it does
+ * @param serving entries that are alive and take requests, including this one if it does
  * @param ready whether this entry takes new requests
- * @param reason why it doesn't, empty if it does
- * @param addresses where the transport reaches others, those that were never heard included
+ * @param reason why this entry doesn't take new requests; empty if it does
+ * @param addresses addresses at which the transport reaches other entries, including those that have never sent a
+ *     message
  */
 public record PeersSnapshot(
         ImmutableList<EntryContact> serving,
--- a/src/main/java/org/yuccagw/core/peers/RegistrationComponent.java
+++ b/src/main/java/org/yuccagw/core/peers/RegistrationComponent.java
@@ -16,16 +16,16 @@
 import org.yuccagw.core.port.KeyValueCall;
 
 /**
- * Registers this entry under a lease, so that entries find each other without any list of VMs.
+ * Registers this entry under a lease, so that entries discover each other without a list of VMs.
  *
- * <p>The registration only tells where to send heartbeats; whether an entry lives is known by those. So the lease is
- * long and its renewals are rare. After a restart the key of the earlier process may still lie there: the write expects
- * the revision that was read, and repeats with the one that a conflict names.
+ * <p>The registration only provides the address for heartbeats, which in turn determine whether an entry is alive. The
+ * lease is therefore long and renewed rarely. After a restart, the key of the previous process may still exist: the
+ * write expects the last known revision, and after a conflict it is retried with the revision reported by the service.
  */
 public final class RegistrationComponent implements ControlComponent {
     private static final LeaseTimes LEASE =
             new LeaseTimes(Duration.ofSeconds(15), Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(2));
-    private static final Duration REPEAT = Duration.ofSeconds(1);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     private final KeyValueRecordCodec codec;
     private ControlContext context;
@@ -74,7 +74,7 @@
             if (answer instanceof KeyValueAnswer.Conflict conflict) {
                 knownRevision = conflict.currentRevision();
             }
-            context.after(REPEAT, this::register);
+            context.after(RETRY_DELAY, this::register);
         });
     }
 }
--- a/src/main/java/org/yuccagw/core/peers/Roster.java
+++ b/src/main/java/org/yuccagw/core/peers/Roster.java
@@ -11,31 +11,32 @@
 import org.yuccagw.core.id.FailureDomain;
 
 /**
- * The entries of one failure domain that are alive, as a lead of it tells.
+ * The live entries of one failure domain, as reported by one of its leads.
  *
- * @param ageMillis since a lead of the domain told it; grows on the way through leads of other domains
- * @param digest of the members: who knows a roster of this digest knows its members
- * @param members left out where the receiver knows them already
+ * @param ageMillis time since a lead of the domain reported the roster; grows as leads of other domains forward it
+ * @param digest hash of the members, by which a receiver recognizes a roster whose members it already has
+ * @param members omitted if the receiver already has them
  */
 public record Roster(FailureDomain domain, long ageMillis, long digest, Optional<ImmutableList<Member>> members) {
     /**
      * An entry that is alive.
      *
-     * @param ready whether it takes new requests
-     * @param heard whether the lead hears it itself; if not, it knows of it by an earlier lead only
+     * @param ready whether the entry takes new requests
+     * @param heard whether the lead receives the entry's heartbeats itself; otherwise it only knows the entry from an
+     *     earlier lead
      */
     public record Member(EntryContact contact, boolean ready, boolean heard) {}
 
-    /** A roster with its members. */
+    /** Creates a roster with its members and age zero. */
     public static Roster of(FailureDomain domain, List<Member> members) {
         ImmutableList<Member> sorted = ImmutableList.sortedCopyOf(
                 Comparator.comparing((Member member) -> member.contact().entry()), members);
         return new Roster(domain, 0, digestOf(sorted), Optional.of(sorted));
     }
 
-    /** The same roster after some time, for somebody who knows its members or not. */
-    Roster told(long atAgeMillis, boolean withMembers) {
-        return new Roster(domain, atAgeMillis, digest, withMembers ? members : Optional.empty());
+    /** Returns this roster at a later age, with or without its members. */
+    Roster withAge(long newAgeMillis, boolean withMembers) {
+        return new Roster(domain, newAgeMillis, digest, withMembers ? members : Optional.empty());
     }
 
     private static long digestOf(List<Member> members) {
--- a/src/main/java/org/yuccagw/core/peers/RosterRequest.java
+++ b/src/main/java/org/yuccagw/core/peers/RosterRequest.java
@@ -3,5 +3,8 @@
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.port.PeerMessage;
 
-/** Asks a lead for the members of a roster of which only the digest came, since the message with them was lost. */
+/**
+ * Requests the members of a roster from a lead. Sent when a roster arrives without members and its digest is unknown,
+ * since the message with the members was lost.
+ */
 public record RosterRequest(FailureDomain domain) implements PeerMessage {}
--- a/src/main/java/org/yuccagw/core/peers/UpdateBroadcaster.java
+++ b/src/main/java/org/yuccagw/core/peers/UpdateBroadcaster.java
@@ -3,14 +3,14 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.port.PeerMessage;
 
-/** How news of endpoints reaches whoever places requests. */
+/** Sends updates about endpoints to the entries that place requests. */
 public interface UpdateBroadcaster {
-    /** Sends to all that place requests or pass news on to these. */
-    void tell(PeerMessage news);
+    /** Sends to all entries that place requests or that forward updates to those. */
+    void tell(PeerMessage update);
 
     /** Sends to the entries of the own failure domain that rely on this one, if it is a lead. */
-    void tellFollowers(PeerMessage news);
+    void tellFollowers(PeerMessage update);
 
-    /** Whether news of that entry have to be passed on, since it tells this one only. */
+    /** Returns whether updates from that entry must be forwarded, since it sends them to this entry only. */
     boolean speaksFor(EntryId from);
 }
--- a/src/main/java/org/yuccagw/core/peers/package-info.java
+++ b/src/main/java/org/yuccagw/core/peers/package-info.java
@@ -1,2 +1,2 @@
-/** What entries tell each other all the time: that they live, what they know and what they carry. */
+/** Periodic messages between entries: heartbeats with liveness, revision and load, and the rosters of leads. */
 package org.yuccagw.core.peers;
--- a/src/test/java/org/yuccagw/core/membership/MembershipTest.java
+++ b/src/test/java/org/yuccagw/core/membership/MembershipTest.java
@@ -14,125 +14,129 @@
 import org.yuccagw.core.membership.EntryStatus.State;
 
 public class MembershipTest {
-    private static final Duration LONG = Duration.ofMinutes(2);
+    private static final Duration CONVERGENCE_TIMEOUT = Duration.ofMinutes(2);
 
     @Test
-    public void entriesFindEachOtherFromThePlatformsList() {
+    public void entriesDiscoverEachOtherThroughThePlatformsList() {
         ControlBench bench = ControlBench.of(1);
-        List<BenchNode> nodes = startEight(bench);
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
+        List<BenchNode> entries = startEightEntries(bench);
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
     }
 
     @Test
-    public void aKilledEntryLeavesEveryDirectory() {
+    public void aKilledEntryIsRemovedFromEveryDirectory() {
         ControlBench bench = ControlBench.of(2);
-        List<BenchNode> nodes = startEight(bench);
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
-        BenchNode killed = nodes.remove(3);
+        List<BenchNode> entries = startEightEntries(bench);
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
+        BenchNode killed = entries.remove(3);
         killed.kill();
-        assertTrue(bench.runUntil(() -> allSee(nodes, 7, State.ALIVE), LONG));
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 7, State.ALIVE), CONVERGENCE_TIMEOUT));
     }
 
-    // Callers lose an entry that works. One direction of the path between two entries is broken, so each probe of the
-    // one to the other goes unanswered. Without the help of others it would be declared dead.
+    // Guards against the removal of a working entry from the directory. One direction of the path between two entries
+    // is
+    // broken, so no direct probe between them is answered. Only indirect probes keep the target from being declared
+    // dead.
     @Test
-    public void anAsymmetricCutBetweenTwoEntriesCondemnsNeither() {
+    public void aOneWayCutBetweenTwoEntriesMakesNeitherDead() {
         ControlBench bench = ControlBench.of(3);
-        List<BenchNode> nodes = startEight(bench);
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
-        bench.cutOneWay(nodes.get(0), nodes.get(1));
+        List<BenchNode> entries = startEightEntries(bench);
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
+        bench.cutOneWay(entries.get(0), entries.get(1));
         for (int second = 0; second < 120; second++) {
             bench.runFor(Duration.ofSeconds(1));
-            assertTrue(allSee(nodes, 8, State.ALIVE), "in second " + second);
+            assertTrue(allHaveView(entries, 8, State.ALIVE), "in second " + second);
         }
     }
 
-    // After a long pause an entry finds itself declared dead everywhere. Its process is the same, so its incarnation
-    // is too; it must be able to come back by refuting its death.
+    // Guards against an entry that stays dead after a long suspension of its process. All others declared it dead
+    // meanwhile, and its incarnation is unchanged, so it can only rejoin by refuting the dead state.
     @Test
-    public void anEntryThatWasPausedRefutesItsDeath() {
+    public void anEntryThatWasSuspendedRefutesItsDeadState() {
         ControlBench bench = ControlBench.of(4);
-        List<BenchNode> nodes = startEight(bench);
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
-        List<BenchNode> others = new ArrayList<>(nodes);
-        BenchNode paused = others.remove(5);
-        paused.pause(Duration.ofSeconds(40));
-        assertTrue(bench.runUntil(() -> allSee(others, 7, State.ALIVE), Duration.ofSeconds(39)));
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
+        List<BenchNode> entries = startEightEntries(bench);
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
+        List<BenchNode> others = new ArrayList<>(entries);
+        BenchNode suspended = others.remove(5);
+        suspended.pause(Duration.ofSeconds(40));
+        assertTrue(bench.runUntil(() -> allHaveView(others, 7, State.ALIVE), Duration.ofSeconds(39)));
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
     }
 
     @Test
-    public void bothSidesOfAHealedCutJoinAgain() {
+    public void bothSidesRejoinAfterAPartitionHeals() {
         ControlBench bench = ControlBench.of(5);
-        List<BenchNode> nodes = startEight(bench);
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
-        List<BenchNode> left = nodes.subList(0, 4);
-        List<BenchNode> right = nodes.subList(4, 8);
+        List<BenchNode> entries = startEightEntries(bench);
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
+        List<BenchNode> left = entries.subList(0, 4);
+        List<BenchNode> right = entries.subList(4, 8);
         left.forEach(one -> right.forEach(other -> bench.cut(one, other)));
-        assertTrue(bench.runUntil(() -> allSee(left, 4, State.ALIVE) && allSee(right, 4, State.ALIVE), LONG));
+        assertTrue(bench.runUntil(
+                () -> allHaveView(left, 4, State.ALIVE) && allHaveView(right, 4, State.ALIVE), CONVERGENCE_TIMEOUT));
         bench.healNetwork();
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
     }
 
     @Test
     public void aRestartUnderTheSameNameReplacesTheOldIncarnation() {
         ControlBench bench = ControlBench.of(6);
-        List<BenchNode> nodes = startEight(bench);
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
-        nodes.get(2).kill();
-        nodes.set(2, start(bench, 2));
-        long incarnation = nodes.get(2).identity().incarnation();
+        List<BenchNode> entries = startEightEntries(bench);
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
+        entries.get(2).kill();
+        entries.set(2, startEntry(bench, 2));
+        long incarnation = entries.get(2).identity().incarnation();
         assertTrue(bench.runUntil(
-                () -> nodes.stream().allMatch(node -> incarnationOf(node, nodes.get(2)) == incarnation), LONG));
+                () -> entries.stream().allMatch(entry -> incarnationOf(entry, entries.get(2)) == incarnation),
+                CONVERGENCE_TIMEOUT));
     }
 
     @Test
-    public void allEntriesReplacedOneAfterTheOtherKeepOneMembership() {
+    public void oneMembershipSurvivesTheReplacementOfAllEntriesOneByOne() {
         ControlBench bench = ControlBench.of(7);
-        List<BenchNode> nodes = startEight(bench);
+        List<BenchNode> entries = startEightEntries(bench);
         for (int index = 0; index < 8; index++) {
-            assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
-            nodes.get(index).kill();
-            nodes.set(index, start(bench, index));
+            assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
+            entries.get(index).kill();
+            entries.set(index, startEntry(bench, index));
         }
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
     }
 
-    // A caller is sent to an entry that is stopping and is cut off. Leaving must reach the others at once, and nothing
-    // that is older, such as a refutation on its way, may bring the entry back.
+    // Guards against callers that are directed to a stopping entry and lose their connection. The leaving state must
+    // reach all entries at once, and no older record, such as a refutation in flight, may make the entry alive again.
     @Test
-    public void aStoppingEntryIsLeavingEverywhereWithinThreeSeconds() {
+    public void aStoppingEntryIsSeenLeavingByAllEntriesWithinThreeSeconds() {
         ControlBench bench = ControlBench.of(8);
-        List<BenchNode> nodes = startEight(bench);
-        assertTrue(bench.runUntil(() -> allSee(nodes, 8, State.ALIVE), LONG));
-        BenchNode stopping = nodes.get(1);
+        List<BenchNode> entries = startEightEntries(bench);
+        assertTrue(bench.runUntil(() -> allHaveView(entries, 8, State.ALIVE), CONVERGENCE_TIMEOUT));
+        BenchNode stopping = entries.get(1);
         stopping.offer(new StopRequested());
         assertFalse(stopping.state(DirectorySnapshot.class).orElseThrow().ready());
         assertTrue(bench.runUntil(
-                () -> nodes.stream().allMatch(node -> stateOf(node, stopping) == State.LEAVING),
+                () -> entries.stream().allMatch(entry -> stateOf(entry, stopping) == State.LEAVING),
                 Duration.ofSeconds(3)));
         bench.runFor(Duration.ofSeconds(30));
-        nodes.forEach(node -> assertEquals(stateOf(node, stopping), State.LEAVING));
+        entries.forEach(entry -> assertEquals(stateOf(entry, stopping), State.LEAVING));
     }
 
-    private static List<BenchNode> startEight(ControlBench bench) {
-        List<BenchNode> nodes = new ArrayList<>();
+    private static List<BenchNode> startEightEntries(ControlBench bench) {
+        List<BenchNode> entries = new ArrayList<>();
         for (int index = 0; index < 8; index++) {
-            nodes.add(start(bench, index));
+            entries.add(startEntry(bench, index));
         }
-        return nodes;
+        return entries;
     }
 
-    private static BenchNode start(ControlBench bench, int index) {
+    private static BenchNode startEntry(ControlBench bench, int index) {
         return bench.start(
                 "entry-" + index, List.of(MembershipComponent.of(Readiness.always()), EndpointsComponent.of()));
     }
 
-    private static boolean allSee(List<BenchNode> nodes, int count, State state) {
-        return nodes.stream().allMatch(node -> {
-            List<EntryStatus> seen =
-                    node.state(DirectorySnapshot.class).orElseThrow().entries();
-            return seen.size() == count && seen.stream().allMatch(entry -> entry.state() == state);
+    private static boolean allHaveView(List<BenchNode> entries, int count, State state) {
+        return entries.stream().allMatch(entry -> {
+            List<EntryStatus> view =
+                    entry.state(DirectorySnapshot.class).orElseThrow().entries();
+            return view.size() == count && view.stream().allMatch(status -> status.state() == state);
         });
     }
 
@@ -146,7 +150,7 @@
 
     private static EntryStatus statusOf(BenchNode observer, BenchNode subject) {
         return observer.state(DirectorySnapshot.class).orElseThrow().entries().stream()
-                .filter(entry -> entry.entry().equals(subject.entry()))
+                .filter(status -> status.entry().equals(subject.entry()))
                 .findFirst()
                 .orElseThrow();
     }
--- a/src/test/java/org/yuccagw/core/peers/DirectoryChoiceTest.java
+++ b/src/test/java/org/yuccagw/core/peers/DirectoryChoiceTest.java
@@ -18,7 +18,7 @@
 import org.yuccagw.core.id.Region;
 
 public class DirectoryChoiceTest {
-    private static final List<EntryContact> SEVEN = ImmutableList.of(
+    private static final List<EntryContact> ENTRIES = ImmutableList.of(
             entry("a1", "a"),
             entry("a2", "a"),
             entry("b1", "b"),
@@ -28,32 +28,34 @@
             entry("d1", "d"));
 
     @Test
-    public void callersAreToldOfTheEntriesOfTheirFailureDomain() {
-        assertEquals(choose("b", 0), ImmutableList.of(SEVEN.get(2), SEVEN.get(3)));
+    public void callersReceiveTheEntriesOfTheirFailureDomain() {
+        assertEquals(choose("b", 0), ImmutableList.of(ENTRIES.get(2), ENTRIES.get(3)));
     }
 
-    // Callers of a failure domain with one entry were told of all seven, and six of seven requests crossed domains.
+    // Guards against traffic between failure domains. When callers of a domain with one entry received all seven, six
+    // of seven requests crossed domains.
     @Test
-    public void aLoneEntryIsNamedWithOneOtherThatChanges() {
+    public void aSingleEntryOfADomainIsListedWithAVaryingSecondEntry() {
         Set<EntryContact> others = new HashSet<>();
-        for (int draw = -3; draw < 9; draw++) {
-            List<EntryContact> chosen = choose("d", draw);
+        for (int random = -3; random < 9; random++) {
+            List<EntryContact> chosen = choose("d", random);
             assertEquals(chosen.size(), 2);
-            assertEquals(chosen.get(0), SEVEN.get(6));
+            assertEquals(chosen.get(0), ENTRIES.get(6));
             others.add(chosen.get(1));
         }
         assertEquals(others.size(), 6);
     }
 
     @Test
-    public void withoutAnEntryInTheDomainOrWithAnUnknownOneAllAreNamed() {
-        assertEquals(choose("e", 0), SEVEN);
-        assertEquals(DirectoryChoice.choose(SEVEN, Optional.empty(), Regions.UNKNOWN, 0), SEVEN);
+    public void allEntriesAreListedIfTheDomainIsUnknownOrHasNoEntry() {
+        assertEquals(choose("e", 0), ENTRIES);
+        assertEquals(DirectoryChoice.choose(ENTRIES, Optional.empty(), Regions.UNKNOWN, 0), ENTRIES);
     }
 
-    // A caller whose failure domain has one entry left was named one in another region, to which its bodies may not go.
+    // Guards against requests that leave their region. A caller whose failure domain has one entry left received an
+    // entry in another region, to which its request bodies must not be sent.
     @Test
-    public void theOthersAreOfTheCallersRegion() {
+    public void additionalEntriesAreInTheCallersRegion() {
         Regions regions = new Regions(ImmutableMap.of(
                 FailureDomain.of("a"), Region.of("north"),
                 FailureDomain.of("d"), Region.of("north"),
@@ -61,32 +63,32 @@
                 FailureDomain.of("c"), Region.of("south"),
                 FailureDomain.of("e"), Region.of("south"),
                 FailureDomain.of("f"), Region.of("east")));
-        for (int draw = 0; draw < 9; draw++) {
-            EntryContact other = choose("d", regions, draw).get(1);
+        for (int random = 0; random < 9; random++) {
+            EntryContact other = choose("d", regions, random).get(1);
             assertEquals(other.domain(), FailureDomain.of("a"));
         }
-        assertEquals(choose("e", regions, 0), SEVEN.subList(2, 6));
-        assertEquals(choose("f", regions, 0), SEVEN);
+        assertEquals(choose("e", regions, 0), ENTRIES.subList(2, 6));
+        assertEquals(choose("f", regions, 0), ENTRIES);
     }
 
-    private static List<EntryContact> choose(String domain, Regions regions, int draw) {
-        return DirectoryChoice.choose(SEVEN, Optional.of(FailureDomain.of(domain)), regions, draw);
+    private static List<EntryContact> choose(String domain, Regions regions, int random) {
+        return DirectoryChoice.choose(ENTRIES, Optional.of(FailureDomain.of(domain)), regions, random);
     }
 
     @Test
-    public void theOnlyEntryIsNamedAlone() {
-        List<EntryContact> one = ImmutableList.of(SEVEN.get(0));
-        assertEquals(DirectoryChoice.choose(one, Optional.of(FailureDomain.of("a")), Regions.UNKNOWN, 5), one);
+    public void theOnlyEntryOfTheFleetIsListedAlone() {
+        List<EntryContact> single = ImmutableList.of(ENTRIES.get(0));
+        assertEquals(DirectoryChoice.choose(single, Optional.of(FailureDomain.of("a")), Regions.UNKNOWN, 5), single);
         assertTrue(DirectoryChoice.choose(ImmutableList.of(), Optional.of(FailureDomain.of("a")), Regions.UNKNOWN, 5)
                 .isEmpty());
     }
 
-    private static List<EntryContact> choose(String domain, int draw) {
-        return DirectoryChoice.choose(SEVEN, Optional.of(FailureDomain.of(domain)), Regions.UNKNOWN, draw);
+    private static List<EntryContact> choose(String domain, int random) {
+        return DirectoryChoice.choose(ENTRIES, Optional.of(FailureDomain.of(domain)), Regions.UNKNOWN, random);
     }
 
     private static EntryContact entry(String name, String domain) {
-        NetworkAddress anywhere = NetworkAddress.of("127.0.0.1", 9);
-        return new EntryContact(EntryId.of(name), 1, FailureDomain.of(domain), anywhere, anywhere, 100);
+        NetworkAddress address = NetworkAddress.of("127.0.0.1", 9);
+        return new EntryContact(EntryId.of(name), 1, FailureDomain.of(domain), address, address, 100);
     }
 }
--- a/src/test/java/org/yuccagw/core/peers/SeedsTest.java
+++ b/src/test/java/org/yuccagw/core/peers/SeedsTest.java
@@ -17,7 +17,7 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 public class SeedsTest {
-    private static final PeersComponent.Knowledge NOTHING = new PeersComponent.Knowledge() {
+    private static final PeersComponent.Knowledge EMPTY_STATE = new PeersComponent.Knowledge() {
         @Override
         public String reasonAgainst(long nowNanos) {
             return "";
@@ -49,14 +49,15 @@
         }
     };
 
-    // Settings name three VMs as seeds, and the registrations name the same entries. Were the seeds kept beside them,
-    // every entry of a large fleet would go on sending to those three, over a second connection to each.
+    // Guards against seeds that stay in use after discovery. The settings list three VMs as seeds, and the
+    // registrations list the entries on the same VMs. If the seed addresses were kept beside these, every entry of a
+    // large fleet would keep sending to the three, over a second connection to each.
     @Test
-    public void aSeedIsNoLongerTurnedToOnceItsEntryIsKnown() {
+    public void aSeedAddressIsDroppedOnceItsEntryIsKnown() {
         ControlBench bench = ControlBench.of(3);
-        BenchNode seed = bench.start("entry-1", List.of(PeersComponent.of(NOTHING, List.of())));
+        BenchNode seed = bench.start("entry-1", List.of(PeersComponent.of(EMPTY_STATE, List.of())));
         List<NetworkAddress> seeds = List.of(seed.identity().peerAddress());
-        BenchNode other = bench.start("entry-2", List.of(PeersComponent.of(NOTHING, seeds)));
+        BenchNode other = bench.start("entry-2", List.of(PeersComponent.of(EMPTY_STATE, seeds)));
         other.offer(
                 new KeyValueRecordUpdated(new KeyValueRecord.EntryListed(EntryContact.of(seed.identity())), 1, false));
         bench.runFor(Duration.ofSeconds(1));
