--- a/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
@@ -25,12 +25,12 @@
 
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
-        if (message instanceof FollowMessage.Ask ask) {
+        if (message instanceof FollowMessage.ChangesRequest ask) {
             envelope.setFollow(
                     PeerProtocol.FollowMessage.newBuilder().setKind(ASK).setRevision(ask.afterRevision()));
             return true;
         }
-        if (message instanceof FollowMessage.Tell tell) {
+        if (message instanceof FollowMessage.Changes tell) {
             envelope.setFollow(encode(tell));
             return true;
         }
@@ -43,7 +43,7 @@
         return false;
     }
 
-    private static PeerProtocol.FollowMessage.Builder encode(FollowMessage.Tell tell) {
+    private static PeerProtocol.FollowMessage.Builder encode(FollowMessage.Changes tell) {
         PeerProtocol.FollowMessage.Builder wire = PeerProtocol.FollowMessage.newBuilder()
                 .setKind(TELL)
                 .setAfterRevision(tell.afterRevision())
@@ -72,9 +72,9 @@
         }
         PeerProtocol.FollowMessage wire = envelope.getFollow();
         if (wire.getKind() == ASK) {
-            return Optional.of(new FollowMessage.Ask(wire.getRevision()));
+            return Optional.of(new FollowMessage.ChangesRequest(wire.getRevision()));
         }
-        return Optional.of(new FollowMessage.Tell(
+        return Optional.of(new FollowMessage.Changes(
                 wire.getWhole(),
                 wire.getAfterRevision(),
                 wire.getRevision(),
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueComponent.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueComponent.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public Optional<String> reasonAgainst(long nowNanos) {
+    public Optional<String> reasonNotReady(long nowNanos) {
         if (inForce.revision() == 0) {
             return Optional.of(
                     serviceSaidNone
--- a/src/main/java/org/yuccagw/core/follow/ConfigurationComponent.java
+++ b/src/main/java/org/yuccagw/core/follow/ConfigurationComponent.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns the configuration in force; empty if none has been received yet. */
-    public Optional<Deployment> present() {
+    public Optional<Deployment> current() {
         return current;
     }
 
--- a/src/main/java/org/yuccagw/core/follow/FollowMessage.java
+++ b/src/main/java/org/yuccagw/core/follow/FollowMessage.java
@@ -7,7 +7,7 @@
 /** The messages by which entries send each other changes of the followed keys. */
 public sealed interface FollowMessage extends PeerMessage {
     /** Requests the changes after a revision, or all keys if the revision is 0. */
-    record Ask(long afterRevision) implements FollowMessage {}
+    record ChangesRequest(long afterRevision) implements FollowMessage {}
 
     /**
      * Reports changes, either as the answer to a request or unrequested from a lead to its followers.
@@ -19,7 +19,7 @@
      * @param afterOutage whether the key-value service has just become reachable again for the sender, so that a
      *     removal may be the lapse of a lease
      */
-    record Tell(
+    record Changes(
             boolean whole,
             long afterRevision,
             long revision,
--- a/src/main/java/org/yuccagw/core/follow/KeyValueFollowComponent.java
+++ b/src/main/java/org/yuccagw/core/follow/KeyValueFollowComponent.java
@@ -98,7 +98,7 @@
      * How long to wait for registrations that lapsed during an outage of the service; they are written again within
      * about 2 s after it.
      */
-    public static final Duration RETURN_GRACE = Duration.ofSeconds(2);
+    public static final Duration REREGISTRATION_GRACE = Duration.ofSeconds(2);
 
     /** The wait of a watch while the service is unavailable; short, so that its recovery is detected immediately. */
     private static final Duration OUTAGE_WATCH_WAIT = Duration.ofMillis(50);
@@ -111,7 +111,7 @@
     private static final long NO_REVISION = 0;
 
     private final KeyValueRecordCodec codec;
-    private final Fleet fleet;
+    private final WatchRole watchRole;
     private final TreeMap<String, KeyState> keys = new TreeMap<>();
     private ControlContext context;
     private long startedNanos;
@@ -129,35 +129,35 @@
     private boolean peerRequestPending;
     private int retainedRemovals;
 
-    private KeyValueFollowComponent(KeyValueRecordCodec codec, Fleet fleet) {
+    private KeyValueFollowComponent(KeyValueRecordCodec codec, WatchRole watchRole) {
         this.codec = codec;
-        this.fleet = fleet;
+        this.watchRole = watchRole;
     }
 
     /** Creates a component with an empty copy. */
-    public static KeyValueFollowComponent of(KeyValueRecordCodec codec, Fleet fleet) {
-        return new KeyValueFollowComponent(codec, fleet);
+    public static KeyValueFollowComponent of(KeyValueRecordCodec codec, WatchRole watchRole) {
+        return new KeyValueFollowComponent(codec, watchRole);
     }
 
     /** Determines whether this entry watches itself, and whether it forwards changes to followers. */
-    public interface Fleet {
+    public interface WatchRole {
         /** Returns whether this entry may rely on confirmations from leads instead of watching. */
-        boolean reliesOnOthers();
+        boolean reliesOnLeads();
 
         /** Returns whether this entry takes requests. */
         boolean isServing();
 
         /** Returns whether other entries rely on this one. */
-        boolean isReliedOn();
+        boolean hasFollowers();
 
         /** Sends changes to the entries that rely on this one. */
-        void tellFollowers(FollowMessage.Tell changes);
+        void sendToFollowers(FollowMessage.Changes changes);
 
         /** Returns the role of an entry in a fleet in which every entry watches. */
-        static Fleet ofWatchers() {
-            return new Fleet() {
+        static WatchRole alwaysWatching() {
+            return new WatchRole() {
                 @Override
-                public boolean reliesOnOthers() {
+                public boolean reliesOnLeads() {
                     return false;
                 }
 
@@ -167,12 +167,12 @@
                 }
 
                 @Override
-                public boolean isReliedOn() {
+                public boolean hasFollowers() {
                     return false;
                 }
 
                 @Override
-                public void tellFollowers(FollowMessage.Tell changes) {
+                public void sendToFollowers(FollowMessage.Changes changes) {
                     // No entry relies on this one.
                 }
             };
@@ -183,14 +183,14 @@
     private record KeyState(Item item, long receivedNanos) {}
 
     /** Raised when another entry reported its revision. */
-    public record PeerRevisionHeard(EntryId entry, long revision) implements ControlEvent {}
+    public record PeerRevisionReported(EntryId entry, long revision) implements ControlEvent {}
 
     /**
      * Raised when a lead reported its revision and the age of its last confirmation.
      *
      * @param asOfNanos time of the confirmation, in this entry's monotonic time
      */
-    public record PeerConfirmed(long revision, long asOfNanos) implements ControlEvent {}
+    public record LeadConfirmationReported(long revision, long asOfNanos) implements ControlEvent {}
 
     @Override
     public void start(ControlContext startContext) {
@@ -201,9 +201,9 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
-        if (event instanceof PeerRevisionHeard reported) {
+        if (event instanceof PeerRevisionReported reported) {
             schedulePeerRequest(reported);
-        } else if (event instanceof PeerConfirmed confirmed) {
+        } else if (event instanceof LeadConfirmationReported confirmed) {
             onLeadConfirmation(confirmed.revision(), confirmed.asOfNanos());
         } else if (event instanceof PeerReceived received && received.message() instanceof FollowMessage message) {
             receive(received.from(), message);
@@ -259,7 +259,7 @@
     }
 
     private boolean isConfirmedByLeads() {
-        return fleet.reliesOnOthers()
+        return watchRole.reliesOnLeads()
                 && everLeadConfirmed
                 && context.nowNanos() - leadConfirmedNanos < CONFIRMATION_MAX_AGE.toNanos();
     }
@@ -282,7 +282,7 @@
 
     /** Returns the delay of the next watch; not extended before the first configuration, which serving requires. */
     private Duration coalescingDelay() {
-        boolean starting = context.nowNanos() - startedNanos < STARTUP_PERIOD.toNanos() && fleet.isServing();
+        boolean starting = context.nowNanos() - startedNanos < STARTUP_PERIOD.toNanos() && watchRole.isServing();
         return starting ? STARTUP_COALESCING_DELAY : COALESCING_DELAY;
     }
 
@@ -290,7 +290,7 @@
         if (unavailable) {
             return OUTAGE_WATCH_WAIT;
         }
-        return fleet.isReliedOn() ? LEAD_WATCH_WAIT : WATCH_WAIT;
+        return watchRole.hasFollowers() ? LEAD_WATCH_WAIT : WATCH_WAIT;
     }
 
     private void onWatchAnswer(KeyValueAnswer.Found found, long sentNanos, Duration wait) {
@@ -304,7 +304,7 @@
             watchOrRely();
         } else {
             confirm(sentNanos);
-            fleet.tellFollowers(changesMessage(false, previousRevision, ImmutableList.copyOf(found.items())));
+            watchRole.sendToFollowers(changesMessage(false, previousRevision, ImmutableList.copyOf(found.items())));
             context.after(coalescingDelay(), this::watchOrRely);
         }
     }
@@ -352,7 +352,7 @@
 
     // ---- Other entries
 
-    private void schedulePeerRequest(PeerRevisionHeard reported) {
+    private void schedulePeerRequest(PeerRevisionReported reported) {
         if (reported.revision() <= revision || peerRequestPending) {
             return;
         }
@@ -364,17 +364,17 @@
                         .with("peer", reported.entry())
                         .with("own_revision", revision)
                         .with("peer_revision", reported.revision()));
-                context.send(reported.entry(), new FollowMessage.Ask(revision));
+                context.send(reported.entry(), new FollowMessage.ChangesRequest(revision));
             }
         });
     }
 
     private void receive(EntryId from, FollowMessage message) {
-        if (message instanceof FollowMessage.Ask request) {
+        if (message instanceof FollowMessage.ChangesRequest request) {
             if (everConfirmed) {
                 context.send(from, answerTo(request));
             }
-        } else if (message instanceof FollowMessage.Tell changes) {
+        } else if (message instanceof FollowMessage.Changes changes) {
             applyChanges(from, changes);
         }
     }
@@ -383,13 +383,13 @@
      * Applies changes received from another entry. The items always apply, but they raise this entry's revision to that
      * of the sender only if no changes in between are missing, as after the loss of a message.
      */
-    private void applyChanges(EntryId from, FollowMessage.Tell changes) {
+    private void applyChanges(EntryId from, FollowMessage.Changes changes) {
         if (changes.whole()) {
             applyList(changes.items(), changes.revision(), changes.afterOutage());
         } else {
             changes.items().forEach(item -> apply(item, changes.afterOutage()));
             if (changes.afterRevision() > revision) {
-                context.send(from, new FollowMessage.Ask(revision));
+                context.send(from, new FollowMessage.ChangesRequest(revision));
                 return;
             }
             advanceTo(changes.revision());
@@ -411,7 +411,7 @@
         }
     }
 
-    private FollowMessage.Tell answerTo(FollowMessage.Ask request) {
+    private FollowMessage.Changes answerTo(FollowMessage.ChangesRequest request) {
         boolean whole = request.afterRevision() < deletedRemovalRevision || request.afterRevision() == NO_REVISION;
         ImmutableList.Builder<Item> items = ImmutableList.builder();
         for (KeyState each : keys.values()) {
@@ -423,11 +423,11 @@
         return changesMessage(whole, request.afterRevision(), items.build());
     }
 
-    private FollowMessage.Tell changesMessage(boolean whole, long afterRevision, ImmutableList<Item> items) {
+    private FollowMessage.Changes changesMessage(boolean whole, long afterRevision, ImmutableList<Item> items) {
         long ageMillis = (context.nowNanos() - confirmedNanos) / 1_000_000;
-        boolean afterOutage =
-                recoveredNanos != Long.MIN_VALUE && context.nowNanos() - recoveredNanos < RETURN_GRACE.toNanos();
-        return new FollowMessage.Tell(whole, afterRevision, revision, ageMillis, afterOutage, items);
+        boolean afterOutage = recoveredNanos != Long.MIN_VALUE
+                && context.nowNanos() - recoveredNanos < REREGISTRATION_GRACE.toNanos();
+        return new FollowMessage.Changes(whole, afterRevision, revision, ageMillis, afterOutage, items);
     }
 
     // ---- Applying changes
--- a/src/main/java/org/yuccagw/core/membership/MembershipComponent.java
+++ b/src/main/java/org/yuccagw/core/membership/MembershipComponent.java
@@ -121,7 +121,7 @@
         Contact contact = new Contact(self.domain(), self.callerAddress(), self.peerAddress(), self.adminAddress());
         table = new MemberTable(
                 new MemberRecord(self.entry(), self.incarnation(), 1, State.ALIVE, 0, 0, Optional.of(contact)));
-        reason = readiness.reasonAgainst(context.nowNanos()).orElse("");
+        reason = readiness.reasonNotReady(context.nowNanos()).orElse("");
         context.after(randomDelayUpTo(PROBE_PERIOD), this::startPeriod);
         context.after(randomDelayUpTo(MIN_TABLE_EXCHANGE_INTERVAL), this::exchangeTable);
     }
@@ -151,7 +151,7 @@
         }
         reason = leaving
                 ? "is stopping"
-                : readiness.reasonAgainst(context.nowNanos()).orElse("");
+                : readiness.reasonNotReady(context.nowNanos()).orElse("");
         snapshot.put(
                 DirectorySnapshot.class,
                 new DirectorySnapshot(statuses, reason.isEmpty(), reason, Readiness.DIRECTORY_TIME_TO_LIVE));
--- a/src/main/java/org/yuccagw/core/membership/Readiness.java
+++ b/src/main/java/org/yuccagw/core/membership/Readiness.java
@@ -7,7 +7,7 @@
 @FunctionalInterface
 public interface Readiness {
     /** Returns why this entry isn't ready, as the predicate of a sentence after "this entry "; empty if it is ready. */
-    Optional<String> reasonAgainst(long nowNanos);
+    Optional<String> reasonNotReady(long nowNanos);
 
     /** Returns a readiness without conditions, for a core without a catalogue. */
     static Readiness always() {
--- a/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
+++ b/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
@@ -213,10 +213,10 @@
                 Decision.of("endpoint-said-leaving").with("endpoint", endpoint).with("from", from));
         context.raise(new EndpointLeaves(endpoint));
         EndpointUpdate update = new EndpointUpdate(endpoint, true, Optional.empty());
-        if (from.equals(context.self().entry()) || broadcaster.speaksFor(from)) {
-            broadcaster.tell(update);
+        if (from.equals(context.self().entry()) || broadcaster.forwardsFor(from)) {
+            broadcaster.broadcast(update);
         }
-        broadcaster.tellFollowers(update);
+        broadcaster.sendToFollowers(update);
     }
 
     /** Whether that is new. */
@@ -235,7 +235,7 @@
         if (first) {
             context.perform(
                     Decision.of("back-off-asked").with("endpoint", endpoint).with("millis", time.toMillis()));
-            broadcaster.tell(new EndpointUpdate(endpoint, false, Optional.of(time)));
+            broadcaster.broadcast(new EndpointUpdate(endpoint, false, Optional.of(time)));
         }
     }
 
--- a/src/main/java/org/yuccagw/core/peers/PeersComponent.java
+++ b/src/main/java/org/yuccagw/core/peers/PeersComponent.java
@@ -60,13 +60,13 @@
  */
 public final class PeersComponent implements ControlComponent {
     /** Maximum number of leads of one failure domain. */
-    public static final int LEADS_OF_DOMAIN = LeadOrder.LEADS_PER_DOMAIN;
+    public static final int MAX_LEADS_PER_DOMAIN = LeadOrder.LEADS_PER_DOMAIN;
 
     /**
      * Time after the start of an entry by which it has received heartbeats from the others or found them in the
      * key-value service.
      */
-    public static final Duration FLEET_UNKNOWN = Duration.ofSeconds(2);
+    public static final Duration DISCOVERY_PERIOD = Duration.ofSeconds(2);
 
     /** In a mesh of 16 an entry sends 50 messages per second, as many as a lead of 16 other entries. */
     static final int MAX_MESH_ENTRIES = 16;
@@ -111,7 +111,7 @@
      */
     private static final Duration ROSTER_TIME_TO_LIVE = FOLLOW_TIMEOUT.plus(LEAD_HEARTBEAT_INTERVAL.multipliedBy(3));
 
-    private final Knowledge localState;
+    private final LocalState localState;
     private final List<NetworkAddress> seeds;
     private final Map<EntryId, NetworkAddress> seedAddresses = new HashMap<>();
     private final PeerTable peers = new PeerTable(this::onContact, this::onChange);
@@ -133,9 +133,9 @@
     private Optional<PeersSnapshot> snapshot = Optional.empty();
 
     /** Supplies the state of the other components of this entry for its own heartbeat. */
-    public interface Knowledge {
+    public interface LocalState {
         /** Returns why this entry can't serve; empty if it can. */
-        String reasonAgainst(long nowNanos);
+        String reasonNotReady(long nowNanos);
 
         /** Returns the revision of the key-value service up to which this entry's copy is complete. */
         long revision();
@@ -151,12 +151,12 @@
     }
 
     /** Raised when another entry sent its status. */
-    public record PeerHeard(EntryId entry, PeerStatus status) implements ControlEvent {}
+    public record PeerStatusReceived(EntryId entry, PeerStatus status) implements ControlEvent {}
 
     /** Raised when there has been no evidence of another entry's liveness for too long, or the entry restarted. */
     public record PeerLost(EntryId entry) implements ControlEvent {}
 
-    private PeersComponent(Knowledge localState, List<NetworkAddress> seeds) {
+    private PeersComponent(LocalState localState, List<NetworkAddress> seeds) {
         this.localState = localState;
         this.seeds = List.copyOf(seeds);
         this.digestSender =
@@ -168,7 +168,7 @@
      *
      * @param seeds addresses at which other entries may receive peer messages; may be outdated
      */
-    public static PeersComponent of(Knowledge localState, List<NetworkAddress> seeds) {
+    public static PeersComponent of(LocalState localState, List<NetworkAddress> seeds) {
         return new PeersComponent(localState, seeds);
     }
 
@@ -228,7 +228,7 @@
      * included for {@link #SILENCE_TOLERANCE}, since it may still run. If at least half of the known entries are
      * silent, all are included, since it is this entry that is disconnected rather than they.
      */
-    public List<EntryContact> servingOrSilent() {
+    public List<EntryContact> servingOrRecentlySilent() {
         long now = context.nowNanos();
         boolean disconnected = aliveCount() * 2 <= knownCount();
         List<EntryContact> entries = new ArrayList<>();
@@ -245,7 +245,7 @@
     }
 
     /** Returns whether more than half of the known entries of the own failure domain, including this one, are alive. */
-    public boolean hearsMostOfOwnDomain() {
+    public boolean isMajorityOfOwnDomainAlive() {
         int known = 1;
         int alive = 1;
         for (Peer peer : peers.all()) {
@@ -294,7 +294,7 @@
     }
 
     /** Sends to the entries that rely on this one; in a mesh to none. */
-    public void tellFollowers(PeerMessage message) {
+    public void sendToFollowers(PeerMessage message) {
         if (!meshed) {
             Set<EntryId> receivers = new LinkedHashSet<>(digestSender.followers());
             receivers.addAll(ownLeads());
@@ -303,7 +303,7 @@
     }
 
     /** Sends to every entry that places requests or may soon: in a mesh all live entries, otherwise all leads. */
-    public void tellAll(PeerMessage message) {
+    public void sendToAllLeads(PeerMessage message) {
         if (meshed) {
             sendToAlive(message);
             return;
@@ -312,7 +312,7 @@
     }
 
     /** Sends to the leads of the own failure domain; in a mesh to all live entries. */
-    public void tellOwnLeads(PeerMessage message) {
+    public void sendToOwnLeads(PeerMessage message) {
         if (meshed) {
             sendToAlive(message);
             return;
@@ -324,7 +324,7 @@
      * Sends an update of an endpoint to the entries that place requests on it: in a mesh all live entries, otherwise
      * the first lead of the endpoint's failure domain.
      */
-    public void tellOfEndpoint(FailureDomain domain, PeerMessage message) {
+    public void sendToFirstLeadOf(FailureDomain domain, PeerMessage message) {
         if (meshed) {
             sendToAlive(message);
             return;
@@ -333,7 +333,7 @@
     }
 
     /** Sends this entry's status immediately, for changes that others should receive before the next heartbeat. */
-    public void beatNow() {
+    public void sendStatusNow() {
         PeerStatus status = status();
         if (meshed) {
             sendToAlive(status);
@@ -537,7 +537,7 @@
     }
 
     private String reason() {
-        return leaving ? "is stopping" : localState.reasonAgainst(context.nowNanos());
+        return leaving ? "is stopping" : localState.reasonNotReady(context.nowNanos());
     }
 
     private PeerStatus status() {
@@ -585,7 +585,7 @@
         if (digest.confirmedAgeMillis().isPresent()) {
             long ageNanos =
                     Duration.ofMillis(digest.confirmedAgeMillis().getAsLong()).toNanos();
-            context.raise(new KeyValueFollowComponent.PeerConfirmed(
+            context.raise(new KeyValueFollowComponent.LeadConfirmationReported(
                     digest.status().revision(), context.nowNanos() - ageNanos));
         }
         boolean changed = false;
@@ -609,8 +609,8 @@
                         .with("peer", entry)
                         .with("address", peer.contact().peers()));
             }
-            context.raise(new PeerHeard(entry, status));
-            context.raise(new KeyValueFollowComponent.PeerRevisionHeard(entry, status.revision()));
+            context.raise(new PeerStatusReceived(entry, status));
+            context.raise(new KeyValueFollowComponent.PeerRevisionReported(entry, status.revision()));
         });
         return updated;
     }
--- a/src/main/java/org/yuccagw/core/peers/UpdateBroadcaster.java
+++ b/src/main/java/org/yuccagw/core/peers/UpdateBroadcaster.java
@@ -6,11 +6,11 @@
 /** Sends updates about endpoints to the entries that place requests. */
 public interface UpdateBroadcaster {
     /** Sends to all entries that place requests or that forward updates to those. */
-    void tell(PeerMessage update);
+    void broadcast(PeerMessage update);
 
     /** Sends to the entries of the own failure domain that rely on this one, if it is a lead. */
-    void tellFollowers(PeerMessage update);
+    void sendToFollowers(PeerMessage update);
 
     /** Returns whether updates from that entry must be forwarded, since it sends them to this entry only. */
-    boolean speaksFor(EntryId from);
+    boolean forwardsFor(EntryId from);
 }
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -217,7 +217,7 @@
         if (!endpoint.isCold(now)) {
             return true;
         }
-        boolean knowsFleet = now - startedNanos >= PeersComponent.FLEET_UNKNOWN.toNanos();
+        boolean knowsFleet = now - startedNanos >= PeersComponent.DISCOVERY_PERIOD.toNanos();
         int shares = knowsFleet ? fleet.coldShares(endpoint.listed().domain()) : 0;
         return cold.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
--- a/src/main/java/org/yuccagw/core/placing/EndpointTable.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointTable.java
@@ -73,7 +73,7 @@
         } else if (event instanceof KeyValueRecordRemoved removed
                 && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
             unlist(subject.endpoint(), removed.afterOutage());
-        } else if (event instanceof PeersComponent.PeerHeard heard) {
+        } else if (event instanceof PeersComponent.PeerStatusReceived heard) {
             hear(heard);
         } else if (event instanceof PeerReceived received && received.message() instanceof LoadUpdate news) {
             replaceLoad(received.from(), news.load());
@@ -170,7 +170,7 @@
             return;
         }
         long now = context.nowNanos();
-        known.unlist(afterOutage ? now + KeyValueFollowComponent.RETURN_GRACE.toNanos() : now);
+        known.unlist(afterOutage ? now + KeyValueFollowComponent.REREGISTRATION_GRACE.toNanos() : now);
         context.perform(Decision.of("endpoint-unlisted")
                 .with("endpoint", known.listed().incarnation())
                 .with("after_outage", afterOutage));
@@ -183,7 +183,7 @@
 
     // ---- Other entries.
 
-    private void hear(PeersComponent.PeerHeard heard) {
+    private void hear(PeersComponent.PeerStatusReceived heard) {
         replaceLoads(heard.entry(), heard.status().loads());
         replaceLoading(heard.entry(), heard.status().loading());
         for (PeerStatus.Weights heardWeights : heard.status().weights()) {
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
@@ -202,7 +202,7 @@
     }
 
     private double partOf(ListedEndpoint endpoint, Limited known) {
-        if (context.nowNanos() - startedNanos < PeersComponent.FLEET_UNKNOWN.toNanos()) {
+        if (context.nowNanos() - startedNanos < PeersComponent.DISCOVERY_PERIOD.toNanos()) {
             return 0;
         }
         return fleet.sendersTo(endpoint).partOf(context.self().entry(), endpoint, known.limit);
@@ -225,7 +225,7 @@
         Limited known = limited.get(heard.endpoint());
         known.heardHereNanos = Optional.of(now);
         if (news || !heard.limitForeseen()) {
-            fleet.tell(newsOf(heard.endpoint(), known));
+            fleet.broadcast(newsOf(heard.endpoint(), known));
         }
     }
 
@@ -233,7 +233,7 @@
         boolean knownToOthersOnly = !limited.containsKey(endpoint);
         if (knownToOthersOnly
                 || endAsOf(endpoint, context.nowNanos(), context.self().entry())) {
-            fleet.tell(new RateLimitUpdate(endpoint, Optional.empty(), 0));
+            fleet.broadcast(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
     }
 
@@ -243,14 +243,14 @@
                 ? isAfterEnd(news.endpoint(), asOf)
                         && name(news.endpoint(), news.limit().get(), asOf, from)
                 : endAsOf(news.endpoint(), asOf, from);
-        if (!fleet.speaksFor(from)) {
+        if (!fleet.forwardsFor(from)) {
             return;
         }
         if (limited.containsKey(news.endpoint())) {
             limited.get(news.endpoint()).heardHereNanos = Optional.of(context.nowNanos());
         }
         if (changed) {
-            fleet.tell(news);
+            fleet.broadcast(news);
         }
     }
 
@@ -297,7 +297,7 @@
         Limited known = limited.remove(endpoint);
         endedNanos.put(endpoint, context.nowNanos());
         if (isNear(endpoint)) {
-            fleet.tellFollowers(new RateLimitUpdate(endpoint, Optional.empty(), 0));
+            fleet.sendToFollowers(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
         tickLater();
         context.perform(Decision.of("rate-limit-ended")
@@ -364,7 +364,7 @@
     private void tellAgain(EndpointIncarnation endpoint, Limited known) {
         known.heardHereNanos
                 .filter(heard -> context.nowNanos() - heard < HEARD_LATELY.toNanos())
-                .ifPresent(heard -> fleet.tell(newsOf(endpoint, known)));
+                .ifPresent(heard -> fleet.broadcast(newsOf(endpoint, known)));
     }
 
     private void tellFollowersAgain(EndpointIncarnation endpoint, Limited known) {
@@ -376,7 +376,7 @@
     private void tellFollowers(EndpointIncarnation endpoint, Limited known) {
         known.toldFollowersNanos = context.nowNanos();
         if (isNear(endpoint)) {
-            fleet.tellFollowers(newsOf(endpoint, known));
+            fleet.sendToFollowers(newsOf(endpoint, known));
         }
     }
 
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -51,7 +51,7 @@
  * <p>Parts ask each other through this object, since each needs something of another: heartbeats carry loads, placing
  * needs the number of entries, orders announce themselves by a heartbeat.
  */
-final class GatewayComponents implements PeersComponent.Knowledge {
+final class GatewayComponents implements PeersComponent.LocalState {
     private static final String WEIGHTS_DUTY = "weights";
 
     private final EntryId self;
@@ -71,7 +71,7 @@
         follow = KeyValueFollowComponent.of(
                 codec,
                 settings.bounds().keysUnconfirmed().isPresent()
-                        ? KeyValueFollowComponent.Fleet.ofWatchers()
+                        ? KeyValueFollowComponent.WatchRole.alwaysWatching()
                         : new Following());
         configuration = ConfigurationComponent.create();
         peers = PeersComponent.of(this, settings.seeds());
@@ -177,25 +177,25 @@
     }
 
     /** How this entry follows the key-value service. */
-    private final class Following implements KeyValueFollowComponent.Fleet {
+    private final class Following implements KeyValueFollowComponent.WatchRole {
         @Override
-        public boolean reliesOnOthers() {
+        public boolean reliesOnLeads() {
             return !peers.isMeshed() && !peers.isFirstLead();
         }
 
         @Override
         public boolean isServing() {
-            return configuration.present().isPresent();
+            return configuration.current().isPresent();
         }
 
         @Override
-        public boolean isReliedOn() {
+        public boolean hasFollowers() {
             return peers.isFirstLead();
         }
 
         @Override
-        public void tellFollowers(FollowMessage.Tell tell) {
-            peers.tellFollowers(tell);
+        public void sendToFollowers(FollowMessage.Changes tell) {
+            peers.sendToFollowers(tell);
         }
     }
 
@@ -231,23 +231,23 @@
             if (peers.isMeshed()) {
                 return peers.knownCount();
             }
-            return leads(domain) ? PeersComponent.LEADS_OF_DOMAIN : 0;
+            return leads(domain) ? PeersComponent.MAX_LEADS_PER_DOMAIN : 0;
         }
 
         @Override
         public void tellAll(PeerMessage message) {
-            peers.tellAll(message);
+            peers.sendToAllLeads(message);
         }
 
         @Override
         public void tellOfEndpoint(FailureDomain domain, PeerMessage message) {
-            peers.tellOfEndpoint(domain, message);
+            peers.sendToFirstLeadOf(domain, message);
         }
     }
 
     /** Whether this entry is a lead of the failure domain, and not cut off from it. */
     private boolean leads(FailureDomain domain) {
-        return domain.equals(ownDomain) && peers.ownLeads().contains(self) && peers.hearsMostOfOwnDomain();
+        return domain.equals(ownDomain) && peers.ownLeads().contains(self) && peers.isMajorityOfOwnDomainAlive();
     }
 
     /** Who sends to endpoints with a rate limit, and who hears what endpoints say of themselves. */
@@ -255,29 +255,29 @@
         @Override
         public RateLimitShares sendersTo(ListedEndpoint endpoint) {
             if (peers.isMeshed()) {
-                return RateLimitShares.ofMesh(peers.servingOrSilent());
+                return RateLimitShares.ofMesh(peers.servingOrRecentlySilent());
             }
             return leads(endpoint.domain()) ? RateLimitShares.ofLeads(peers.ownLeads()) : RateLimitShares.nobody();
         }
 
         @Override
-        public void tell(PeerMessage news) {
+        public void broadcast(PeerMessage news) {
             if (peers.allLeads().contains(self)) {
-                peers.tellAll(news);
+                peers.sendToAllLeads(news);
             } else {
-                peers.tellOwnLeads(news);
+                peers.sendToOwnLeads(news);
             }
         }
 
         @Override
-        public void tellFollowers(PeerMessage news) {
+        public void sendToFollowers(PeerMessage news) {
             if (peers.ownLeads().contains(self)) {
-                peers.tellFollowers(news);
+                peers.sendToFollowers(news);
             }
         }
 
         @Override
-        public boolean speaksFor(EntryId from) {
+        public boolean forwardsFor(EntryId from) {
             List<EntryId> leads = peers.allLeads();
             return !peers.isMeshed() && leads.contains(self) && !leads.contains(from);
         }
@@ -285,12 +285,12 @@
 
     private void announceOrders() {
         placement.ownLoading(orders.loading());
-        peers.beatNow();
+        peers.sendStatusNow();
     }
 
     @Override
-    public String reasonAgainst(long nowNanos) {
-        return configuration.present().isPresent() ? "" : "has no configuration yet";
+    public String reasonNotReady(long nowNanos) {
+        return configuration.current().isPresent() ? "" : "has no configuration yet";
     }
 
     @Override
--- a/src/test/java/org/yuccagw/adapters/peer/StatusCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/StatusCodecTest.java
@@ -49,8 +49,8 @@
             {new DomainDigest(status, OptionalLong.of(250), rosters(status.contact()))},
             {new DomainDigest(status, OptionalLong.empty(), ImmutableList.of())},
             {new RosterRequest(FailureDomain.of("a"))},
-            {new FollowMessage.Ask(7)},
-            {new FollowMessage.Tell(false, 7, 9, 40, true, ImmutableList.of())}
+            {new FollowMessage.ChangesRequest(7)},
+            {new FollowMessage.Changes(false, 7, 9, 40, true, ImmutableList.of())}
         };
     }
 
--- a/src/test/java/org/yuccagw/core/peers/SeedsTest.java
+++ b/src/test/java/org/yuccagw/core/peers/SeedsTest.java
@@ -17,9 +17,9 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 public class SeedsTest {
-    private static final PeersComponent.Knowledge EMPTY_STATE = new PeersComponent.Knowledge() {
+    private static final PeersComponent.LocalState EMPTY_STATE = new PeersComponent.LocalState() {
         @Override
-        public String reasonAgainst(long nowNanos) {
+        public String reasonNotReady(long nowNanos) {
             return "";
         }
 
--- a/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
@@ -21,13 +21,13 @@
     }
 
     @Override
-    public void tell(PeerMessage news) {}
+    public void broadcast(PeerMessage news) {}
 
     @Override
-    public void tellFollowers(PeerMessage news) {}
+    public void sendToFollowers(PeerMessage news) {}
 
     @Override
-    public boolean speaksFor(EntryId from) {
+    public boolean forwardsFor(EntryId from) {
         return false;
     }
 }
--- a/src/test/java/org/yuccagw/daemon/EndpointRestartTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndpointRestartTest.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.peers.PeerStatus;
-import org.yuccagw.core.peers.PeersComponent.PeerHeard;
+import org.yuccagw.core.peers.PeersComponent.PeerStatusReceived;
 import org.yuccagw.core.placing.AttemptEnded;
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest.Kind;
@@ -167,7 +167,7 @@
     /** Entry 2 tells entry 1 that it has a request on a start of the engine, which runs the version there. */
     private void hearFromPeer(long startedMillis, long version) {
         EndpointIncarnation engine = EndpointIncarnation.of(EndpointId.of("engine-1"), startedMillis);
-        first.offer(new PeerHeard(
+        first.offer(new PeerStatusReceived(
                 second.entry(),
                 new PeerStatus(
                         VirtualFleet.contactOf(second),
