--- a/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
+++ b/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
@@ -223,10 +223,10 @@
                 Decision.of("endpoint-said-leaving").with("endpoint", endpoint).with("from", from));
         context.raise(new EndpointLeaving(endpoint));
         EndpointUpdate update = new EndpointUpdate(endpoint, true, Optional.empty());
-        if (from.equals(context.self().entry()) || broadcaster.speaksFor(from)) {
-            broadcaster.tell(update);
+        if (from.equals(context.self().entry()) || broadcaster.forwardsFor(from)) {
+            broadcaster.broadcast(update);
         }
-        broadcaster.tellFollowers(update);
+        broadcaster.sendToFollowers(update);
     }
 
     /** Remembers that the endpoint is leaving. Returns whether this is new. */
@@ -245,7 +245,7 @@
         if (isNew) {
             context.perform(
                     Decision.of("back-off-asked").with("endpoint", endpoint).with("millis", duration.toMillis()));
-            broadcaster.tell(new EndpointUpdate(endpoint, false, Optional.of(duration)));
+            broadcaster.broadcast(new EndpointUpdate(endpoint, false, Optional.of(duration)));
         }
     }
 
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -228,7 +228,7 @@
         if (!endpoint.isCold(now)) {
             return true;
         }
-        boolean fleetKnown = now - startedNanos >= PeersComponent.FLEET_UNKNOWN.toNanos();
+        boolean fleetKnown = now - startedNanos >= PeersComponent.DISCOVERY_PERIOD.toNanos();
         int shares = fleetKnown ? fleet.coldShareCount(endpoint.listed().domain()) : 0;
         return coldLimit.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
--- a/src/main/java/org/yuccagw/core/placing/EndpointTable.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointTable.java
@@ -74,7 +74,7 @@
         } else if (event instanceof KeyValueRecordRemoved removed
                 && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
             unregister(subject.endpoint(), removed.afterOutage());
-        } else if (event instanceof PeersComponent.PeerHeard heartbeat) {
+        } else if (event instanceof PeersComponent.PeerStatusReceived heartbeat) {
             applyHeartbeat(heartbeat);
         } else if (event instanceof PeerReceived received && received.message() instanceof LoadUpdate update) {
             replaceLoad(received.from(), update.load());
@@ -174,7 +174,7 @@
             return;
         }
         long now = context.nowNanos();
-        existing.markUnlisted(afterOutage ? now + KeyValueFollowComponent.RETURN_GRACE.toNanos() : now);
+        existing.markUnlisted(afterOutage ? now + KeyValueFollowComponent.REREGISTRATION_GRACE.toNanos() : now);
         context.perform(Decision.of("endpoint-unlisted")
                 .with("endpoint", existing.listed().incarnation())
                 .with("after_outage", afterOutage));
@@ -187,7 +187,7 @@
 
     // Updates from other entries
 
-    private void applyHeartbeat(PeersComponent.PeerHeard heartbeat) {
+    private void applyHeartbeat(PeersComponent.PeerStatusReceived heartbeat) {
         replaceLoads(heartbeat.entry(), heartbeat.status().loads());
         replaceLoading(heartbeat.entry(), heartbeat.status().loading());
         for (PeerStatus.Weights reported : heartbeat.status().weights()) {
--- a/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/RateLimitsComponent.java
@@ -209,7 +209,7 @@
     }
 
     private double currentShare(ListedEndpoint endpoint, LimitedEndpoint known) {
-        if (context.nowNanos() - startedNanos < PeersComponent.FLEET_UNKNOWN.toNanos()) {
+        if (context.nowNanos() - startedNanos < PeersComponent.DISCOVERY_PERIOD.toNanos()) {
             return 0;
         }
         return fleet.sharesFor(endpoint).shareOf(context.self().entry(), endpoint, known.limit);
@@ -233,7 +233,7 @@
         LimitedEndpoint known = limitedEndpoints.get(received.endpoint());
         known.receivedHereNanos = Optional.of(now);
         if (changed || !received.limitKnownAtPlacement()) {
-            fleet.tell(updateOf(received.endpoint(), known));
+            fleet.broadcast(updateOf(received.endpoint(), known));
         }
     }
 
@@ -241,7 +241,7 @@
         boolean unknownHere = !limitedEndpoints.containsKey(endpoint);
         if (unknownHere
                 || endIfOutdated(endpoint, context.nowNanos(), context.self().entry())) {
-            fleet.tell(new RateLimitUpdate(endpoint, Optional.empty(), 0));
+            fleet.broadcast(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
     }
 
@@ -251,14 +251,14 @@
                 ? isAfterEnd(update.endpoint(), asOfNanos)
                         && applyLimit(update.endpoint(), update.limit().get(), asOfNanos, from)
                 : endIfOutdated(update.endpoint(), asOfNanos, from);
-        if (!fleet.speaksFor(from)) {
+        if (!fleet.forwardsFor(from)) {
             return;
         }
         if (limitedEndpoints.containsKey(update.endpoint())) {
             limitedEndpoints.get(update.endpoint()).receivedHereNanos = Optional.of(context.nowNanos());
         }
         if (changed) {
-            fleet.tell(update);
+            fleet.broadcast(update);
         }
     }
 
@@ -305,7 +305,7 @@
         LimitedEndpoint known = limitedEndpoints.remove(endpoint);
         endNanos.put(endpoint, context.nowNanos());
         if (isInLocalDomain(endpoint)) {
-            fleet.tellFollowers(new RateLimitUpdate(endpoint, Optional.empty(), 0));
+            fleet.sendToFollowers(new RateLimitUpdate(endpoint, Optional.empty(), 0));
         }
         scheduleTick();
         context.perform(Decision.of("rate-limit-ended")
@@ -374,7 +374,7 @@
     private void rebroadcast(EndpointIncarnation endpoint, LimitedEndpoint known) {
         known.receivedHereNanos
                 .filter(receivedNanos -> context.nowNanos() - receivedNanos < LOCAL_REPORT_AGE_LIMIT.toNanos())
-                .ifPresent(receivedNanos -> fleet.tell(updateOf(endpoint, known)));
+                .ifPresent(receivedNanos -> fleet.broadcast(updateOf(endpoint, known)));
     }
 
     private void sendToFollowersIfDue(EndpointIncarnation endpoint, LimitedEndpoint known) {
@@ -386,7 +386,7 @@
     private void sendToFollowers(EndpointIncarnation endpoint, LimitedEndpoint known) {
         known.sentToFollowersNanos = context.nowNanos();
         if (isInLocalDomain(endpoint)) {
-            fleet.tellFollowers(updateOf(endpoint, known));
+            fleet.sendToFollowers(updateOf(endpoint, known));
         }
     }
 
--- a/src/test/java/org/yuccagw/core/ratelimit/NoPeers.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/NoPeers.java
@@ -21,13 +21,13 @@
     }
 
     @Override
-    public void tell(PeerMessage update) {}
+    public void broadcast(PeerMessage update) {}
 
     @Override
-    public void tellFollowers(PeerMessage update) {}
+    public void sendToFollowers(PeerMessage update) {}
 
     @Override
-    public boolean speaksFor(EntryId from) {
+    public boolean forwardsFor(EntryId from) {
         return false;
     }
 }
