--- a/src/main/java/org/yuccagw/core/admission/AdmissionComponent.java
+++ b/src/main/java/org/yuccagw/core/admission/AdmissionComponent.java
@@ -29,55 +29,59 @@
 import org.yuccagw.core.shard.ShardsSnapshot;
 
 /**
- * Lets requests in: within the limits of workspaces and services over all entries, in fair order, and only if the
- * first token can be expected in time.
+ * Admits requests within the limits of workspaces and services over all entries, in fair order, and only if the first
+ * token can be expected within its deadline.
  *
- * <p>A request is let in at once if its service has a free place, nobody waits for one, and this entry's shares of
- * the limits have room. Otherwise its wait is predicted from what is ahead of it in the fair queue and from how long
- * requests hold their places. If that passes the class's first-token deadline, it is refused now, with the time after
- * which a request would be let in within the deadline; else it waits, at most until the deadline.
+ * <p>A request is admitted immediately if its service has free capacity and an empty queue and if the shares of this
+ * entry permit it. Otherwise its wait is predicted from the requests ahead of it in the fair queue and the mean run
+ * time of requests. If the predicted wait exceeds the first-token deadline of its class, the request is refused
+ * immediately with a delay after which a request would be admitted within the deadline. Otherwise it waits, but not
+ * longer than the deadline.
  *
- * <p>{@link LimitShares} keeps the shares, {@link FairQueue} the order.
+ * <p>{@link LimitShares} maintains the shares of the limits, and {@link FairQueue} the order of the waiting requests.
  */
 public final class AdmissionComponent implements ControlComponent {
-    private static final Duration USUAL_DEADLINE = Duration.ofSeconds(10);
-    private static final Duration LEAST_COME_BACK = Duration.ofMillis(100);
-    private static final Duration LIMITED_RECHECK = Duration.ofMillis(10);
-    private static final int MOST_WAITING_PER_WORKSPACE = 2_000;
+    private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(10);
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(100);
+    private static final Duration LIMIT_RECHECK_INTERVAL = Duration.ofMillis(10);
+    private static final int MAX_WAITING_PER_WORKSPACE = 2_000;
+    /** Wait beyond the deadline that is assumed if the wait cannot be predicted. */
     private static final double UNKNOWN_WAIT_SECONDS = 1;
-    private static final double NANOS = 1e9;
-    private static final double MILLIS = 1e3;
+
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     private final LimitShares shares;
     private final Map<ServiceName, ServiceGate> gates = new HashMap<>();
-    private final Map<RequestId, Waiting> waiting = new LinkedHashMap<>();
+    private final Map<RequestId, WaitingRequest> waiting = new LinkedHashMap<>();
     private final Map<RequestId, Admitted> admitted = new HashMap<>();
     private Catalogue catalogue = Catalogue.none();
     private ControlContext context;
-    private boolean recheckSet;
-    private long refused;
+    private boolean recheckScheduled;
+    private long refusedCount;
 
     private AdmissionComponent(LimitShares shares) {
         this.shares = shares;
     }
 
     /**
-     * Makes the part.
+     * Returns a component.
      *
-     * @param authority proves the lease right before a share is lent
-     * @param shards who owns which shard, as far as this entry knows; asked on the control thread
+     * @param authority verifies that the lease of a shard is still held immediately before a share of it is lent
+     * @param shards local view of the owners of the shards, queried on the control thread
      */
     public static AdmissionComponent of(ShardAuthority authority, Supplier<ShardsSnapshot> shards) {
-        return withWaitOut(authority, shards, ShareLender.WAIT_OUT);
+        return withSettlingTime(authority, shards, ShareLender.SETTLING_TIME);
     }
 
-    /** For the test that takes the waiting out of old shares away; daemons use {@link #of}. */
-    static AdmissionComponent withWaitOut(ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration waitOut) {
-        return new AdmissionComponent(new LimitShares(authority, shards, waitOut));
+    /** Returns a component with another settling time, for tests. Daemons use {@link #of}. */
+    static AdmissionComponent withSettlingTime(
+            ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration settlingTime) {
+        return new AdmissionComponent(new LimitShares(authority, shards, settlingTime));
     }
 
-    /** A request that was let in. */
-    private record Admitted(Waiting request, long admittedNanos) {}
+    /** A request that was admitted and has not ended. */
+    private record Admitted(WaitingRequest request, long admittedNanos) {}
 
     @Override
     public void start(ControlContext startContext) {
@@ -88,32 +92,32 @@
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof AdmissionRequested requested) {
-            asked(requested);
+            handleRequest(requested);
         } else if (event instanceof Released released) {
-            released(released.request(), released.usedTokens());
+            release(released.request(), released.usedTokens());
         } else if (event instanceof Withdrawn withdrawn) {
-            withdrawn(withdrawn.request());
+            withdraw(withdrawn.request());
         } else if (event instanceof CapacityChanged changed) {
-            gate(changed.service()).capacity(changed.requestsAtOnce());
+            gate(changed.service()).setCapacity(changed.maxConcurrentRequests());
             dispatch();
         } else if (event instanceof PeerReceived received && received.message() instanceof SharePeerMessage message) {
             shares.receive(received.from(), message);
         } else if (event instanceof MembersChanged changed) {
-            shares.members(changed.entries());
+            shares.handleMembers(changed.entries());
         } else if (event instanceof ShardGained gained) {
-            shares.gained(gained);
+            shares.handleShardGained(gained);
         } else if (event instanceof ShardLost lost) {
-            shares.lost(lost.shard());
+            shares.handleShardLost(lost.shard());
         } else if (event instanceof CatalogueChanged changed) {
             catalogue = changed.catalogue();
-            shares.catalogue(catalogue);
+            shares.setCatalogue(catalogue);
             dispatch();
         }
     }
 
     @Override
     public void contribute(ControlSnapshot.Builder snapshot) {
-        snapshot.put(AdmissionSnapshot.class, new AdmissionSnapshot(admitted.size(), waiting.size(), refused));
+        snapshot.put(AdmissionSnapshot.class, new AdmissionSnapshot(admitted.size(), waiting.size(), refusedCount));
     }
 
     private ServiceGate gate(ServiceName service) {
@@ -132,11 +136,11 @@
         return catalogue
                 .requestClass(className)
                 .map(RequestClass::firstTokenDeadline)
-                .orElse(USUAL_DEADLINE);
+                .orElse(DEFAULT_DEADLINE);
     }
 
-    private void asked(AdmissionRequested requested) {
-        Waiting request = new Waiting(requested, context.nowNanos());
+    private void handleRequest(AdmissionRequested requested) {
+        WaitingRequest request = new WaitingRequest(requested, context.nowNanos());
         if (admitted.containsKey(requested.request()) || waiting.containsKey(requested.request())) {
             reply(
                     request,
@@ -144,147 +148,149 @@
             return;
         }
         ServiceGate gate = gate(requested.service());
-        if (gate.queue().size() == 0 && gate.hasRoom() && shares.admit(request)) {
+        if (gate.queue().size() == 0 && gate.hasFreeCapacity() && shares.tryConsume(request)) {
             admit(request, gate);
             return;
         }
         Prediction prediction = predict(request);
-        boolean tooMany = gate.queue().size(requested.workspace()) >= MOST_WAITING_PER_WORKSPACE;
-        double deadlineSeconds = (double) deadline(requested.className()).toNanos() / NANOS;
-        if (tooMany || prediction.seconds() > deadlineSeconds) {
+        boolean queueFull = gate.queue().size(requested.workspace()) >= MAX_WAITING_PER_WORKSPACE;
+        double deadlineSeconds = (double) deadline(requested.className()).toNanos() / NANOS_PER_SECOND;
+        if (queueFull || prediction.seconds() > deadlineSeconds) {
             refuse(request, prediction);
             return;
         }
-        wait(request, gate);
+        enqueue(request, gate);
     }
 
-    private void wait(Waiting request, ServiceGate gate) {
-        waiting.put(request.asked().request(), request);
+    private void enqueue(WaitingRequest request, ServiceGate gate) {
+        waiting.put(request.admission().request(), request);
         gate.queue().add(request);
-        shares.waits(request, 1);
+        shares.addWaiting(request, 1);
         context.after(deadline(request.className()), () -> expire(request));
         dispatch();
     }
 
-    /** The prediction was wrong and the deadline is here: the final answer goes out now. */
-    private void expire(Waiting request) {
-        if (request.equals(waiting.get(request.asked().request()))) {
-            giveUp(request);
+    /** Refuses a request that is still waiting at its deadline because the prediction of its wait was too short. */
+    private void expire(WaitingRequest request) {
+        if (request.equals(waiting.get(request.admission().request()))) {
+            refuseWaiting(request);
         }
     }
 
-    private void leaveQueue(Waiting request) {
-        waiting.remove(request.asked().request());
+    private void removeFromQueue(WaitingRequest request) {
+        waiting.remove(request.admission().request());
         gate(request.service()).queue().remove(request);
-        shares.waits(request, -1);
+        shares.addWaiting(request, -1);
     }
 
     /**
-     * How long a request that comes now would wait.
+     * The predicted wait of a request that arrives now.
      *
-     * @param byLimits whether a limit is what makes it wait, not the service's places
+     * @param limitBound whether the wait is caused by a limit rather than by the capacity of the service
      */
-    private record Prediction(double seconds, boolean byLimits) {}
+    private record Prediction(double seconds, boolean limitBound) {}
 
-    private Prediction predict(Waiting request) {
+    private Prediction predict(WaitingRequest request) {
         ServiceGate gate = gate(request.service());
-        double forRoom = gate.secondsUntilRoom(request.workspace(), request.className());
-        double forLimits = shares.secondsUntilAdmits(request, gate);
-        return new Prediction(Math.max(forRoom, forLimits), forLimits > forRoom);
+        double capacityWaitSeconds = gate.secondsUntilFreeCapacity(request.workspace(), request.className());
+        double limitWaitSeconds = shares.secondsUntilAdmitted(request, gate);
+        return new Prediction(Math.max(capacityWaitSeconds, limitWaitSeconds), limitWaitSeconds > capacityWaitSeconds);
     }
 
-    private void refuse(Waiting request, Prediction prediction) {
-        refused++;
-        double deadlineSeconds = (double) deadline(request.className()).toNanos() / NANOS;
+    private void refuse(WaitingRequest request, Prediction prediction) {
+        refusedCount++;
+        double deadlineSeconds = (double) deadline(request.className()).toNanos() / NANOS_PER_SECOND;
         double seconds =
                 Double.isFinite(prediction.seconds()) ? prediction.seconds() : deadlineSeconds + UNKNOWN_WAIT_SECONDS;
-        long comeBackMillis = Math.max(LEAST_COME_BACK.toMillis(), (long) ((seconds - deadlineSeconds) * MILLIS));
-        YuccagwException error = prediction.byLimits()
+        long retryAfterMillis =
+                Math.max(MIN_RETRY_AFTER.toMillis(), (long) ((seconds - deadlineSeconds) * MILLIS_PER_SECOND));
+        YuccagwException error = prediction.limitBound()
                 ? ErrorKind.WORKSPACE_LIMIT.raise(request.workspace(), shares.describe(request))
-                : ErrorKind.OVERLOADED.raise((long) (seconds * MILLIS));
-        reply(request, Optional.of(error.comeBackAfter(Duration.ofMillis(comeBackMillis))));
+                : ErrorKind.OVERLOADED.raise((long) (seconds * MILLIS_PER_SECOND));
+        reply(request, Optional.of(error.comeBackAfter(Duration.ofMillis(retryAfterMillis))));
     }
 
-    private void admit(Waiting request, ServiceGate gate) {
-        gate.admit(request.cost());
-        admitted.put(request.asked().request(), new Admitted(request, context.nowNanos()));
+    private void admit(WaitingRequest request, ServiceGate gate) {
+        gate.admit(request.costTokens());
+        admitted.put(request.admission().request(), new Admitted(request, context.nowNanos()));
         reply(request, Optional.empty());
     }
 
-    private void reply(Waiting request, Optional<YuccagwException> answer) {
-        context.reply(() -> request.asked().reply().accept(answer));
+    private void reply(WaitingRequest request, Optional<YuccagwException> answer) {
+        context.reply(() -> request.admission().reply().accept(answer));
     }
 
-    private void released(RequestId id, long usedTokens) {
+    private void release(RequestId id, long usedTokens) {
         Admitted ended = admitted.remove(id);
         if (ended == null) {
             return;
         }
-        double held = (double) (context.nowNanos() - ended.admittedNanos()) / NANOS;
-        gate(ended.request().service()).release(held);
+        double runSeconds = (double) (context.nowNanos() - ended.admittedNanos()) / NANOS_PER_SECOND;
+        gate(ended.request().service()).release(runSeconds);
         shares.release(ended.request(), usedTokens);
         dispatch();
     }
 
     /**
-     * A caller that leaves while the answer "let in" is on its way to its thread has been let in: it ends at once.
+     * Handles a caller that disconnected. If the request was admitted but the reply has not reached the caller's thread
+     * yet, the request counts as admitted and is released.
      */
-    private void withdrawn(RequestId id) {
-        Waiting request = waiting.get(id);
+    private void withdraw(RequestId id) {
+        WaitingRequest request = waiting.get(id);
         if (request != null) {
-            leaveQueue(request);
+            removeFromQueue(request);
         } else {
-            released(id, 0);
+            release(id, 0);
         }
     }
 
-    /** Lets in whatever may come in now. */
+    /** Admits all waiting requests that may run now. */
     private void dispatch() {
-        boolean limited = false;
+        boolean limitBound = false;
         for (ServiceGate gate : gates.values()) {
-            limited |= dispatch(gate);
+            limitBound |= dispatch(gate);
         }
-        if (limited && !recheckSet) {
-            recheckSet = true;
-            context.after(LIMITED_RECHECK, () -> {
-                recheckSet = false;
+        if (limitBound && !recheckScheduled) {
+            recheckScheduled = true;
+            context.after(LIMIT_RECHECK_INTERVAL, () -> {
+                recheckScheduled = false;
                 dispatch();
             });
         }
     }
 
-    /** Asks for a larger share; if nobody answers such asks, the requests that wait for one are refused now. */
-    private void askOrGiveUp(WorkspaceId workspace, ServiceName service) {
-        shares.askSoon(workspace, service);
-        if (shares.isOutOfReach(workspace, service)) {
+    /** Requests a larger share. If the owner does not respond, refuses the requests that are waiting for the share. */
+    private void requestShareOrRefuse(WorkspaceId workspace, ServiceName service) {
+        shares.requestShareSoon(workspace, service);
+        if (shares.isUnobtainable(workspace, service)) {
             waiting.values().stream()
                     .filter(request -> request.workspace().equals(workspace))
                     .filter(request -> request.service().equals(service))
                     .toList()
-                    .forEach(this::giveUp);
+                    .forEach(this::refuseWaiting);
         }
     }
 
-    private void giveUp(Waiting request) {
-        leaveQueue(request);
+    private void refuseWaiting(WaitingRequest request) {
+        removeFromQueue(request);
         refuse(request, predict(request));
     }
 
-    /** True if requests wait for nothing but their limits. */
+    /** Returns whether requests are waiting only because of their limits. */
     private boolean dispatch(ServiceGate gate) {
-        while (gate.hasRoom() && gate.queue().size() > 0) {
-            Optional<Waiting> next = gate.queue().take(workspace -> shares.admits(workspace, gate.service()));
+        while (gate.hasFreeCapacity() && gate.queue().size() > 0) {
+            Optional<WaitingRequest> next = gate.queue().poll(workspace -> shares.permits(workspace, gate.service()));
             if (next.isEmpty()) {
-                gate.queue().waitingWorkspaces().forEach(workspace -> askOrGiveUp(workspace, gate.service()));
+                gate.queue().waitingWorkspaces().forEach(workspace -> requestShareOrRefuse(workspace, gate.service()));
                 return gate.queue().size() > 0;
             }
-            Waiting request = next.get();
-            waiting.remove(request.asked().request());
-            shares.waits(request, -1);
-            shares.take(request);
+            WaitingRequest request = next.get();
+            waiting.remove(request.admission().request());
+            shares.addWaiting(request, -1);
+            shares.consume(request);
             admit(request, gate);
         }
-        gate.queue().forgetIdle();
+        gate.queue().removeIdleFlows();
         return false;
     }
 }
--- a/src/main/java/org/yuccagw/core/admission/AdmissionRequested.java
+++ b/src/main/java/org/yuccagw/core/admission/AdmissionRequested.java
@@ -9,13 +9,14 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * Traffic asks to let a request in. The reply comes exactly once: at once, after a wait in a fair queue, or as an early
- * refusal.
+ * Requests the admission of a request. {@code reply} is called exactly once: immediately, after a wait in a fair queue,
+ * or with an early refusal.
  *
- * @param className request class that counts, from the service or the workspace
- * @param promptTokens estimate of the prompt's size in tokens, 0 for a plain call
- * @param answerTokens most tokens that the answer may have, 0 for a plain call
- * @param reply empty when the request is let in, else WORKSPACE_LIMIT or OVERLOADED with a time to come back
+ * @param className effective request class, from the service or the workspace
+ * @param promptTokens estimated size of the prompt in tokens, 0 for a plain call
+ * @param answerTokens maximum size of the answer in tokens, 0 for a plain call
+ * @param reply called with an empty value if the request is admitted, otherwise with WORKSPACE_LIMIT or OVERLOADED and
+ *     a delay after which to retry
  */
 public record AdmissionRequested(
         RequestId request,
@@ -27,9 +28,9 @@
         Consumer<Optional<YuccagwException>> reply)
         implements ControlEvent {
 
-    /** A request that was let in ended, with the tokens that it really used. */
+    /** An admitted request ended after it used {@code usedTokens} tokens. */
     public record Released(RequestId request, long usedTokens) implements ControlEvent {}
 
-    /** The caller left before it was let in; no reply is due any more. */
+    /** The caller disconnected before the request was admitted. No reply is expected any more. */
     public record Withdrawn(RequestId request) implements ControlEvent {}
 }
--- a/src/main/java/org/yuccagw/core/admission/AdmissionSnapshot.java
+++ b/src/main/java/org/yuccagw/core/admission/AdmissionSnapshot.java
@@ -1,10 +1,10 @@
 package org.yuccagw.core.admission;
 
 /**
- * What operators see of admission on one entry.
+ * The admission state of one entry, as shown to operators.
  *
- * @param running requests that were let in and have not ended
- * @param waiting requests in the fair queues
- * @param refused requests refused since the start, by limits or by predicted wait
+ * @param running number of requests that were admitted and have not ended
+ * @param waiting number of requests in the fair queues
+ * @param refused number of requests refused since the start, because of limits or the predicted wait
  */
 public record AdmissionSnapshot(int running, int waiting, long refused) {}
--- a/src/main/java/org/yuccagw/core/admission/CapacityChanged.java
+++ b/src/main/java/org/yuccagw/core/admission/CapacityChanged.java
@@ -4,13 +4,13 @@
 import org.yuccagw.core.id.ServiceName;
 
 /**
- * How many requests of a service this entry lets run at once, from the number of its endpoints and entries. Until the
- * first such event a service is not bounded.
+ * The maximum number of concurrent requests of a service on this entry changed. It is derived from the number of
+ * endpoints and entries. A service is unbounded until the first such event.
  */
-public record CapacityChanged(ServiceName service, int requestsAtOnce) implements ControlEvent {
+public record CapacityChanged(ServiceName service, int maxConcurrentRequests) implements ControlEvent {
     public CapacityChanged {
-        if (requestsAtOnce < 0) {
-            throw new IllegalArgumentException("a capacity is not negative: " + requestsAtOnce);
+        if (maxConcurrentRequests < 0) {
+            throw new IllegalArgumentException("capacity must not be negative: " + maxConcurrentRequests);
         }
     }
 }
--- a/src/main/java/org/yuccagw/core/admission/CapacityComponent.java
+++ b/src/main/java/org/yuccagw/core/admission/CapacityComponent.java
@@ -15,24 +15,24 @@
 import org.yuccagw.core.membership.MembersChanged;
 
 /**
- * How many requests of each service this entry lets run at once, from its endpoints that take new work and the entries
- * that share them.
+ * Derives the maximum number of concurrent requests of each service on this entry from the endpoints of the service
+ * that accept new requests and from the entries that share them.
  *
- * <p>Callers choose entries for themselves, so the load of entries is uneven: each entry may use
- * {@value #UNEVENNESS_PERCENT} in 100 of an even part. Beyond that requests wait here, in fair order, rather than in
- * an engine's queue, where nobody weighs workspaces against each other.
+ * <p>Callers choose their entries, so the load of the entries is uneven. Therefore each entry may use {@value
+ * #LOAD_IMBALANCE_PERCENT} percent of an equal share. Further requests wait on the entry in fair order, rather than in
+ * the queue of an engine, which is not fair between workspaces.
  *
- * <p>Example: 13 replicas, 8 entries: 13 * 48 / 8 * 2 = 156 requests at once.
+ * <p>Example: with 13 replicas and 8 entries, 13 * 48 / 8 * 2 = 156 requests may run concurrently on one entry.
  */
 public final class CapacityComponent implements ControlComponent {
-    private static final int REQUESTS_FOR_EACH_ENDPOINT = 48;
-    private static final int UNEVENNESS_PERCENT = 200;
+    private static final int REQUESTS_PER_ENDPOINT = 48;
+    private static final int LOAD_IMBALANCE_PERCENT = 200;
     private static final int PERCENT = 100;
 
-    private final Map<ServiceName, Integer> told = new HashMap<>();
+    private final Map<ServiceName, Integer> lastCapacities = new HashMap<>();
     private Catalogue catalogue = Catalogue.none();
     private EndpointsSnapshot endpoints = EndpointsSnapshot.empty();
-    private long entries = 1;
+    private long entryCount = 1;
 
     private CapacityComponent() {}
 
@@ -47,30 +47,35 @@
         } else if (event instanceof EndpointsChanged changed) {
             endpoints = changed.endpoints();
         } else if (event instanceof MembersChanged changed) {
-            entries = Math.max(
+            entryCount = Math.max(
                     1,
-                    changed.entries().stream().filter(CapacityComponent::serves).count());
+                    changed.entries().stream()
+                            .filter(CapacityComponent::isServing)
+                            .count());
         } else {
             return;
         }
         for (Service service : catalogue.services().values()) {
-            tell(service, context);
+            updateCapacity(service, context);
         }
     }
 
-    private static boolean serves(EntryStatus entry) {
+    private static boolean isServing(EntryStatus entry) {
         return entry.state() == EntryStatus.State.ALIVE || entry.state() == EntryStatus.State.SUSPECT;
     }
 
-    /** A service without endpoints keeps its last capacity: routing refuses its requests, and says why. */
-    private void tell(Service service, ControlContext context) {
-        long serving = endpoints.takingNewWork(service.pool()).size();
-        long part = serving * REQUESTS_FOR_EACH_ENDPOINT * UNEVENNESS_PERCENT / PERCENT / entries;
-        int capacity = (int) Math.max(1, part);
-        Integer before = told.get(service.name());
-        boolean same = before != null && before == capacity;
-        if (serving > 0 && !same) {
-            told.put(service.name(), capacity);
+    /**
+     * Raises {@link CapacityChanged} if the capacity changed. A service without endpoints keeps its last capacity,
+     * because routing refuses its requests with a specific error.
+     */
+    private void updateCapacity(Service service, ControlContext context) {
+        long endpointCount = endpoints.takingNewWork(service.pool()).size();
+        long entryShare = endpointCount * REQUESTS_PER_ENDPOINT * LOAD_IMBALANCE_PERCENT / PERCENT / entryCount;
+        int capacity = (int) Math.max(1, entryShare);
+        Integer previous = lastCapacities.get(service.name());
+        boolean unchanged = previous != null && previous == capacity;
+        if (endpointCount > 0 && !unchanged) {
+            lastCapacities.put(service.name(), capacity);
             context.raise(new CapacityChanged(service.name(), capacity));
         }
     }
--- a/src/main/java/org/yuccagw/core/admission/FairQueue.java
+++ b/src/main/java/org/yuccagw/core/admission/FairQueue.java
@@ -10,19 +10,21 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * The waiting requests of one service: start-time fair queueing between workspaces, and inside each between classes.
+ * The waiting requests of one service, in the order of start-time fair queueing between workspaces, and within each
+ * workspace between request classes.
  *
- * <p>A flow is a workspace, or a class of one. It has a start tag in virtual time; the waiting flow with the least
- * start tag is served, virtual time becomes that tag, and the flow's next start tag is its present one plus cost
- * divided by weight. A flow that begins to wait starts at virtual time at the earliest, so nobody saves up service
- * by being idle; nor by being held back by its own limits, for a flow that may not be served moves along with
- * virtual time.
+ * <p>A flow is a workspace, or a request class of a workspace. Each flow has a start tag in virtual time. The
+ * backlogged flow with the lowest start tag is served, virtual time advances to that tag, and the start tag of the flow
+ * increases by the cost of the request divided by the weight of the flow. The start tag of a flow that becomes
+ * backlogged is at least the virtual time, so a flow earns no credit while it is idle. Nor does it earn credit while
+ * its own limits block it, since the start tag of a blocked flow follows the virtual time.
  *
- * <p>Two flows that wait all the time get service in the proportion of their weights, whatever their request sizes,
- * to within one request each; a flow's delay does not depend on how much another one has queued.
+ * <p>Two flows that are always backlogged are served in proportion to their weights, to within one request each,
+ * independently of the sizes of their requests. The delay of a flow does not depend on the backlog of another flow.
  *
- * <p>Example: weights 1 and 1, costs 10. The flood of one workspace has tags 0, 10, 20, ...; the other's request
- * comes at virtual time 10, gets the tag 10 and is served next but one, before hundreds that came earlier.
+ * <p>Example: two workspaces of weight 1 send requests that cost 10. The many requests of the first workspace have the
+ * tags 0, 10, 20 and so on. A request of the second workspace that arrives at virtual time 10 gets the tag 10 and is
+ * served after at most one other request, before hundreds that arrived earlier.
  */
 final class FairQueue {
     private final ToDoubleFunction<WorkspaceId> workspaceWeight;
@@ -36,35 +38,36 @@
         this.classWeight = classWeight;
     }
 
-    /** A workspace's tags, and those of its classes in a virtual time of its own. */
+    /** The start tag of a workspace, and the flows of its request classes, which have a virtual time of their own. */
     private static final class Flow {
         private final LinkedHashMap<String, ClassFlow> classes = new LinkedHashMap<>();
-        private double start;
+        private double startTag;
         private double virtualTime;
         private int size;
     }
 
+    /** The waiting requests of one request class of a workspace. */
     private static final class ClassFlow {
-        private final ArrayDeque<Waiting> requests = new ArrayDeque<>();
-        private double start;
+        private final ArrayDeque<WaitingRequest> requests = new ArrayDeque<>();
+        private double startTag;
     }
 
-    void add(Waiting waiting) {
-        Flow flow = flows.computeIfAbsent(waiting.workspace(), name -> new Flow());
+    void add(WaitingRequest request) {
+        Flow flow = flows.computeIfAbsent(request.workspace(), name -> new Flow());
         if (flow.size == 0) {
-            flow.start = Math.max(flow.start, virtualTime);
+            flow.startTag = Math.max(flow.startTag, virtualTime);
         }
-        ClassFlow classFlow = flow.classes.computeIfAbsent(waiting.className(), name -> new ClassFlow());
+        ClassFlow classFlow = flow.classes.computeIfAbsent(request.className(), name -> new ClassFlow());
         if (classFlow.requests.isEmpty()) {
-            classFlow.start = Math.max(classFlow.start, flow.virtualTime);
+            classFlow.startTag = Math.max(classFlow.startTag, flow.virtualTime);
         }
-        classFlow.requests.add(waiting);
+        classFlow.requests.add(request);
         flow.size++;
         size++;
     }
 
-    /** Takes the request that is served next, among the workspaces that may be served. */
-    Optional<Waiting> take(Predicate<WorkspaceId> mayBeServed) {
+    /** Removes and returns the next request to serve from the workspaces that satisfy the predicate. */
+    Optional<WaitingRequest> poll(Predicate<WorkspaceId> isEligible) {
         WorkspaceId chosen = null;
         Flow chosenFlow = null;
         for (Map.Entry<WorkspaceId, Flow> entry : flows.entrySet()) {
@@ -72,41 +75,41 @@
             if (flow.size == 0) {
                 continue;
             }
-            if (!mayBeServed.test(entry.getKey())) {
-                flow.start = Math.max(flow.start, virtualTime);
-            } else if (chosenFlow == null || flow.start < chosenFlow.start) {
+            if (!isEligible.test(entry.getKey())) {
+                flow.startTag = Math.max(flow.startTag, virtualTime);
+            } else if (chosenFlow == null || flow.startTag < chosenFlow.startTag) {
                 chosen = entry.getKey();
                 chosenFlow = flow;
             }
         }
-        return chosenFlow == null ? Optional.empty() : Optional.of(serve(chosen, chosenFlow));
+        return chosenFlow == null ? Optional.empty() : Optional.of(dequeue(chosen, chosenFlow));
     }
 
-    private Waiting serve(WorkspaceId workspace, Flow flow) {
-        ClassFlow least = null;
-        String leastName = "";
+    private WaitingRequest dequeue(WorkspaceId workspace, Flow flow) {
+        ClassFlow lowest = null;
+        String lowestName = "";
         for (Map.Entry<String, ClassFlow> entry : flow.classes.entrySet()) {
-            boolean waits = !entry.getValue().requests.isEmpty();
-            if (waits && (least == null || entry.getValue().start < least.start)) {
-                least = entry.getValue();
-                leastName = entry.getKey();
+            boolean backlogged = !entry.getValue().requests.isEmpty();
+            if (backlogged && (lowest == null || entry.getValue().startTag < lowest.startTag)) {
+                lowest = entry.getValue();
+                lowestName = entry.getKey();
             }
         }
-        Waiting served = least.requests.poll();
-        flow.virtualTime = Math.max(flow.virtualTime, least.start);
-        least.start += (double) served.cost() / classWeight.applyAsDouble(leastName);
-        virtualTime = Math.max(virtualTime, flow.start);
-        flow.start += (double) served.cost() / workspaceWeight.applyAsDouble(workspace);
+        WaitingRequest served = lowest.requests.poll();
+        flow.virtualTime = Math.max(flow.virtualTime, lowest.startTag);
+        lowest.startTag += (double) served.costTokens() / classWeight.applyAsDouble(lowestName);
+        virtualTime = Math.max(virtualTime, flow.startTag);
+        flow.startTag += (double) served.costTokens() / workspaceWeight.applyAsDouble(workspace);
         flow.size--;
         size--;
         return served;
     }
 
-    /** Takes a request out that is not served any more; false if it doesn't wait. */
-    boolean remove(Waiting waiting) {
-        Flow flow = flows.get(waiting.workspace());
-        ClassFlow classFlow = flow == null ? null : flow.classes.get(waiting.className());
-        if (classFlow == null || !classFlow.requests.remove(waiting)) {
+    /** Removes a request without serving it. Returns false if it is not in the queue. */
+    boolean remove(WaitingRequest request) {
+        Flow flow = flows.get(request.workspace());
+        ClassFlow classFlow = flow == null ? null : flow.classes.get(request.className());
+        if (classFlow == null || !classFlow.requests.remove(request)) {
             return false;
         }
         flow.size--;
@@ -114,33 +117,36 @@
         return true;
     }
 
-    /** How many requests are served before one of this workspace and class that comes now, if nothing else comes. */
-    double ahead(WorkspaceId workspace, String className) {
+    /**
+     * Predicts how many requests would be served before a request of this workspace and class that arrives now, if no
+     * other requests arrive.
+     */
+    double requestsAhead(WorkspaceId workspace, String className) {
         Flow own = flows.get(workspace);
-        double before = own == null ? 0 : aheadInside(own, className);
+        double before = own == null ? 0 : requestsAheadWithin(own, className);
         double weight = workspaceWeight.applyAsDouble(workspace);
-        double ahead = before;
+        double requestsAhead = before;
         for (Map.Entry<WorkspaceId, Flow> other : flows.entrySet()) {
             if (!other.getKey().equals(workspace)) {
                 double served = (before + 1) * workspaceWeight.applyAsDouble(other.getKey()) / weight;
-                ahead += Math.min(other.getValue().size, served);
+                requestsAhead += Math.min(other.getValue().size, served);
             }
         }
-        return ahead;
+        return requestsAhead;
     }
 
-    private double aheadInside(Flow flow, String className) {
+    private double requestsAheadWithin(Flow flow, String className) {
         ClassFlow own = flow.classes.get(className);
         double before = own == null ? 0 : own.requests.size();
         double weight = classWeight.applyAsDouble(className);
-        double ahead = before;
+        double requestsAhead = before;
         for (Map.Entry<String, ClassFlow> other : flow.classes.entrySet()) {
             if (!other.getKey().equals(className)) {
                 double served = (before + 1) * classWeight.applyAsDouble(other.getKey()) / weight;
-                ahead += Math.min(other.getValue().requests.size(), served);
+                requestsAhead += Math.min(other.getValue().requests.size(), served);
             }
         }
-        return ahead;
+        return requestsAhead;
     }
 
     List<WorkspaceId> waitingWorkspaces() {
@@ -159,8 +165,8 @@
         return flow == null ? 0 : flow.size;
     }
 
-    /** Forgets workspaces that don't wait and whose tags have no meaning any more. */
-    void forgetIdle() {
-        flows.values().removeIf(flow -> flow.size == 0 && flow.start <= virtualTime);
+    /** Removes the flows without waiting requests whose start tag is not ahead of the virtual time. */
+    void removeIdleFlows() {
+        flows.values().removeIf(flow -> flow.size == 0 && flow.startTag <= virtualTime);
     }
 }
--- a/src/main/java/org/yuccagw/core/admission/LimitName.java
+++ b/src/main/java/org/yuccagw/core/admission/LimitName.java
@@ -6,38 +6,38 @@
 import org.yuccagw.core.shard.Shards;
 
 /**
- * Whose limits a share is of: a workspace's or a service's.
+ * Names the workspace or service whose limits a share is part of.
  *
  * @param text {@code workspace:NAME} or {@code service:NAME}
  */
 public record LimitName(String text) {
-    private static final String WORKSPACE = "workspace:";
-    private static final String SERVICE = "service:";
+    private static final String WORKSPACE_PREFIX = "workspace:";
+    private static final String SERVICE_PREFIX = "service:";
 
     public LimitName {
-        if (!text.startsWith(WORKSPACE) && !text.startsWith(SERVICE)) {
+        if (!text.startsWith(WORKSPACE_PREFIX) && !text.startsWith(SERVICE_PREFIX)) {
             throw new IllegalArgumentException("limits of neither a workspace nor a service: '" + text + "'");
         }
     }
 
     static LimitName of(WorkspaceId workspace) {
-        return new LimitName(WORKSPACE + workspace.value());
+        return new LimitName(WORKSPACE_PREFIX + workspace.value());
     }
 
     static LimitName of(ServiceName service) {
-        return new LimitName(SERVICE + service.value());
+        return new LimitName(SERVICE_PREFIX + service.value());
     }
 
-    boolean isOfWorkspace() {
-        return text.startsWith(WORKSPACE);
+    boolean isWorkspace() {
+        return text.startsWith(WORKSPACE_PREFIX);
     }
 
     String name() {
         return text.substring(text.indexOf(':') + 1);
     }
 
-    ShardNumber shard(int count) {
-        return Shards.of(text, count);
+    ShardNumber shard(int shardCount) {
+        return Shards.of(text, shardCount);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/core/admission/LimitShares.java
+++ b/src/main/java/org/yuccagw/core/admission/LimitShares.java
@@ -29,39 +29,40 @@
 import org.yuccagw.core.shard.ShardsSnapshot.Ownership;
 
 /**
- * Shares of limits on one entry, both sides: a {@link ShareBorrower} for each limit that its traffic meets, a
- * {@link ShareLender} for each limit of the shards that it owns.
+ * The shares of limits on one entry, for both roles of the entry: a {@link ShareBorrower} for each limit that applies
+ * to its requests, and a {@link ShareLender} for each limit of the shards that it owns.
  */
 final class LimitShares {
-    private static final Duration CHECK = Duration.ofMillis(250);
-    private static final long RENEW_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final long ASK_SOON_NANOS = Duration.ofMillis(20).toNanos();
-    private static final long OWNER_SILENT_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final int PRESENT_REPEATS = 3;
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(250);
+    private static final long RENEWAL_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long MIN_SHARE_REQUEST_INTERVAL_NANOS =
+            Duration.ofMillis(20).toNanos();
+    private static final long OWNER_TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final int PRESENT_MESSAGES_PER_OWNER = 3;
 
     private final ShardAuthority authority;
     private final Supplier<ShardsSnapshot> shards;
-    private final Duration waitOut;
+    private final Duration settlingTime;
     private final Map<LimitName, ShareBorrower> borrowers = new HashMap<>();
     private final Map<ShardNumber, OwnedShard> owned = new HashMap<>();
-    private final Map<ShardNumber, Introduced> introduced = new HashMap<>();
+    private final Map<ShardNumber, SentPresence> sentPresences = new HashMap<>();
     private final Map<EntryId, Member> members = new HashMap<>();
     private Catalogue catalogue = Catalogue.none();
     private ControlContext context;
     private Runnable onChange = () -> {};
 
-    LimitShares(ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration waitOut) {
-        this.waitOut = waitOut;
+    LimitShares(ShardAuthority authority, Supplier<ShardsSnapshot> shards, Duration settlingTime) {
+        this.settlingTime = settlingTime;
         this.authority = authority;
         this.shards = shards;
     }
 
-    /** The lenders of one owned shard. */
+    /** The lenders of one owned shard, and the entries from which a message for it was received. */
     private static final class OwnedShard {
         private final long epoch;
         private final long gainedNanos;
         private final Map<LimitName, ShareLender> lenders = new HashMap<>();
-        private final Set<EntryId> heard = new HashSet<>();
+        private final Set<EntryId> seenEntries = new HashSet<>();
 
         private OwnedShard(long epoch, long gainedNanos) {
             this.epoch = epoch;
@@ -69,130 +70,136 @@
         }
     }
 
-    /** How often this entry told a shard's owner that it is there. */
-    private record Introduced(Ownership owner, int times) {}
+    /** The number of {@link Present} messages that this entry sent to the owner of a shard. */
+    private record SentPresence(Ownership owner, int count) {}
 
     /**
      * Another entry.
      *
-     * @param goneNanos when it was first seen dead, or {@link Long#MAX_VALUE} while it lives
+     * @param deadSinceNanos when it was first reported as dead, or {@link Long#MAX_VALUE} while it is alive
      */
-    private record Member(long incarnation, long goneNanos) {}
+    private record Member(long incarnation, long deadSinceNanos) {}
 
     void start(ControlContext startContext, Runnable changeListener) {
         context = startContext;
         onChange = changeListener;
-        context.after(CHECK, this::check);
+        context.after(CHECK_INTERVAL, this::check);
     }
 
-    // ---- Borrowing.
+    // ---- Borrower role
 
     private ShareBorrower borrower(LimitName limit) {
         return borrowers.computeIfAbsent(limit, name -> {
             ShareBorrower borrower = new ShareBorrower(limits(name), context.nowNanos());
-            borrower.entries(entries());
+            borrower.setEntryCount(entryCount());
             return borrower;
         });
     }
 
     private Limits limits(LimitName limit) {
-        Optional<Limits> found = limit.isOfWorkspace()
+        Optional<Limits> found = limit.isWorkspace()
                 ? catalogue.workspace(WorkspaceId.of(limit.name())).map(Workspace::limits)
                 : catalogue.service(ServiceName.of(limit.name())).map(Service::limits);
         return found.orElse(Limits.none());
     }
 
-    boolean admits(WorkspaceId workspace, ServiceName service) {
+    boolean permits(WorkspaceId workspace, ServiceName service) {
         long now = context.nowNanos();
-        return borrower(LimitName.of(workspace)).admits(now)
-                && borrower(LimitName.of(service)).admits(now);
+        return borrower(LimitName.of(workspace)).permits(now)
+                && borrower(LimitName.of(service)).permits(now);
     }
 
-    /** Takes what the request needs of the shares, if they have it. */
-    boolean admit(Waiting request) {
-        boolean admits = admits(request.workspace(), request.service());
-        if (admits) {
-            take(request);
+    /** Consumes the shares that the request needs if they permit it. Returns whether they do. */
+    boolean tryConsume(WaitingRequest request) {
+        boolean permitted = permits(request.workspace(), request.service());
+        if (permitted) {
+            consume(request);
         }
-        return admits;
+        return permitted;
     }
 
-    void take(Waiting request) {
-        borrower(LimitName.of(request.workspace())).admit(request.cost());
-        borrower(LimitName.of(request.service())).admit(request.cost());
+    void consume(WaitingRequest request) {
+        borrower(LimitName.of(request.workspace())).consume(request.costTokens());
+        borrower(LimitName.of(request.service())).consume(request.costTokens());
     }
 
-    void release(Waiting request, long usedTokens) {
-        borrower(LimitName.of(request.workspace())).release(request.cost(), usedTokens);
-        borrower(LimitName.of(request.service())).release(request.cost(), usedTokens);
+    void release(WaitingRequest request, long usedTokens) {
+        borrower(LimitName.of(request.workspace())).release(request.costTokens(), usedTokens);
+        borrower(LimitName.of(request.service())).release(request.costTokens(), usedTokens);
     }
 
-    void waits(Waiting request, int change) {
-        borrower(LimitName.of(request.workspace())).waits(change);
-        borrower(LimitName.of(request.service())).waits(change);
+    void addWaiting(WaitingRequest request, int change) {
+        borrower(LimitName.of(request.workspace())).addWaiting(change);
+        borrower(LimitName.of(request.service())).addWaiting(change);
     }
 
-    double secondsUntilAdmits(Waiting request, ServiceGate gate) {
+    double secondsUntilAdmitted(WaitingRequest request, ServiceGate gate) {
         return Math.max(
-                secondsUntilAdmits(LimitName.of(request.workspace()), gate),
-                secondsUntilAdmits(LimitName.of(request.service()), gate));
+                secondsUntilAdmitted(LimitName.of(request.workspace()), gate),
+                secondsUntilAdmitted(LimitName.of(request.service()), gate));
     }
 
-    private double secondsUntilAdmits(LimitName limit, ServiceGate gate) {
+    private double secondsUntilAdmitted(LimitName limit, ServiceGate gate) {
         ShareBorrower borrower = borrower(limit);
         long now = context.nowNanos();
         if (!borrower.isLimited()) {
             return 0;
         }
         if (!borrower.hasShare(now)) {
-            return isOutOfReach(limit) ? Double.POSITIVE_INFINITY : 0;
+            return isUnobtainable(limit) ? Double.POSITIVE_INFINITY : 0;
         }
-        return borrower.secondsUntilAdmits(gate.holdingSeconds(), gate.meanCost(), now);
+        return borrower.secondsUntilAdmitted(gate.meanRunSeconds(), gate.meanCostTokens(), now);
     }
 
-    /** Whether waiting is in vain: no share, and an owner that should answer within a round trip does not. */
-    boolean isOutOfReach(WorkspaceId workspace, ServiceName service) {
-        return isOutOfReach(LimitName.of(workspace)) || isOutOfReach(LimitName.of(service));
+    /**
+     * Returns whether a required share is unobtainable: this entry has none, and the owner is unknown or has not
+     * answered within its timeout, although it normally answers within a round trip.
+     */
+    boolean isUnobtainable(WorkspaceId workspace, ServiceName service) {
+        return isUnobtainable(LimitName.of(workspace)) || isUnobtainable(LimitName.of(service));
     }
 
-    private boolean isOutOfReach(LimitName limit) {
+    private boolean isUnobtainable(LimitName limit) {
         ShareBorrower borrower = borrower(limit);
         long now = context.nowNanos();
-        boolean starved = borrower.isLimited() && !borrower.hasShare(now);
-        boolean silent = borrower.unansweredNanos(now) >= OWNER_SILENT_NANOS;
-        return starved && (silent || ownerOf(limit).isEmpty());
+        boolean lacksShare = borrower.isLimited() && !borrower.hasShare(now);
+        boolean ownerTimedOut = borrower.pendingShareRequestNanos(now) >= OWNER_TIMEOUT_NANOS;
+        return lacksShare && (ownerTimedOut || ownerOf(limit).isEmpty());
     }
 
-    /** The limit that a request met, for the answer to its caller. */
-    String describe(Waiting request) {
+    /** Returns a description of the limits of the workspace for the error message to the caller. */
+    String describe(WaitingRequest request) {
         Limits limits = limits(LimitName.of(request.workspace()));
         return limits.concurrentRequests() + " requests at once, " + limits.requestsPerSecond() + " requests/s, "
                 + limits.tokensPerSecond() + " tokens/s";
     }
 
-    /** Asks for a larger share, but not more often than the answers to the last asks can have come. */
-    void askSoon(WorkspaceId workspace, ServiceName service) {
-        askSoon(LimitName.of(workspace));
-        askSoon(LimitName.of(service));
+    /**
+     * Requests a larger share from the owner if the current one is exhausted. Requests are spaced so that the answer to
+     * the previous request can have arrived.
+     */
+    void requestShareSoon(WorkspaceId workspace, ServiceName service) {
+        requestShareSoon(LimitName.of(workspace));
+        requestShareSoon(LimitName.of(service));
     }
 
-    private void askSoon(LimitName limit) {
+    private void requestShareSoon(LimitName limit) {
         ShareBorrower borrower = borrower(limit);
         long now = context.nowNanos();
-        boolean starved = borrower.isLimited() && !borrower.admits(now);
-        if (starved && borrower.sinceLastAskNanos(now) >= ASK_SOON_NANOS) {
-            ask(limit, borrower);
+        boolean exhausted = borrower.isLimited() && !borrower.permits(now);
+        if (exhausted && borrower.sinceLastShareRequestNanos(now) >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
+            requestShare(limit, borrower);
         }
     }
 
-    private void ask(LimitName limit, ShareBorrower borrower) {
+    private void requestShare(LimitName limit, ShareBorrower borrower) {
         Optional<EntryId> owner = ownerOf(limit);
         if (owner.isEmpty()) {
             return;
         }
         long now = context.nowNanos();
-        Share held = borrower.held(now);
-        borrower.asked(now);
+        Share held = borrower.heldShare(now);
+        borrower.recordShareRequest(now);
         ShardNumber shard = limit.shard(shards.get().count());
         send(
                 owner.get(),
@@ -207,65 +214,65 @@
     }
 
     private Optional<EntryId> ownerOf(LimitName limit) {
-        ShardsSnapshot present = shards.get();
-        return present.count() == 0
+        ShardsSnapshot snapshot = shards.get();
+        return snapshot.count() == 0
                 ? Optional.empty()
-                : present.owner(limit.shard(present.count())).map(Ownership::owner);
+                : snapshot.owner(limit.shard(snapshot.count())).map(Ownership::owner);
     }
 
     private void check() {
         long now = context.nowNanos();
         borrowers.forEach((limit, borrower) -> {
-            boolean due = borrower.sinceLastAskNanos(now) >= RENEW_NANOS;
-            if (due && borrower.isLimited() && borrower.isBusy()) {
-                ask(limit, borrower);
+            boolean due = borrower.sinceLastShareRequestNanos(now) >= RENEWAL_INTERVAL_NANOS;
+            if (due && borrower.isLimited() && borrower.needsRenewal()) {
+                requestShare(limit, borrower);
             }
         });
-        introduce();
-        forgetTheDead();
-        context.after(CHECK, this::check);
+        announcePresence();
+        removeDeadMembers();
+        context.after(CHECK_INTERVAL, this::check);
     }
 
-    /** Tells each new owner that this entry is there, so that the owner keeps nothing back for it. */
-    private void introduce() {
+    /** Sends {@link Present} to each new owner, so that the owner reserves no share for this entry. */
+    private void announcePresence() {
         shards.get().owners().forEach((shard, owner) -> {
-            Introduced before = introduced.get(shard);
-            int times = before != null && before.owner().equals(owner) ? before.times() : 0;
-            if (times < PRESENT_REPEATS) {
-                introduced.put(shard, new Introduced(owner, times + 1));
+            SentPresence previous = sentPresences.get(shard);
+            int count = previous != null && previous.owner().equals(owner) ? previous.count() : 0;
+            if (count < PRESENT_MESSAGES_PER_OWNER) {
+                sentPresences.put(shard, new SentPresence(owner, count + 1));
                 send(owner.owner(), new Present(shard));
             }
         });
     }
 
-    // ---- Lending.
+    // ---- Lender role
 
-    void gained(ShardGained gained) {
+    void handleShardGained(ShardGained gained) {
         owned.put(gained.shard(), new OwnedShard(gained.epoch(), context.nowNanos()));
     }
 
-    void lost(ShardNumber shard) {
+    void handleShardLost(ShardNumber shard) {
         owned.remove(shard);
     }
 
     void receive(EntryId from, SharePeerMessage message) {
         if (message instanceof Grant grant) {
-            take(grant);
+            applyGrant(grant);
             return;
         }
         OwnedShard shard = owned.get(message.shard());
         if (shard == null) {
             return;
         }
-        shard.heard.add(from);
+        shard.seenEntries.add(from);
         if (message instanceof Ask ask) {
             lend(from, ask, shard);
         }
     }
 
-    private void take(Grant grant) {
+    private void applyGrant(Grant grant) {
         ShareBorrower borrower = borrowers.get(grant.limit());
-        if (borrower != null && borrower.take(grant, context.nowNanos())) {
+        if (borrower != null && borrower.applyGrant(grant, context.nowNanos())) {
             onChange.run();
         }
     }
@@ -277,72 +284,81 @@
             return;
         }
         ShareLender lender =
-                shard.lenders.computeIfAbsent(ask.limit(), name -> new ShareLender(shard.gainedNanos, waitOut));
-        boolean named = ask.epoch() == shard.epoch;
-        ShareLender.Lent lent = lender.lend(from, ask, named, limits(ask.limit()), silent(shard), entries(), now);
-        send(from, new Grant(ask.shard(), shard.epoch, ask.limit(), lent.share(), lent.sequence(), ShareLender.LIFE));
+                shard.lenders.computeIfAbsent(ask.limit(), name -> new ShareLender(shard.gainedNanos, settlingTime));
+        boolean namesOwnGrant = ask.epoch() == shard.epoch;
+        ShareLender.LentShare lent =
+                lender.lend(from, ask, namesOwnGrant, limits(ask.limit()), unseenMembers(shard), entryCount(), now);
+        send(
+                from,
+                new Grant(ask.shard(), shard.epoch, ask.limit(), lent.share(), lent.sequence(), ShareLender.LIFETIME));
     }
 
-    /** Entries that may use shares of an owner before this one, and have not spoken since. */
-    private int silent(OwnedShard shard) {
+    /**
+     * Returns the number of entries that may still use shares granted by a previous owner and from which this owner has
+     * received no message.
+     */
+    private int unseenMembers(OwnedShard shard) {
         return (int) members.keySet().stream()
-                .filter(member -> !shard.heard.contains(member))
+                .filter(member -> !shard.seenEntries.contains(member))
                 .count();
     }
 
-    private int entries() {
+    private int entryCount() {
         return Math.max(1, members.size() + 1);
     }
 
-    // ---- Members.
+    // ---- Members
 
-    void members(ImmutableList<EntryStatus> statuses) {
+    void handleMembers(ImmutableList<EntryStatus> statuses) {
         for (EntryStatus status : statuses) {
             if (!status.entry().equals(context.self().entry())) {
-                learn(status);
+                updateMember(status);
             }
         }
-        borrowers.values().forEach(borrower -> borrower.entries(entries()));
+        borrowers.values().forEach(borrower -> borrower.setEntryCount(entryCount()));
     }
 
-    private void learn(EntryStatus status) {
+    private void updateMember(EntryStatus status) {
         Member before = members.get(status.entry());
-        boolean dead = status.state() == EntryStatus.State.DEAD;
+        boolean isDead = status.state() == EntryStatus.State.DEAD;
         if (before != null && status.incarnation() > before.incarnation()) {
-            // The former process is gone for sure, and its requests with it.
-            forget(status.entry());
+            // The previous process has terminated, and its requests have ended with it.
+            removeMember(status.entry());
             before = null;
         }
-        if (before == null && dead) {
+        if (before == null && isDead) {
             return;
         }
-        long gone = dead ? Math.min(before.goneNanos(), context.nowNanos()) : Long.MAX_VALUE;
-        members.put(status.entry(), new Member(status.incarnation(), gone));
+        long deadSinceNanos = isDead ? Math.min(before.deadSinceNanos(), context.nowNanos()) : Long.MAX_VALUE;
+        members.put(status.entry(), new Member(status.incarnation(), deadSinceNanos));
     }
 
-    /** An entry that was declared dead may only be cut off; it stops taking work after the freshness limit. */
-    private void forgetTheDead() {
+    /**
+     * Removes entries that have been dead for the freshness limit. An entry that is reported as dead may only be
+     * disconnected, and it stops accepting requests after the freshness limit.
+     */
+    private void removeDeadMembers() {
         long grace = catalogue.system().freshnessLimit().toNanos();
         long now = context.nowNanos();
         members.entrySet().stream()
-                .filter(entry -> entry.getValue().goneNanos() != Long.MAX_VALUE
-                        && now - entry.getValue().goneNanos() >= grace)
+                .filter(entry -> entry.getValue().deadSinceNanos() != Long.MAX_VALUE
+                        && now - entry.getValue().deadSinceNanos() >= grace)
                 .map(Map.Entry::getKey)
                 .toList()
-                .forEach(this::forget);
+                .forEach(this::removeMember);
     }
 
-    private void forget(EntryId entry) {
+    private void removeMember(EntryId entry) {
         members.remove(entry);
         owned.values().forEach(shard -> {
-            shard.heard.remove(entry);
-            shard.lenders.values().forEach(lender -> lender.forget(entry));
+            shard.seenEntries.remove(entry);
+            shard.lenders.values().forEach(lender -> lender.removeBorrower(entry));
         });
     }
 
-    void catalogue(Catalogue newCatalogue) {
+    void setCatalogue(Catalogue newCatalogue) {
         catalogue = newCatalogue;
-        borrowers.forEach((limit, borrower) -> borrower.limits(limits(limit)));
+        borrowers.forEach((limit, borrower) -> borrower.setLimits(limits(limit)));
     }
 
     private void send(EntryId to, SharePeerMessage message) {
--- a/src/main/java/org/yuccagw/core/admission/ServiceGate.java
+++ b/src/main/java/org/yuccagw/core/admission/ServiceGate.java
@@ -4,16 +4,16 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.WorkspaceId;
 
-/** One service at this entry: how many requests run, which wait, and how long one holds its place. */
+/** The admission state of one service on this entry: running requests, waiting requests and their mean run time. */
 final class ServiceGate {
-    private static final double SMOOTHING = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.1;
 
     private final ServiceName service;
     private final FairQueue queue;
     private int capacity = Integer.MAX_VALUE;
     private int running;
-    private double holdingSeconds;
-    private double meanCost;
+    private double meanRunSeconds;
+    private double meanCostTokens;
 
     ServiceGate(
             ServiceName service, ToDoubleFunction<WorkspaceId> workspaceWeight, ToDoubleFunction<String> classWeight) {
@@ -29,43 +29,43 @@
         return queue;
     }
 
-    void capacity(int requestsAtOnce) {
-        capacity = requestsAtOnce;
+    void setCapacity(int maxConcurrentRequests) {
+        capacity = maxConcurrentRequests;
     }
 
-    boolean hasRoom() {
+    boolean hasFreeCapacity() {
         return running < capacity;
     }
 
-    void admit(long cost) {
+    void admit(long costTokens) {
         running++;
-        meanCost = smooth(meanCost, (double) cost);
+        meanCostTokens = smooth(meanCostTokens, (double) costTokens);
     }
 
-    void release(double heldSeconds) {
+    void release(double runSeconds) {
         running--;
-        holdingSeconds = smooth(holdingSeconds, heldSeconds);
+        meanRunSeconds = smooth(meanRunSeconds, runSeconds);
     }
 
     private static double smooth(double mean, double value) {
-        return mean == 0 ? value : mean + SMOOTHING * (value - mean);
+        return mean == 0 ? value : mean + SMOOTHING_FACTOR * (value - mean);
     }
 
-    double holdingSeconds() {
-        return holdingSeconds;
+    double meanRunSeconds() {
+        return meanRunSeconds;
     }
 
-    double meanCost() {
-        return meanCost;
+    double meanCostTokens() {
+        return meanCostTokens;
     }
 
-    /** Seconds until a request that comes now would be let in, as far as the service's places go. */
-    double secondsUntilRoom(WorkspaceId workspace, String className) {
-        double ahead = queue.ahead(workspace, className);
-        double departures = running + ahead + 1 - capacity;
-        if (departures <= 0) {
+    /** Predicts the time in seconds until a request that arrives now would be admitted under the capacity limit. */
+    double secondsUntilFreeCapacity(WorkspaceId workspace, String className) {
+        double requestsAhead = queue.requestsAhead(workspace, className);
+        double requiredReleases = running + requestsAhead + 1 - capacity;
+        if (requiredReleases <= 0) {
             return 0;
         }
-        return capacity == 0 ? Double.POSITIVE_INFINITY : departures * holdingSeconds / capacity;
+        return capacity == 0 ? Double.POSITIVE_INFINITY : requiredReleases * meanRunSeconds / capacity;
     }
 }
--- a/src/main/java/org/yuccagw/core/admission/ShareBorrower.java
+++ b/src/main/java/org/yuccagw/core/admission/ShareBorrower.java
@@ -5,51 +5,51 @@
 import org.yuccagw.core.catalogue.Limits;
 
 /**
- * What this entry may use of one workspace's or service's limits, and what it uses.
+ * The share of the limits of one workspace or service that this entry may use, and its current use.
  *
- * <p>The share is the newest grant's while that lives. When it has run out because the owner does not answer, the
- * entry goes on with the smaller of that share and {@code limit / entries}: an outage of the key-value service, in
- * which no new owner can come, must not stop a workspace, and the shares that were lent last never passed the limit
- * together. An entry that never had a share, or gave it back, uses nothing.
+ * <p>While the newest grant is valid, it defines the share. After it has expired because the owner does not answer, the
+ * entry continues with the smaller of the granted share and {@code limit / entries}. Thus an outage of the key-value
+ * service, during which no new owner can take over, does not block a workspace, and the limit still holds because the
+ * last granted shares did not exceed it together. An entry that never had a share, or that returned it, uses nothing.
  */
 final class ShareBorrower {
-    private static final long IDLE_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final long IDLE_TIMEOUT_NANOS = Duration.ofSeconds(2).toNanos();
 
-    private final TokenBucket requests;
-    private final TokenBucket tokens;
+    private final TokenBucket requestBucket;
+    private final TokenBucket tokenBucket;
     private Limits limits;
     private Share granted = Share.none();
-    private long grantedUntilNanos;
+    private long grantExpiryNanos;
     private long epoch;
     private long sequence;
-    private long oldestAskNanos = Long.MAX_VALUE;
+    private long oldestPendingRequestNanos = Long.MAX_VALUE;
     private int running;
     private int waiting;
-    private int entries = 1;
+    private int entryCount = 1;
     private long lastBusyNanos;
-    private long lastAskNanos;
+    private long lastShareRequestNanos;
 
     ShareBorrower(Limits limits, long nowNanos) {
         this.limits = limits;
-        this.requests = new TokenBucket(nowNanos);
-        this.tokens = new TokenBucket(nowNanos);
+        this.requestBucket = new TokenBucket(nowNanos);
+        this.tokenBucket = new TokenBucket(nowNanos);
         this.lastBusyNanos = nowNanos;
-        this.lastAskNanos = Long.MIN_VALUE / 2;
+        this.lastShareRequestNanos = Long.MIN_VALUE / 2;
     }
 
-    /** The most that an entry uses by itself when it can't reach the owner. */
-    static Share alone(Limits limits, int entries) {
-        Share whole = Share.whole(limits);
-        int concurrent = whole.concurrent() == Integer.MAX_VALUE ? Integer.MAX_VALUE : whole.concurrent() / entries;
-        return new Share(concurrent, 1.0 / entries);
+    /** Returns the maximum share that an entry uses without a valid grant, while the owner is unreachable. */
+    static Share fallback(Limits limits, int entryCount) {
+        Share all = Share.ofAll(limits);
+        int concurrent = all.concurrent() == Integer.MAX_VALUE ? Integer.MAX_VALUE : all.concurrent() / entryCount;
+        return new Share(concurrent, 1.0 / entryCount);
     }
 
-    void limits(Limits newLimits) {
+    void setLimits(Limits newLimits) {
         limits = newLimits;
     }
 
-    void entries(int count) {
-        entries = Math.max(1, count);
+    void setEntryCount(int count) {
+        entryCount = Math.max(1, count);
     }
 
     boolean isLimited() {
@@ -57,124 +57,125 @@
     }
 
     Share share(long nowNanos) {
-        return nowNanos < grantedUntilNanos ? granted : granted.atMost(alone(limits, entries));
+        return nowNanos < grantExpiryNanos ? granted : granted.atMost(fallback(limits, entryCount));
     }
 
-    /** Remembers that an ask goes out; the life of its grant counts from the oldest ask without an answer. */
-    void asked(long nowNanos) {
-        oldestAskNanos = Math.min(oldestAskNanos, nowNanos);
-        lastAskNanos = nowNanos;
+    /** Records that a share request is sent. The lifetime of its grant starts at the oldest unanswered request. */
+    void recordShareRequest(long nowNanos) {
+        oldestPendingRequestNanos = Math.min(oldestPendingRequestNanos, nowNanos);
+        lastShareRequestNanos = nowNanos;
     }
 
-    /** Takes a grant unless a newer one came before it. */
-    boolean take(Grant grant, long nowNanos) {
+    /** Applies a grant, and returns true, unless no share request is pending or a newer grant was applied before. */
+    boolean applyGrant(Grant grant, long nowNanos) {
         boolean newer = grant.epoch() > epoch || (grant.epoch() == epoch && grant.sequence() > sequence);
-        if (!newer || oldestAskNanos == Long.MAX_VALUE) {
+        if (!newer || oldestPendingRequestNanos == Long.MAX_VALUE) {
             return false;
         }
         epoch = grant.epoch();
         sequence = grant.sequence();
         granted = grant.share();
-        grantedUntilNanos = oldestAskNanos + grant.life().toNanos();
-        oldestAskNanos = Long.MAX_VALUE;
-        setRates(nowNanos);
+        grantExpiryNanos = oldestPendingRequestNanos + grant.life().toNanos();
+        oldestPendingRequestNanos = Long.MAX_VALUE;
+        updateRates(nowNanos);
         return true;
     }
 
-    private void setRates(long nowNanos) {
+    private void updateRates(long nowNanos) {
         double fraction = share(nowNanos).fraction();
-        requests.rate(limits.requestsPerSecond() * fraction, nowNanos);
-        tokens.rate(limits.tokensPerSecond() * fraction, nowNanos);
+        requestBucket.setRate(limits.requestsPerSecond() * fraction, nowNanos);
+        tokenBucket.setRate(limits.tokensPerSecond() * fraction, nowNanos);
     }
 
-    boolean admits(long nowNanos) {
+    boolean permits(long nowNanos) {
         if (!isLimited()) {
             return true;
         }
-        setRates(nowNanos);
-        boolean rateLeft = limits.requestsPerSecond() == 0 || requests.passes(nowNanos);
-        boolean tokensLeft = limits.tokensPerSecond() == 0 || tokens.passes(nowNanos);
-        boolean placeLeft =
+        updateRates(nowNanos);
+        boolean requestsLeft = limits.requestsPerSecond() == 0 || requestBucket.allows(nowNanos);
+        boolean tokensLeft = limits.tokensPerSecond() == 0 || tokenBucket.allows(nowNanos);
+        boolean concurrencyLeft =
                 limits.concurrentRequests() == 0 || running < share(nowNanos).concurrent();
-        return placeLeft && rateLeft && tokensLeft;
+        return concurrencyLeft && requestsLeft && tokensLeft;
     }
 
-    /** Time since the oldest ask that got no answer, 0 if none waits for one. */
-    long unansweredNanos(long nowNanos) {
-        return oldestAskNanos == Long.MAX_VALUE ? 0 : nowNanos - oldestAskNanos;
+    /** Returns the time in ns since the oldest unanswered share request, 0 if there is none. */
+    long pendingShareRequestNanos(long nowNanos) {
+        return oldestPendingRequestNanos == Long.MAX_VALUE ? 0 : nowNanos - oldestPendingRequestNanos;
     }
 
-    long sinceLastAskNanos(long nowNanos) {
-        return nowNanos - lastAskNanos;
+    long sinceLastShareRequestNanos(long nowNanos) {
+        return nowNanos - lastShareRequestNanos;
     }
 
-    void admit(long cost) {
+    void consume(long costTokens) {
         running++;
-        requests.take(1);
-        tokens.take((double) cost);
+        requestBucket.consume(1);
+        tokenBucket.consume((double) costTokens);
     }
 
-    void release(long cost, long used) {
+    void release(long costTokens, long usedTokens) {
         running--;
-        tokens.giveBack((double) (cost - used));
+        tokenBucket.refund((double) (costTokens - usedTokens));
     }
 
-    void waits(int change) {
+    void addWaiting(int change) {
         waiting += change;
     }
 
     /**
-     * Seconds until one more request would be let in, as far as these limits go.
+     * Predicts the time in seconds until one more request would be admitted under these limits.
      *
-     * @param holdingSeconds mean time that a request runs, 0 if not known
-     * @param meanCost mean cost of a waiting request in tokens
+     * @param meanRunSeconds mean run time of a request, 0 if unknown
+     * @param meanCostTokens mean cost of a waiting request in tokens
      */
-    double secondsUntilAdmits(double holdingSeconds, double meanCost, long nowNanos) {
-        if (!isLimited() || (waiting == 0 && admits(nowNanos))) {
+    double secondsUntilAdmitted(double meanRunSeconds, double meanCostTokens, long nowNanos) {
+        if (!isLimited() || (waiting == 0 && permits(nowNanos))) {
             return 0;
         }
-        setRates(nowNanos);
+        updateRates(nowNanos);
         Share share = share(nowNanos);
         double seconds = 0;
         if (limits.concurrentRequests() > 0 && share.concurrent() > 0) {
-            double over = Math.max(0, running + waiting + 1 - share.concurrent());
-            seconds = over * holdingSeconds / share.concurrent();
+            double excess = Math.max(0, running + waiting + 1 - share.concurrent());
+            seconds = excess * meanRunSeconds / share.concurrent();
         }
         if (limits.requestsPerSecond() > 0 && share.fraction() > 0) {
-            seconds = Math.max(seconds, requests.secondsUntilPasses(waiting, nowNanos));
+            seconds = Math.max(seconds, requestBucket.secondsUntilAllowed(waiting, nowNanos));
         }
         if (limits.tokensPerSecond() > 0 && share.fraction() > 0) {
-            seconds = Math.max(seconds, tokens.secondsUntilPasses(waiting * meanCost, nowNanos));
+            seconds = Math.max(seconds, tokenBucket.secondsUntilAllowed(waiting * meanCostTokens, nowNanos));
         }
         return seconds;
     }
 
     boolean hasShare(long nowNanos) {
         Share share = share(nowNanos);
-        boolean hasPlaces = limits.concurrentRequests() == 0 || share.concurrent() > 0;
-        return hasPlaces && share.fraction() > 0;
+        boolean hasConcurrency = limits.concurrentRequests() == 0 || share.concurrent() > 0;
+        return hasConcurrency && share.fraction() > 0;
     }
 
-    /** Whether there is something to ask the owner: demand, or a share to give back. */
-    boolean isBusy() {
-        return running + waiting > 0 || !granted.equals(Share.none()) || oldestAskNanos != Long.MAX_VALUE;
+    /** Returns whether a share request must be sent: there is demand, a share to return, or an unanswered request. */
+    boolean needsRenewal() {
+        return running + waiting > 0 || !granted.equals(Share.none()) || oldestPendingRequestNanos != Long.MAX_VALUE;
     }
 
     private boolean isIdle(long nowNanos) {
         if (running + waiting > 0) {
             lastBusyNanos = nowNanos;
         }
-        return nowNanos - lastBusyNanos >= IDLE_NANOS;
+        return nowNanos - lastBusyNanos >= IDLE_TIMEOUT_NANOS;
     }
 
     /**
-     * What the entry will use at most until the next grant: nothing once it is idle, for then it stops using it.
+     * Returns the maximum share that the entry uses until the next grant. An idle entry drops its share and returns an
+     * empty one.
      *
-     * <p>Requests that run count in full, also beyond a share that has become smaller meanwhile: they aren't cut, so
-     * their places can't be lent to anybody else before they end. Counted by the share alone, two entries passed the
-     * limit together for as long as those requests ran.
+     * <p>All running requests count, even if they exceed a share that has become smaller since. They are not
+     * interrupted, so their part of the limit cannot be lent to another entry before they end. When only the share was
+     * counted, two entries together exceeded the limit for as long as those requests ran.
      */
-    Share held(long nowNanos) {
+    Share heldShare(long nowNanos) {
         if (isIdle(nowNanos)) {
             granted = Share.none();
         }
@@ -185,7 +186,10 @@
         return running;
     }
 
-    /** Requests that run or wait; one for an entry that was busy a moment ago, so that it keeps a share ready. */
+    /**
+     * Returns the number of running and waiting requests. For an entry that was busy until recently the demand is at
+     * least 1, so that it keeps a share for its next request.
+     */
     int demand(long nowNanos) {
         return isIdle(nowNanos) ? 0 : Math.max(1, running + waiting);
     }
--- a/src/main/java/org/yuccagw/core/admission/ShareLender.java
+++ b/src/main/java/org/yuccagw/core/admission/ShareLender.java
@@ -8,117 +8,130 @@
 import org.yuccagw.core.id.EntryId;
 
 /**
- * Lends the limits of one workspace or service to entries, at the owner of its shard.
+ * Lends shares of the limits of one workspace or service to entries. Runs on the owner of the shard of the limit.
  *
- * <p>Invariant: what entries may use together never passes the limit. Each entry is counted with the largest share
- * that it may use: every grant since the newest one that it named in an ask. A grant that was lost on the way is
- * counted too, and a share that wasn't renewed goes on being counted, since its entry, cut off from this owner, may
- * go on using a part of it; only the entry's word or its death ends that.
+ * <p>Invariant: the shares that all entries may use never exceed the limit together. Each entry is counted with the
+ * maximum of the shares that it may use, which are all grants since the newest one that it named in a request. Grants
+ * that were lost in transit are included. A share that was not renewed still counts, because an entry that is
+ * disconnected from this owner may continue to use a part of it. It counts until the entry confirms a newer grant or
+ * has terminated.
  *
- * <p>A new owner knows nothing of the grants before it. Until those have run out it only confirms what entries say
- * they hold. After that it keeps {@code limit / entries} back for each living entry that it has not heard from,
- * which is the most that such an entry uses by itself; see {@link ShareBorrower}.
+ * <p>A new owner does not know the grants of its predecessor. Until those have expired, it only confirms the shares
+ * that entries report as held. After that, it reserves {@code limit / entries} for each live entry from which it has
+ * received no message. That is the maximum that such an entry uses without a grant, see {@link ShareBorrower}.
  *
- * <p>Example: limit 8, three entries. Entry 1 asks with demand 10 and gets 8. Entry 2 asks with demand 10 and gets
- * 0, as all is lent. Entry 1 renews and now gets its fair 4; once it names that grant, entry 2 gets 4.
+ * <p>Example: the limit is 8 and there are three entries. Entry 1 requests a share with demand 10 and gets 8. Entry 2
+ * requests a share with demand 10 and gets 0, since everything is lent. Entry 1 renews its share and gets its fair
+ * share of 4. After entry 1 has named that grant in a request, entry 2 gets 4.
  */
 final class ShareLender {
     /**
-     * Life of a share from the ask on; renewed twice in it. Callers wait for a new owner for this long and a tenth, and
-     * are refused after a few seconds.
+     * Lifetime of a share, starting when it is requested. It is renewed twice within its lifetime. Callers wait for a
+     * new owner for 1.1 times the lifetime, and they are refused after a few seconds, which limits the lifetime.
      */
-    static final Duration LIFE = Duration.ofSeconds(2);
+    static final Duration LIFETIME = Duration.ofSeconds(2);
 
-    /** How long a new owner waits for the grants before it to run out. */
-    static final Duration WAIT_OUT = LIFE.plus(LIFE.dividedBy(10));
+    /** Time that a new owner waits for the grants of its predecessor to expire. */
+    static final Duration SETTLING_TIME = LIFETIME.plus(LIFETIME.dividedBy(10));
 
-    private static final double HEADROOM = 1.25;
+    private static final double DEMAND_HEADROOM = 1.25;
 
     private final long settledNanos;
     private final Map<EntryId, Borrower> borrowers = new HashMap<>();
     private long nextSequence = 1;
 
-    ShareLender(long gainedNanos, Duration waitOut) {
-        this.settledNanos = gainedNanos + waitOut.toNanos();
+    ShareLender(long gainedNanos, Duration settlingTime) {
+        this.settledNanos = gainedNanos + settlingTime.toNanos();
     }
 
-    /** What is known of one entry: its grants by number, the one that it named last included. */
+    /** The state of one entry: its grants by sequence number, starting with the one that it named last. */
     private static final class Borrower {
         private final Map<Long, Share> grants = new HashMap<>();
         private double demand;
-        private long askedNanos;
+        private long requestedNanos;
 
-        private Share mayUse() {
+        private Share maximumShare() {
             return grants.values().stream().reduce(Share.none(), Share::atLeast);
         }
     }
 
-    /** A grant of this lender. */
-    record Lent(Share share, long sequence) {}
+    /** A share that was granted, with its sequence number. */
+    record LentShare(Share share, long sequence) {}
 
     /**
-     * Decides on an ask.
+     * Grants a share in response to a request.
      *
-     * @param named whether the grant that the ask names is of this owner
-     * @param silent living entries of which this owner has heard nothing
-     * @param entries living entries
+     * @param namesOwnGrant whether the grant that the request names was made by this owner
+     * @param unseenEntries number of live entries from which this owner has received no message
+     * @param entryCount number of live entries
      */
-    Lent lend(EntryId entry, Ask ask, boolean named, Limits limits, int silent, int entries, long nowNanos) {
+    LentShare lend(
+            EntryId entry,
+            Ask ask,
+            boolean namesOwnGrant,
+            Limits limits,
+            int unseenEntries,
+            int entryCount,
+            long nowNanos) {
         Borrower borrower = borrowers.computeIfAbsent(entry, name -> new Borrower());
-        long sequence = named ? ask.sequence() : 0;
-        borrower.grants.keySet().removeIf(number -> number <= sequence);
+        long sequence = namesOwnGrant ? ask.sequence() : 0;
+        borrower.grants.keySet().removeIf(grantSequence -> grantSequence <= sequence);
         borrower.grants.put(sequence, ask.held());
         borrower.demand = ask.demand();
-        borrower.askedNanos = nowNanos;
+        borrower.requestedNanos = nowNanos;
         boolean settled = nowNanos >= settledNanos;
-        Share share = settled ? fairShare(entry, ask, limits, silent, entries, nowNanos) : ask.held();
-        long number = nextSequence++;
-        borrower.grants.put(number, share);
-        return new Lent(share, number);
+        Share share = settled ? fairShare(entry, ask, limits, unseenEntries, entryCount, nowNanos) : ask.held();
+        long grantSequence = nextSequence++;
+        borrower.grants.put(grantSequence, share);
+        return new LentShare(share, grantSequence);
     }
 
-    private Share fairShare(EntryId entry, Ask ask, Limits limits, int silent, int entries, long nowNanos) {
-        Share whole = Share.whole(limits);
-        Share reserved = ShareBorrower.alone(limits, entries);
-        Share left = whole;
-        for (int index = 0; index < silent; index++) {
-            left = left.minus(reserved);
+    private Share fairShare(EntryId entry, Ask ask, Limits limits, int unseenEntries, int entryCount, long nowNanos) {
+        Share total = Share.ofAll(limits);
+        Share reservation = ShareBorrower.fallback(limits, entryCount);
+        Share available = total;
+        for (int index = 0; index < unseenEntries; index++) {
+            available = available.minus(reservation);
         }
         for (Map.Entry<EntryId, Borrower> other : borrowers.entrySet()) {
             if (!other.getKey().equals(entry)) {
-                left = left.minus(other.getValue().mayUse());
+                available = available.minus(other.getValue().maximumShare());
             }
         }
-        return entitlement(entry, ask, whole, nowNanos).atMost(left);
+        return entitlement(entry, ask, total, nowNanos).atMost(available);
     }
 
-    /** The fair part by demand, whatever is lent out now: others come down to theirs when they renew. */
-    private Share entitlement(EntryId entry, Ask ask, Share whole, long nowNanos) {
-        double own = borrowers.get(entry).demand;
-        double all = borrowers.values().stream()
-                .filter(borrower -> nowNanos - borrower.askedNanos < LIFE.toNanos())
+    /**
+     * Returns the fair share in proportion to demand, regardless of the shares that are lent now. The shares of the
+     * other entries shrink to their fair shares when they are renewed.
+     */
+    private Share entitlement(EntryId entry, Ask ask, Share total, long nowNanos) {
+        double ownDemand = borrowers.get(entry).demand;
+        double totalDemand = borrowers.values().stream()
+                .filter(borrower -> nowNanos - borrower.requestedNanos < LIFETIME.toNanos())
                 .mapToDouble(borrower -> borrower.demand)
                 .sum();
-        if (own <= 0) {
+        if (ownDemand <= 0) {
             return Share.none();
         }
-        double fraction = own / all;
-        double wanted = Math.ceil(own * HEADROOM);
-        double fair = Math.floor(whole.concurrent() * fraction);
-        if (fair < 1) {
-            // Fewer than one each: an entry keeps what runs and else lets go, so that the units go round.
-            fair = ask.held().concurrent() > 0 ? ask.running() : 1;
+        double fraction = ownDemand / totalDemand;
+        double requested = Math.ceil(ownDemand * DEMAND_HEADROOM);
+        double fairUnits = Math.floor(total.concurrent() * fraction);
+        if (fairUnits < 1) {
+            // There is less than one unit for each entry. An entry keeps the units of its running requests and returns
+            // the others, so that the units circulate among the entries.
+            fairUnits = ask.held().concurrent() > 0 ? ask.running() : 1;
         }
-        return new Share((int) Math.min(wanted, fair), fraction);
+        return new Share((int) Math.min(requested, fairUnits), fraction);
     }
 
-    /** The entry is gone for good. */
-    void forget(EntryId entry) {
+    /** Removes an entry that has terminated permanently. */
+    void removeBorrower(EntryId entry) {
         borrowers.remove(entry);
     }
 
-    /** What all entries together may use at most. */
-    Share lent() {
-        return borrowers.values().stream().map(Borrower::mayUse).reduce(Share.none(), Share::plus);
+    /** Returns the maximum share that all entries may use together. */
+    Share totalLent() {
+        return borrowers.values().stream().map(Borrower::maximumShare).reduce(Share.none(), Share::plus);
     }
 }
--- a/src/main/java/org/yuccagw/core/admission/SharePeerMessage.java
+++ b/src/main/java/org/yuccagw/core/admission/SharePeerMessage.java
@@ -5,32 +5,37 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /**
- * What entries and the owner of a shard say to each other about shares of limits. Any may be lost, late or doubled.
+ * Messages between entries and the owner of a shard about shares of limits. Messages may be lost, delayed or
+ * duplicated.
  */
 public interface SharePeerMessage extends PeerMessage {
     ShardNumber shard();
 
     /**
-     * An entry asks for a share, renews it, or gives it back by holding nothing and wanting nothing.
+     * Requests a share, renews it, or returns it if both {@code held} and {@code demand} are empty. Sent by an entry to
+     * the owner.
      *
-     * @param held what the entry uses at most until the next grant
-     * @param epoch of the owner that made the newest grant that the entry has, 0 for none
-     * @param sequence number of that grant
-     * @param running requests that run under it now
-     * @param demand requests that run or wait now
+     * @param held maximum share that the entry uses until the next grant
+     * @param epoch epoch of the owner that made the newest grant of the entry, 0 for none
+     * @param sequence sequence number of that grant
+     * @param running number of requests that are running now
+     * @param demand number of requests that are running or waiting now
      */
     record Ask(ShardNumber shard, LimitName limit, Share held, long epoch, long sequence, int running, double demand)
             implements SharePeerMessage {}
 
     /**
-     * The owner lends a share, in place of the one that the entry has.
+     * Grants a share, which replaces the previous share of the entry. Sent by the owner to an entry.
      *
-     * @param sequence number of the grant, growing under one owner
-     * @param life the share ends this long after the ask that it answers was sent
+     * @param sequence sequence number of the grant, increasing during the epoch of an owner
+     * @param life lifetime of the share, starting when the request that it answers was sent
      */
     record Grant(ShardNumber shard, long epoch, LimitName limit, Share share, long sequence, Duration life)
             implements SharePeerMessage {}
 
-    /** The entry knows the shard's new owner and uses no shares of the shard but those that it asks for. */
+    /**
+     * States that the entry knows the new owner of the shard and uses no shares of the shard except those that it
+     * requests from this owner.
+     */
     record Present(ShardNumber shard) implements SharePeerMessage {}
 }
--- a/src/main/java/org/yuccagw/core/admission/TokenBucket.java
+++ b/src/main/java/org/yuccagw/core/admission/TokenBucket.java
@@ -1,56 +1,62 @@
 package org.yuccagw.core.admission;
 
 /**
- * Bounds a rate: a request passes while the level isn't negative, and then takes its cost, which may leave a debt.
+ * A token bucket that limits a rate. A request is allowed while the level is not negative, and then consumes its cost,
+ * which may make the level negative.
  *
- * <p>Debt is what lets a request pass whose cost is above a second's worth. Over any time the admitted cost is at
- * most rate times time, one second's worth that was saved up, and one request.
+ * <p>Since the level may become negative, a request is allowed even if its cost exceeds the tokens of one second. In
+ * any period, the consumed cost is at most the rate times the length of the period, plus the saved tokens of one
+ * second, plus the cost of one request.
  *
- * <p>Example: rate 100 a second, level 0. A request of 250 passes; the next one passes 2.5 s later.
+ * <p>Example: with a rate of 100 tokens/s and a level of 0, a request that costs 250 is allowed, and the next request
+ * is allowed 2.5 s later.
  */
 final class TokenBucket {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private double level;
-    private long sinceNanos;
-    private double rate;
+    private long refilledNanos;
+    private double ratePerSecond;
 
     TokenBucket(long nowNanos) {
-        this.sinceNanos = nowNanos;
+        this.refilledNanos = nowNanos;
     }
 
-    /** Sets the rate in tokens a second from now on; 0 stops the refill. */
-    void rate(double newRate, long nowNanos) {
+    /** Sets the rate in tokens/s, effective immediately. A rate of 0 stops the refill. */
+    void setRate(double newRatePerSecond, long nowNanos) {
         refill(nowNanos);
-        rate = newRate;
-        level = Math.min(level, rate);
+        ratePerSecond = newRatePerSecond;
+        level = Math.min(level, ratePerSecond);
     }
 
-    boolean passes(long nowNanos) {
+    boolean allows(long nowNanos) {
         refill(nowNanos);
-        return rate > 0 && level >= 0;
+        return ratePerSecond > 0 && level >= 0;
     }
 
-    void take(double cost) {
+    void consume(double cost) {
         level -= cost;
     }
 
-    void giveBack(double cost) {
-        level = Math.min(rate, level + cost);
+    void refund(double cost) {
+        level = Math.min(ratePerSecond, level + cost);
     }
 
-    /** Seconds until a request passes after others that cost this much together; infinite at rate 0. */
-    double secondsUntilPasses(double costAhead, long nowNanos) {
+    /**
+     * Returns the time in seconds until a request is allowed after other requests with a total cost of {@code
+     * costAhead}, or infinity if the rate is 0.
+     */
+    double secondsUntilAllowed(double costAhead, long nowNanos) {
         refill(nowNanos);
         double missing = costAhead - level;
         if (missing <= 0) {
             return 0;
         }
-        return rate > 0 ? missing / rate : Double.POSITIVE_INFINITY;
+        return ratePerSecond > 0 ? missing / ratePerSecond : Double.POSITIVE_INFINITY;
     }
 
     private void refill(long nowNanos) {
-        level = Math.min(rate, level + rate * (double) (nowNanos - sinceNanos) / NANOS);
-        sinceNanos = nowNanos;
+        level = Math.min(ratePerSecond, level + ratePerSecond * (double) (nowNanos - refilledNanos) / NANOS_PER_SECOND);
+        refilledNanos = nowNanos;
     }
 }
--- a/src/main/java/org/yuccagw/core/admission/package-info.java
+++ b/src/main/java/org/yuccagw/core/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Admission: workspace limits over all entries by lent shares, fair queues, and early refusal. */
+/** Admission: limits that hold over all entries by lent shares, fair queues, and early refusal. */
 package org.yuccagw.core.admission;
--- a/src/main/java/org/yuccagw/core/forward/AnswerStart.java
+++ b/src/main/java/org/yuccagw/core/forward/AnswerStart.java
@@ -4,17 +4,17 @@
 import org.yuccagw.core.notice.EndpointNotice;
 
 /**
- * What decides about an answer when its head arrives.
+ * The properties of the head of an answer that decide how the answer is handled.
  *
  * @param status HTTP status
- * @param ofThisRequest whether it names the id of the request; an answer that doesn't belongs to another one
- * @param sealed whether it carries the mark that every whole answer of an endpoint has
- * @param notRun whether the endpoint says that it did not run the request
- * @param fromOther whether another endpoint than the expected one answered
- * @param encoded whether the body is encoded, which no endpoint does by itself
- * @param framed whether its end can be told from a break
- * @param version weights that the answer is made with
- * @param notice what the endpoint says of itself
+ * @param ofThisRequest whether it names the id of this request; otherwise the answer belongs to another request
+ * @param sealed whether it carries the seal that every complete answer of an endpoint has
+ * @param notRun whether the endpoint states that it did not run the request
+ * @param fromOther whether an endpoint other than the expected one answered
+ * @param encoded whether the body has a content encoding, which endpoints never apply
+ * @param framed whether the framing distinguishes the end of the body from a broken connection
+ * @param version weight version that generated the answer
+ * @param notice state of the endpoint as stated in the head
  */
 public record AnswerStart(
         int status,
@@ -27,25 +27,25 @@
         OptionalLong version,
         EndpointNotice notice) {
     private static final int MISDIRECTED = 421;
-    private static final int FIRST_FAULT = 500;
+    private static final int MIN_SERVER_ERROR = 500;
 
     boolean isSuccess() {
         return status >= 200 && status < 300;
     }
 
     boolean isFault() {
-        return status >= FIRST_FAULT;
+        return status >= MIN_SERVER_ERROR;
     }
 
-    /** Whether it can be passed on as the endpoint's own answer. */
+    /** Returns whether the answer may be forwarded as an answer of the endpoint to this request. */
     boolean isGenuine() {
         boolean complete = !isSuccess() || sealed;
         return ofThisRequest && !encoded && framed && complete;
     }
 
     /**
-     * Whether it says something of the endpoint that was asked, and not of another one at its address. A refusal that
-     * names no request is believed like the refusal itself.
+     * Returns whether the answer comes from the expected endpoint, and not from another one at its address. A refusal
+     * without a request id counts as coming from the expected endpoint, just as the refusal itself is accepted.
      */
     boolean isOfExpectedEndpoint() {
         return (ofThisRequest || notRun) && !fromOther;
@@ -55,8 +55,8 @@
         return status == MISDIRECTED;
     }
 
-    /** A status by which a caller is promised that the request has not run. */
-    boolean promisesNotRun() {
+    /** Returns whether the status would imply to a caller that the request has not run. */
+    boolean impliesNotRun() {
         return status == 429 || status == 503 || status == 408 || status == MISDIRECTED;
     }
 }
--- a/src/main/java/org/yuccagw/core/forward/ForwardEffects.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardEffects.java
@@ -12,61 +12,69 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 
-/** What {@link ForwardMachine} asks of its surroundings; all on one thread, none of it blocks. */
+/** The side effects of a {@link ForwardMachine}. All methods are called on one thread and must not block. */
 public interface ForwardEffects {
-    /** Monotonic time in nanoseconds. */
+    /** Returns the monotonic time in nanoseconds. */
     long nowNanos();
 
-    /** Asks for an endpoint; the answer comes by {@link ForwardMachine#onPlaced}. */
+    /**
+     * Requests an endpoint. The result is passed to {@link ForwardMachine#onPlaced}.
+     *
+     * @param excluded endpoints that must not be chosen
+     * @param pinned weight version that the endpoint must run, empty for any
+     * @param left time until the deadline of the request
+     */
     void askPlace(ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left);
 
     /**
-     * Sends the request.
+     * Sends the request to the chosen endpoint.
      *
-     * @param left time that the endpoint is given
-     * @param afterEvent event after which the stream is to go on
-     * @param fresh over a connection opened for it
+     * @param leg number of the send
+     * @param left time that the endpoint has for its answer
+     * @param afterEvent id of the event after which the stream starts
+     * @param fresh whether to open a new connection for the request
      */
     void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh);
 
-    /** Closes the leg's connection; nothing more is heard of it. */
+    /** Closes the connection of the leg. No further events of the leg are reported. */
     void abandon(long leg);
 
-    /** Stops reading the leg's answer, until {@link #readOn}. */
+    /** Pauses reading the answer of the leg until {@link #readOn}. */
     void hold(long leg);
 
+    /** Resumes reading the answer of the leg. */
     void readOn(long leg);
 
     /** Calls {@link ForwardMachine#onTimer} after the delay. */
     void schedule(ForwardMachine.TimerKind kind, long leg, Duration delay);
 
-    /** Begins the caller's answer with the head that arrived on the leg. */
+    /** Starts the answer to the caller with the head that was received on the leg. */
     void answerHead(long leg);
 
-    /** Passes bytes on; the buffer is valid during the call only. */
+    /** Forwards bytes of the answer to the caller. The buffer is valid only during the call. */
     void answerBytes(ByteBuffer bytes);
 
-    /** The answer is whole. */
+    /** Ends the answer to the caller as complete. */
     void answerEnd();
 
-    /** Ends an answer that has begun and can't be made whole, so that the caller sees that it isn't. */
+    /** Aborts an answer that has started and cannot be completed, so that the caller detects that it is incomplete. */
     void cut();
 
-    /** Answers with an error; only for an answer that has not begun. */
+    /** Answers the caller with an error. Called only before the answer has started. */
     void answerError(YuccagwException error);
 
-    /** Tells that the answer to an attempt has begun. */
+    /** Reports that the endpoint of an attempt has started its answer. */
     void report(AttemptBegun begun);
 
-    /** Tells how an attempt ended. */
+    /** Reports how an attempt ended. */
     void report(AttemptEnded ended);
 
-    /** Tells what the head of an answer says of its endpoint. */
+    /** Reports the notice of an endpoint in the head of its answer. */
     void report(NoticeReceived received);
 
-    /** One line about a decision on this request. */
+    /** Logs a decision about this request. */
     void explain(String decision, String detail);
 
-    /** The request is over; called once. */
+    /** Reports that the request has ended. Called exactly once. */
     void ended(String outcome);
 }
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -21,58 +21,64 @@
 import org.yuccagw.core.placing.PlacementRequest.Kind;
 
 /**
- * One request: placed, sent, answered. Deterministic: events in by its methods, effects out, all on one thread.
+ * The state machine of one request, from its placement to the end of its answer. It is deterministic: it receives
+ * events by method calls and produces {@link ForwardEffects}, all on one thread.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>The caller gets exactly one end: {@code answerEnd}, {@code answerError}, {@code cut}, or it left.
- *   <li>A request that isn't repeatable is sent again only after proof that it did not run: the endpoint said so, or no
- *       connection came about. It is sent over a connection opened for it, because on a kept one that turns out closed
- *       nobody can tell whether it was read.
- *   <li>A status that promises "not run" reaches the caller only if no attempt may have run.
- *   <li>Each send is a leg with a number; what arrives on any leg but the present one is ignored.
- *   <li>A resumed stream goes on after the last whole event that was passed on, with the same weights.
+ *   <li>The answer to the caller ends exactly once: by {@code answerEnd}, {@code answerError} or {@code cut}, or
+ *       because the caller disconnected.
+ *   <li>A request that is not repeatable is retried only if it is proven that it did not run: the endpoint stated so,
+ *       or no connection was established. It is sent over a new connection, because if a reused connection turns out to
+ *       be closed, it is unknown whether the request was read.
+ *   <li>A status that implies "not run" is sent to the caller only if no attempt may have run.
+ *   <li>Each send of the request is a leg with a number. Events of any leg but the current one are ignored.
+ *   <li>A resumed stream continues after the last complete event that was forwarded, with the same weight version.
  * </ul>
  *
- * <p>Example: a resumable stream breaks after event 12. The attempt is reported, another endpoint is asked for with the
- * same weights, and the request is sent there with "after 12"; the caller sees event 13 a little late, under the head
- * of the first answer.
+ * <p>Example: the connection of a resumable stream breaks after event 12. The failed attempt is reported, and another
+ * endpoint with the same weight version is requested. The request is sent there with the instruction to continue after
+ * event 12. The caller receives event 13 with a delay, as part of the answer that it is already reading.
  */
 public final class ForwardMachine {
-    /** Sends that can't have run cost an endpoint nothing but a look; more than this means that none can take it. */
-    private static final int MOST_SENDS = 4;
+    /**
+     * A send that cannot have run costs an endpoint almost nothing. If this many sends of a request have failed, no
+     * endpoint is expected to accept it.
+     */
+    private static final int MAX_SENDS = 4;
 
-    /** An attempt that gets less time than this can't end well. */
-    private static final Duration LEAST_USEFUL = Duration.ofMillis(20);
+    /** An attempt with less time than this is not worth starting, since it cannot succeed. */
+    private static final Duration MIN_ATTEMPT_TIME = Duration.ofMillis(20);
 
-    /** A repeatable request whose answer hasn't begun after so many times its target is tried elsewhere. */
-    private static final int TARGETS_TO_HEAD = 2;
+    /** Multiple of the first-byte target after which a repeatable request without an answer is retried elsewhere. */
+    private static final int HEAD_TIMEOUT_TARGETS = 2;
 
     /**
-     * The same for streams. What an engine did for a prompt is lost with it, and under load the next engine begins anew
-     * behind others; callers wait for four targets.
+     * The same multiple for streams. It is higher because a retry discards the prefill of the first engine, and under
+     * load the next engine starts it again behind other requests. Callers wait for four times the target.
      */
-    private static final int TARGETS_TO_STREAM_HEAD = 3;
+    private static final int STREAM_HEAD_TIMEOUT_TARGETS = 3;
 
-    private static final int PREDICTIONS_TO_HEAD = 3;
+    /** Multiple of the predicted time to the first byte after which the same retry happens. */
+    private static final int HEAD_TIMEOUT_PREDICTIONS = 3;
 
-    /** A resumable stream that pauses so many times longer than allowed is continued elsewhere. */
-    private static final int GAPS_TO_SILENCE = 3;
+    /** Multiple of the longest allowed gap between events after which a resumable stream is continued elsewhere. */
+    private static final int SILENCE_TIMEOUT_GAPS = 3;
 
-    private static final Duration SHORTEST_SILENCE = Duration.ofMillis(350);
+    private static final Duration MIN_SILENCE_TIMEOUT = Duration.ofMillis(350);
 
     private final ForwardRequest request;
     private final Route route;
     private final ForwardEffects effects;
-    private final long endNanos;
+    private final long deadlineNanos;
     private final Set<EndpointId> excluded = new LinkedHashSet<>();
-    private final EventCutter events;
+    private final EventFramer eventFramer;
 
     private State state = State.NEW;
     private PlacementDecision.Placed placed;
-    private AnswerStart start;
-    private OptionalLong pinned = OptionalLong.empty();
+    private AnswerStart answerHead;
+    private OptionalLong pinnedVersion = OptionalLong.empty();
     private long leg;
     private int sends;
     private int runs;
@@ -80,9 +86,9 @@
     private boolean headSent;
     private boolean heldForRetry;
     private boolean endedWhileHeld;
-    private String lastTrouble = "";
+    private String lastFailure = "";
     private EndpointId lastEndpoint;
-    private boolean legCounted;
+    private boolean legRunCounted;
     private long progressNanos;
 
     private enum State {
@@ -93,13 +99,13 @@
         OVER
     }
 
-    /** What a timer is for. */
+    /** The purposes of timers. */
     public enum TimerKind {
-        /** The time of the request is over. */
+        /** The deadline of the request. */
         DEADLINE,
-        /** The answer of a repeatable request hasn't begun in time. */
+        /** The timeout for the start of the answer to a repeatable request. */
         HEAD,
-        /** A resumable stream may have fallen silent. */
+        /** The timeout for the next event of a resumable stream. */
         GAP
     }
 
@@ -107,24 +113,26 @@
         this.request = request;
         this.route = request.route();
         this.effects = effects;
-        Duration time = Comparators.min(request.patience(), route.timeout());
-        this.endNanos = effects.nowNanos() + time.toNanos();
-        this.events = new EventCutter(request.afterEvent());
+        Duration timeout = Comparators.min(request.callerTimeout(), route.timeout());
+        this.deadlineNanos = effects.nowNanos() + timeout.toNanos();
+        this.eventFramer = new EventFramer(request.afterEvent());
     }
 
     public static ForwardMachine of(ForwardRequest request, ForwardEffects effects) {
         return new ForwardMachine(request, effects);
     }
 
+    /** Starts the deadline timer and requests the first placement. */
     public void begin() {
-        effects.schedule(TimerKind.DEADLINE, 0, left());
-        askPlace(Kind.FIRST);
+        effects.schedule(TimerKind.DEADLINE, 0, remaining());
+        requestPlacement(Kind.FIRST);
     }
 
     public boolean isOver() {
         return state == State.OVER;
     }
 
+    /** Called with the result of a placement request. A placement that is no longer needed is released. */
     public void onPlaced(PlacementDecision decision) {
         if (state != State.PLACING) {
             if (decision instanceof PlacementDecision.Placed late) {
@@ -135,55 +143,57 @@
         if (decision instanceof PlacementDecision.Placed chosen) {
             send(chosen);
         } else if (decision instanceof PlacementDecision.Refused refused) {
-            onRefused(refused.error());
+            handleRefusal(refused.error());
         }
     }
 
+    /** Called when the head of the answer was received on a leg. */
     public void onHead(long ofLeg, AnswerStart head) {
         if (isStale(ofLeg)) {
             return;
         }
-        noteNotice(head);
+        reportNotice(head);
         if (head.notRun() || head.isMisdirected()) {
-            onNotRun(head);
+            handleNotRun(head);
             return;
         }
         countRun();
         if (!head.isGenuine()) {
-            onTrouble(End.BROKEN, "status " + head.status() + " is no answer to this request");
+            handleLegFailure(End.BROKEN, "status " + head.status() + " is no answer to this request");
             return;
         }
-        start = head;
+        answerHead = head;
         if (route.streamed()) {
             effects.report(new AttemptBegun(placed.ticket()));
         }
         if (headSent) {
-            onResumedHead(head);
-        } else if (head.isFault() && mayRunAgain() && timeForAnother()) {
-            tryElsewhereBeforePassingOn();
+            handleResumedHead(head);
+        } else if (head.isFault() && mayRunAgain() && hasTimeForRetry()) {
+            retryBeforeForwarding();
         } else {
-            passOn(head);
+            forwardAnswer(head);
         }
     }
 
+    /** Called when bytes of the answer body were received on a leg. */
     public void onBytes(long ofLeg, ByteBuffer bytes) {
         if (isStale(ofLeg) || state != State.STREAMING) {
             return;
         }
-        if (!cutsEvents()) {
+        if (!framesEvents()) {
             effects.answerBytes(bytes);
             return;
         }
-        ByteBuffer whole = events.accept(bytes);
-        if (events.isTooLarge()) {
-            onTrouble(End.BROKEN, "an event has no end");
-        } else if (whole.hasRemaining()) {
-            effects.answerBytes(whole);
+        ByteBuffer completed = eventFramer.accept(bytes);
+        if (eventFramer.isTooLarge()) {
+            handleLegFailure(End.BROKEN, "an event has no end");
+        } else if (completed.hasRemaining()) {
+            effects.answerBytes(completed);
             progressNanos = effects.nowNanos();
         }
     }
 
-    /** The answer of the leg is whole. */
+    /** Called when the answer on a leg is complete. */
     public void onEnd(long ofLeg) {
         if (isStale(ofLeg)) {
             return;
@@ -192,119 +202,122 @@
             endedWhileHeld = true;
             return;
         }
-        if (cutsEvents() && events.isInsideEvent()) {
-            onTrouble(End.BROKEN, "the stream ended inside an event");
+        if (framesEvents() && eventFramer.isInsideEvent()) {
+            handleLegFailure(End.BROKEN, "the stream ended inside an event");
             return;
         }
-        endAttempt(start != null && start.isFault() ? End.FAULT : End.ANSWERED);
+        endAttempt(answerHead != null && answerHead.isFault() ? End.FAULT : End.ANSWERED);
         effects.answerEnd();
-        over("answered " + (start == null ? 0 : start.status()));
+        finish("answered " + (answerHead == null ? 0 : answerHead.status()));
     }
 
     /**
-     * The leg failed before its end.
+     * Called when a leg failed before the end of its answer.
      *
-     * @param end UNREACHED only if not one byte of the request was sent
+     * @param end kind of failure, UNREACHED only if no byte of the request was sent
      */
     public void onFailure(long ofLeg, End end, String detail) {
         if (!isStale(ofLeg)) {
             if (end.mayHaveRun()) {
                 countRun();
             }
-            onTrouble(end, detail);
+            handleLegFailure(end, detail);
         }
     }
 
+    /** Called when a timer that was set by {@link ForwardEffects#schedule} expires. */
     public void onTimer(TimerKind kind, long ofLeg) {
         if (state == State.OVER) {
             return;
         }
         if (kind == TimerKind.DEADLINE) {
-            onDeadline();
+            handleDeadline();
         } else if (ofLeg != leg) {
             return;
         } else if (kind == TimerKind.HEAD && state == State.SENDING && !heldForRetry) {
             countRun();
-            onTrouble(End.SILENT, "no answer began in time");
+            handleLegFailure(End.SILENT, "no answer began in time");
         } else if (kind == TimerKind.GAP && state == State.STREAMING) {
-            lookAtGap();
+            checkGap();
         }
     }
 
-    /** The caller is gone: whatever runs for it is given up at once. */
+    /** Called when the caller disconnected. The running attempt is abandoned immediately. */
     public void onCallerLeft() {
         if (state == State.OVER) {
             return;
         }
         abandonLeg(End.LEFT);
-        over("caller left");
+        finish("caller left");
     }
 
-    // ---- Placing and sending.
+    // ---- Placement and sending
 
-    private void askPlace(Kind kind) {
+    private void requestPlacement(Kind kind) {
         state = State.PLACING;
-        effects.askPlace(ImmutableSet.copyOf(excluded), kind, pinned, left());
+        effects.askPlace(ImmutableSet.copyOf(excluded), kind, pinnedVersion, remaining());
     }
 
     private void send(PlacementDecision.Placed chosen) {
-        Duration time = left();
+        Duration remainingTime = remaining();
         if (heldForRetry) {
-            // The other endpoint is there: the fault that was kept back is not needed any more.
+            // Another endpoint was found, so the held error answer is discarded.
             heldForRetry = false;
             endedWhileHeld = false;
             effects.abandon(leg);
             endAttempt(End.FAULT);
         }
         placed = chosen;
-        if (time.compareTo(LEAST_USEFUL) < 0) {
+        if (remainingTime.compareTo(MIN_ATTEMPT_TIME) < 0) {
             endAttempt(End.LEFT);
-            onDeadline();
+            handleDeadline();
             return;
         }
         leg++;
         sends++;
-        legCounted = false;
+        legRunCounted = false;
         state = State.SENDING;
-        start = null;
-        effects.send(leg, chosen, time, events.lastId(), needsOwnConnection());
+        answerHead = null;
+        effects.send(leg, chosen, remainingTime, eventFramer.lastId(), needsNewConnection());
         if (route.repeatable()) {
-            effects.schedule(TimerKind.HEAD, leg, headPatience(chosen));
+            effects.schedule(TimerKind.HEAD, leg, headTimeout(chosen));
         }
     }
 
     /**
-     * Whether a kept connection is too risky: it may lead to an endpoint that has gone dark, which only a connection
-     * that doesn't come about shows at once. For streams that is worth a new one each.
+     * Returns whether the request needs a new connection. A reused connection may lead to an endpoint that is no longer
+     * reachable, while a failed connection attempt reveals that immediately. For streams this is worth a new connection
+     * each.
      */
-    private boolean needsOwnConnection() {
+    private boolean needsNewConnection() {
         return !route.repeatable() || route.streamed() || sends > 1;
     }
 
-    private Duration headPatience(PlacementDecision.Placed chosen) {
-        Duration byTarget = route.target().multipliedBy(route.streamed() ? TARGETS_TO_STREAM_HEAD : TARGETS_TO_HEAD);
-        Duration byPrediction = Duration.ofMillis(chosen.firstByteMillis() * PREDICTIONS_TO_HEAD);
-        return Comparators.max(Comparators.max(byTarget, byPrediction), SHORTEST_SILENCE);
+    private Duration headTimeout(PlacementDecision.Placed chosen) {
+        Duration targetTimeout =
+                route.target().multipliedBy(route.streamed() ? STREAM_HEAD_TIMEOUT_TARGETS : HEAD_TIMEOUT_TARGETS);
+        Duration predictionTimeout = Duration.ofMillis(chosen.firstByteMillis() * HEAD_TIMEOUT_PREDICTIONS);
+        return Comparators.max(Comparators.max(targetTimeout, predictionTimeout), MIN_SILENCE_TIMEOUT);
     }
 
-    private void onRefused(YuccagwException error) {
+    private void handleRefusal(YuccagwException error) {
         if (heldForRetry) {
-            passOnHeld();
+            forwardHeldAnswer();
         } else if (headSent) {
-            cut("no endpoint to go on with: " + error.getMessage());
+            abort("no endpoint to go on with: " + error.getMessage());
         } else if (mayHaveRun) {
-            fail(ErrorKind.ENDPOINT_FAILED.raise(endpointName(), lastTrouble));
+            fail(ErrorKind.ENDPOINT_FAILED.raise(endpointName(), lastFailure));
         } else {
             fail(error);
         }
     }
 
-    // ---- Answers.
+    // ---- Answers
 
-    private void passOn(AnswerStart head) {
-        boolean lies = head.promisesNotRun();
-        if (lies) {
-            // The endpoint's status would promise "not run" without its word for it.
+    private void forwardAnswer(AnswerStart head) {
+        boolean unprovenNotRun = head.impliesNotRun();
+        if (unprovenNotRun) {
+            // The status would imply "not run" although the endpoint did not state it.
             effects.abandon(leg);
             endAttempt(End.FAULT);
             fail(ErrorKind.ENDPOINT_FAILED.raise(endpointName(), "status " + head.status()));
@@ -312,39 +325,39 @@
         }
         state = State.STREAMING;
         headSent = true;
-        pinned = head.version();
+        pinnedVersion = head.version();
         effects.answerHead(leg);
         scheduleGap();
     }
 
-    private void onResumedHead(AnswerStart head) {
+    private void handleResumedHead(AnswerStart head) {
         if (!head.isSuccess()) {
-            onTrouble(End.FAULT, "status " + head.status() + " to a resumed stream");
+            handleLegFailure(End.FAULT, "status " + head.status() + " to a resumed stream");
             return;
         }
-        if (pinned.isPresent() && !head.version().equals(pinned)) {
-            onTrouble(End.WRONG_VERSION, "the resumed stream has other weights");
+        if (pinnedVersion.isPresent() && !head.version().equals(pinnedVersion)) {
+            handleLegFailure(End.WRONG_VERSION, "the resumed stream has other weights");
             return;
         }
         state = State.STREAMING;
         scheduleGap();
     }
 
-    /** Keeps the fault back and asks for another endpoint; if there is none, the fault is the answer. */
-    private void tryElsewhereBeforePassingOn() {
+    /** Holds the error answer and requests another endpoint. If there is none, the error answer is forwarded. */
+    private void retryBeforeForwarding() {
         effects.hold(leg);
         heldForRetry = true;
         excluded.add(placed.endpoint().id());
-        lastTrouble = "status " + start.status();
-        effects.explain("try-elsewhere", lastTrouble);
-        askPlace(Kind.REPEAT);
+        lastFailure = "status " + answerHead.status();
+        effects.explain("try-elsewhere", lastFailure);
+        requestPlacement(Kind.REPEAT);
     }
 
-    private void passOnHeld() {
+    private void forwardHeldAnswer() {
         heldForRetry = false;
-        AnswerStart head = start;
+        AnswerStart heldHead = answerHead;
         state = State.SENDING;
-        passOn(head);
+        forwardAnswer(heldHead);
         if (state == State.STREAMING) {
             effects.readOn(leg);
             if (endedWhileHeld) {
@@ -353,45 +366,48 @@
         }
     }
 
-    private void onNotRun(AnswerStart head) {
+    private void handleNotRun(AnswerStart head) {
         effects.abandon(leg);
         End end = head.isMisdirected() ? (head.fromOther() ? End.WRONG_ENDPOINT : End.WRONG_VERSION) : End.SHED;
         endAttempt(end, end == End.WRONG_ENDPOINT ? OptionalLong.empty() : head.version());
-        lastTrouble = "status " + head.status() + ", not run";
+        lastFailure = "status " + head.status() + ", not run";
         if (end != End.WRONG_VERSION) {
             excluded.add(lastEndpoint);
         }
-        afterNotRun(true);
+        retryAfterNotRun(true);
     }
 
-    private void afterNotRun(boolean arrived) {
-        if (sends < MOST_SENDS && timeForAnother()) {
-            effects.explain("try-elsewhere", lastTrouble);
-            askPlace(arrived ? Kind.REPEAT : Kind.UNSENT);
+    private void retryAfterNotRun(boolean reachedEndpoint) {
+        if (sends < MAX_SENDS && hasTimeForRetry()) {
+            effects.explain("try-elsewhere", lastFailure);
+            requestPlacement(reachedEndpoint ? Kind.REPEAT : Kind.UNSENT);
         } else if (headSent) {
-            cut(lastTrouble);
+            abort(lastFailure);
         } else if (mayHaveRun) {
-            fail(ErrorKind.ENDPOINT_FAILED.raise(endpointName(), lastTrouble));
+            fail(ErrorKind.ENDPOINT_FAILED.raise(endpointName(), lastFailure));
         } else {
             fail(ErrorKind.NO_ENDPOINT.raise(request.service()));
         }
     }
 
     /**
-     * The present leg came to nothing. The cases, in this order:
+     * Handles the failure of the current leg. The first case that applies decides:
      *
      * <ol>
-     *   <li>A fault is kept back for the caller: its body can't be had any more, so this is the failure to tell.
-     *   <li>Nothing was sent: another endpoint may try, also for a request that isn't repeatable.
-     *   <li>The answer has begun and the stream can be resumed: go on elsewhere after the last whole event.
-     *   <li>The answer has begun otherwise: cut it, so that it can't look whole.
-     *   <li>Nothing reached the caller and the request is repeatable: another endpoint, within attempts and budget.
-     *   <li>Else it may have run and its answer is lost: say so.
+     *   <li>An error answer is held for the caller: its body can no longer be read, so this failure is reported instead
+     *       if there is no other endpoint.
+     *   <li>Nothing was sent: retry on another endpoint, even if the request is not repeatable.
+     *   <li>The answer has started and the stream is resumable: continue on another endpoint after the last complete
+     *       event.
+     *   <li>The answer has started otherwise: abort it, so that it does not appear complete.
+     *   <li>Nothing was sent to the caller and the request is repeatable: retry on another endpoint, within the limits
+     *       of attempts and budget.
+     *   <li>Otherwise: answer that the request may have run and that its answer is lost.
      * </ol>
      */
-    private void onTrouble(End end, String detail) {
+    private void handleLegFailure(End end, String detail) {
         effects.abandon(leg);
-        lastTrouble = detail;
+        lastFailure = detail;
         if (heldForRetry) {
             heldForRetry = false;
             endAttempt(End.FAULT);
@@ -400,48 +416,48 @@
         endAttempt(end);
         excluded.add(lastEndpoint);
         if (end == End.UNREACHED) {
-            afterNotRun(false);
+            retryAfterNotRun(false);
             return;
         }
         if (headSent) {
-            events.dropPartial();
-            goOnOrCut(detail);
-        } else if (mayRunAgain() && timeForAnother()) {
+            eventFramer.discardPartial();
+            resumeOrAbort(detail);
+        } else if (mayRunAgain() && hasTimeForRetry()) {
             effects.explain("try-elsewhere", detail);
-            askPlace(Kind.REPEAT);
+            requestPlacement(Kind.REPEAT);
         } else {
             fail(ErrorKind.ENDPOINT_FAILED.raise(endpointName(), detail));
         }
     }
 
-    private void goOnOrCut(String detail) {
-        if (cutsEvents() && mayRunAgain() && timeForAnother()) {
-            effects.explain("resume-elsewhere", detail + ", after event " + events.lastId());
-            askPlace(Kind.REPEAT);
+    private void resumeOrAbort(String detail) {
+        if (framesEvents() && mayRunAgain() && hasTimeForRetry()) {
+            effects.explain("resume-elsewhere", detail + ", after event " + eventFramer.lastId());
+            requestPlacement(Kind.REPEAT);
         } else {
-            cut(detail);
+            abort(detail);
         }
     }
 
-    private void onDeadline() {
+    private void handleDeadline() {
         mayHaveRun |= state == State.SENDING;
         abandonLeg(End.LEFT);
         if (headSent) {
-            cut("the time of the request is over");
+            abort("the time of the request is over");
         } else if (mayHaveRun) {
             fail(ErrorKind.DEADLINE_PASSED.raise(
-                    Comparators.min(request.patience(), route.timeout()).toMillis()));
+                    Comparators.min(request.callerTimeout(), route.timeout()).toMillis()));
         } else {
             fail(ErrorKind.NO_ENDPOINT.raise(request.service()));
         }
     }
 
-    // ---- Small helpers.
+    // ---- Helpers
 
-    private void noteNotice(AnswerStart head) {
+    private void reportNotice(AnswerStart head) {
         EndpointNotice notice = head.notice();
-        boolean tellsOfLimit = notice.rateLimit().isPresent() || head.isGenuine();
-        boolean limitForeseen = placed.rateLimited() && tellsOfLimit;
+        boolean limitStated = notice.rateLimit().isPresent() || head.isGenuine();
+        boolean limitForeseen = placed.rateLimited() && limitStated;
         if (head.isOfExpectedEndpoint() && (notice.saysSomething() || limitForeseen)) {
             EndpointIncarnation endpoint = placed.endpoint().incarnation();
             effects.report(new NoticeReceived(endpoint, notice, limitForeseen));
@@ -449,46 +465,48 @@
     }
 
     private boolean mayRunAgain() {
-        return route.repeatable() && runs < route.mostAttempts() && sends < MOST_SENDS;
+        return route.repeatable() && runs < route.mostAttempts() && sends < MAX_SENDS;
     }
 
-    private boolean timeForAnother() {
-        return left().compareTo(LEAST_USEFUL) > 0;
+    private boolean hasTimeForRetry() {
+        return remaining().compareTo(MIN_ATTEMPT_TIME) > 0;
     }
 
-    private boolean cutsEvents() {
+    private boolean framesEvents() {
         return route.streamed() && route.resumable();
     }
 
-    /** Counts the present leg among those that may have run. */
+    /** Counts the current leg once as an attempt that may have run. */
     private void countRun() {
         mayHaveRun = true;
-        if (!legCounted) {
-            legCounted = true;
+        if (!legRunCounted) {
+            legRunCounted = true;
             runs++;
         }
     }
 
     private void scheduleGap() {
         progressNanos = effects.nowNanos();
-        if (cutsEvents()) {
-            effects.schedule(TimerKind.GAP, leg, silence());
+        if (framesEvents()) {
+            effects.schedule(TimerKind.GAP, leg, silenceTimeout());
         }
     }
 
-    /** One timer a leg: it looks how long ago the last event came, and waits for the rest. */
-    private void lookAtGap() {
-        Duration paused = Duration.ofNanos(effects.nowNanos() - progressNanos);
-        Duration rest = silence().minus(paused);
-        if (rest.isNegative() || rest.isZero()) {
-            onTrouble(End.SILENT, "the stream paused for " + paused.toMillis() + " ms");
+    /**
+     * Checks the time since the last event. There is one gap timer per leg, which is set again for the remaining time.
+     */
+    private void checkGap() {
+        Duration pause = Duration.ofNanos(effects.nowNanos() - progressNanos);
+        Duration remainingPause = silenceTimeout().minus(pause);
+        if (remainingPause.isNegative() || remainingPause.isZero()) {
+            handleLegFailure(End.SILENT, "the stream paused for " + pause.toMillis() + " ms");
         } else {
-            effects.schedule(TimerKind.GAP, leg, rest);
+            effects.schedule(TimerKind.GAP, leg, remainingPause);
         }
     }
 
-    private Duration silence() {
-        return Comparators.max(route.longestGap().multipliedBy(GAPS_TO_SILENCE), SHORTEST_SILENCE);
+    private Duration silenceTimeout() {
+        return Comparators.max(route.longestGap().multipliedBy(SILENCE_TIMEOUT_GAPS), MIN_SILENCE_TIMEOUT);
     }
 
     private void abandonLeg(End end) {
@@ -499,7 +517,7 @@
     }
 
     private void endAttempt(End end) {
-        endAttempt(end, start == null ? OptionalLong.empty() : start.version());
+        endAttempt(end, answerHead == null ? OptionalLong.empty() : answerHead.version());
     }
 
     private void endAttempt(End end, OptionalLong version) {
@@ -514,17 +532,17 @@
         return lastEndpoint == null ? "none" : lastEndpoint.value();
     }
 
-    private void cut(String detail) {
+    private void abort(String detail) {
         effects.cut();
-        over("cut: " + detail);
+        finish("cut: " + detail);
     }
 
     private void fail(YuccagwException error) {
         effects.answerError(error);
-        over(error.kind().code());
+        finish(error.kind().code());
     }
 
-    private void over(String outcome) {
+    private void finish(String outcome) {
         state = State.OVER;
         effects.ended(outcome);
     }
@@ -533,7 +551,7 @@
         return ofLeg != leg || state == State.OVER || (state == State.PLACING && !heldForRetry);
     }
 
-    private Duration left() {
-        return Duration.ofNanos(Math.max(0, endNanos - effects.nowNanos()));
+    private Duration remaining() {
+        return Duration.ofNanos(Math.max(0, deadlineNanos - effects.nowNanos()));
     }
 }
--- a/src/main/java/org/yuccagw/core/forward/ForwardRequest.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardRequest.java
@@ -9,12 +9,12 @@
 import org.yuccagw.core.prompt.PromptShape;
 
 /**
- * What the machine needs to know of a request.
+ * The request of a caller, as needed by a {@link ForwardMachine}.
  *
- * @param service picked by the route's weights, the same for all attempts
- * @param patience how long the caller waits for the whole answer
- * @param fingerprint the same for requests that may be the same one, sent again
- * @param afterEvent the event after which the caller wants the stream to go on, {@link #FROM_START} for all of it
+ * @param service service chosen by the weights of the route, the same for all attempts
+ * @param callerTimeout time that the caller waits for the complete answer
+ * @param fingerprint equal for requests that may be retries of the same request
+ * @param afterEvent id of the event after which the stream starts, {@link #FROM_START} for the whole stream
  */
 public record ForwardRequest(
         RequestId id,
@@ -22,9 +22,9 @@
         ServiceName service,
         Optional<WorkspaceAccess> workspace,
         Optional<PromptShape> prompt,
-        Duration patience,
+        Duration callerTimeout,
         String fingerprint,
         long afterEvent) {
-    /** No event was received before. */
+    /** The caller has received no event of the stream. */
     public static final long FROM_START = -1;
 }
--- a/src/main/java/org/yuccagw/core/forward/package-info.java
+++ b/src/main/java/org/yuccagw/core/forward/package-info.java
@@ -1,2 +1,2 @@
-/** One request from its arrival to the last byte of its answer, whatever happens to endpoints and connections. */
+/** Forwards a request from its arrival to the last byte of its answer, across failures of endpoints and connections. */
 package org.yuccagw.core.forward;
--- a/src/main/java/org/yuccagw/core/retry/FailureClass.java
+++ b/src/main/java/org/yuccagw/core/retry/FailureClass.java
@@ -1,41 +1,42 @@
 package org.yuccagw.core.retry;
 
 /**
- * The closed list of the ways in which one attempt fails, as the layer that saw it can tell them apart.
+ * The ways in which one attempt can fail, as far as the layer that observed the failure can distinguish them. The list
+ * is closed.
  *
- * <p>What a class proves is the whole point of the list: a class whose row in {@link RetryTable} says "not run" may be
- * chosen only where nothing can have run. When in doubt, take the class that may have run.
+ * <p>A class states what is proven about the attempt. A class whose row in {@link RetryTable} says "not run" may be
+ * used only if no part of the request can have run. In case of doubt, use a class that says "may have run".
  */
 public enum FailureClass {
-    /** No connection came about, so not one byte of the request arrived. */
+    /** No connection was established, so no byte of the request reached the endpoint. */
     CONNECT_FAILED,
-    /** The endpoint refused before running: status 429, or a model engine's error code {@code overloaded}. */
+    /** The endpoint shed the request before running it: status 429 or a model engine's code {@code overloaded}. */
     OVERLOADED,
-    /** A model engine's error code {@code leaving}: it takes no new work. */
+    /** Error code {@code leaving} of a model engine, which accepts no new requests. */
     LEAVING,
-    /** A model engine's error code {@code wrong_version}: it runs other weights. */
+    /** Error code {@code wrong_version} of a model engine, which runs another weight version. */
     WRONG_VERSION,
-    /** The endpoint understood the request and rejects it; it would reject it again. */
+    /** The endpoint rejected the request as invalid, so a retry would be rejected too. */
     REJECTED,
-    /** A server error without proof that nothing ran, such as a plain service's 503. */
+    /** A server error that does not prove that nothing ran, such as status 503 of a plain service. */
     FAILED,
-    /** The connection ended after the request was sent and before the whole answer. */
+    /** The connection was closed after the request was sent and before the answer was complete. */
     CONNECTION_RESET,
-    /** Nothing came for the progress timeout; the connection is abandoned. */
+    /** No byte was received within the progress timeout, so the connection was closed. */
     CONNECTION_SILENT,
-    /** The connection broke and the endpoint does not answer any more. */
+    /** The connection broke and the endpoint no longer responds. */
     ENDPOINT_DIED,
-    /** The deadline over all attempts passed. */
+    /** The deadline that covers all attempts passed. */
     DEADLINE_PASSED,
-    /** An entry answered that it does not take work: NOT_READY or STOPPING. */
+    /** The entry answered that it accepts no requests: NOT_READY or STOPPING. */
     ENTRY_NOT_READY,
-    /** An entry answered with a refusal that names a time to come back. */
+    /** The entry refused the request and named a delay after which to retry. */
     ENTRY_REFUSED,
-    /** The connection to the entry broke or fell silent. */
+    /** The connection to the entry broke, or no bytes were received on it. */
     ENTRY_LOST,
-    /** The key-value service refused before doing anything. */
+    /** The key-value service rejected the call before it changed anything. */
     KEY_VALUE_REFUSED,
-    /** No answer came from the key-value service. */
+    /** The key-value service did not answer, so the outcome of the call is unknown. */
     KEY_VALUE_LOST;
 
     private static final int BAD_REQUEST = 400;
@@ -44,15 +45,16 @@
     private static final int SERVER_ERROR = 500;
 
     /**
-     * The class of an endpoint's error answer.
+     * Returns the failure class of an error answer of an endpoint.
      *
      * @param status HTTP status, 400 or above
-     * @param errorCode the field {@code error.code} of the answer; empty if there is none, or if the endpoint is a
-     *     plain service, whose codes prove nothing
+     * @param errorCode the field {@code error.code} of the answer; empty if the answer has none, or if the endpoint is
+     *     a plain service, whose error codes prove nothing
+     * @throws IllegalArgumentException if the status is below 400
      */
     public static FailureClass ofAnswer(int status, String errorCode) {
         if (status < BAD_REQUEST) {
-            throw new IllegalArgumentException("status " + status + " is no failure");
+            throw new IllegalArgumentException("status " + status + " is not an error");
         }
         if (status == TOO_MANY_REQUESTS) {
             return OVERLOADED;
--- a/src/main/java/org/yuccagw/core/retry/RetryPolicy.java
+++ b/src/main/java/org/yuccagw/core/retry/RetryPolicy.java
@@ -11,83 +11,86 @@
 import org.yuccagw.core.retry.RetryTable.Row;
 
 /**
- * Decides after a failed attempt whether the asking layer tries again.
+ * Decides after a failed attempt whether the calling layer retries the request.
  *
- * <p>The cases, in this order:
+ * <p>The first rule that applies decides:
  *
  * <ol>
- *   <li>Another layer owns the failure class: give up, so that attempts don't multiply.
- *   <li>The table forbids another attempt for this request: give up.
- *   <li>An earlier attempt may have run and the request isn't idempotent: give up, whatever the last failure proves.
- *   <li>The most attempts are made: give up.
- *   <li>The retry would spend from an empty budget: give up, with {@link ErrorKind#RETRY_BUDGET_SPENT} if nothing ran.
- *   <li>The wait, jittered backoff or what the other side asked for, passes the deadline: give up now rather than
- *       then.
- *   <li>Else retry after the wait.
+ *   <li>Another layer owns the failure class: give up, so that the attempts of several layers do not multiply.
+ *   <li>{@link RetryTable} forbids another attempt for this request: give up.
+ *   <li>An earlier attempt may have run and the request is not idempotent: give up, whatever the last failure proves.
+ *   <li>The maximum number of attempts has been made: give up.
+ *   <li>The retry needs a token and the budget is empty: give up, with {@link ErrorKind#RETRY_BUDGET_SPENT} if nothing
+ *       ran.
+ *   <li>The delay, which is the longer of the jittered backoff and the delay that the peer requested for, reaches the
+ *       deadline: give up now instead of at the deadline.
+ *   <li>Otherwise: retry after the delay.
  * </ol>
  *
- * <p>Giving up is immediate. The error kind claims "not run" only if neither this attempt nor an earlier one may have
- * run.
+ * <p>Giving up takes effect immediately. The error kind says "not run" only if neither this attempt nor an earlier one
+ * may have run.
  */
 public final class RetryPolicy {
-    private static final int USUAL_MOST_ATTEMPTS = 4;
+    private static final int DEFAULT_MAX_ATTEMPTS = 4;
 
-    private final int mostAttempts;
+    private final int maxAttempts;
     private final Backoff backoff;
 
-    private RetryPolicy(int mostAttempts, Backoff backoff) {
-        this.mostAttempts = mostAttempts;
+    private RetryPolicy(int maxAttempts, Backoff backoff) {
+        this.maxAttempts = maxAttempts;
         this.backoff = backoff;
     }
 
+    /** Returns a policy of four attempts with the backoff of {@link Backoff#usual()}. */
     public static RetryPolicy usual() {
-        return of(USUAL_MOST_ATTEMPTS, Backoff.usual());
+        return of(DEFAULT_MAX_ATTEMPTS, Backoff.usual());
     }
 
     /**
-     * A policy with limits of its own.
+     * Returns a policy with the given limits.
      *
-     * @param mostAttempts attempts of one request over all layers, at least 1
+     * @param maxAttempts maximum number of attempts of one request over all layers, at least 1
+     * @throws IllegalArgumentException if {@code maxAttempts} is below 1
      */
-    public static RetryPolicy of(int mostAttempts, Backoff backoff) {
-        if (mostAttempts < 1) {
-            throw new IllegalArgumentException("at least one attempt is needed, not " + mostAttempts);
+    public static RetryPolicy of(int maxAttempts, Backoff backoff) {
+        if (maxAttempts < 1) {
+            throw new IllegalArgumentException("maximum number of attempts must be at least 1: " + maxAttempts);
         }
-        return new RetryPolicy(mostAttempts, backoff);
+        return new RetryPolicy(maxAttempts, backoff);
     }
 
-    /** Decides; the same arguments and state of {@code random} give the same decision. */
+    /** Returns the decision, which depends only on the arguments and the state of {@code random}. */
     public RetryDecision decide(FailureClass failure, RetrySituation situation, RandomGenerator random) {
         Row row = RetryTable.row(failure);
         boolean mayHaveRun = situation.mayHaveRunBefore() || row.ran() != Ran.NOT_RUN;
-        boolean provenAgain = row.again(situation.idempotent());
-        boolean earlierForbids =
+        boolean retryAllowed = row.allowsRetry(situation.idempotent());
+        boolean earlierAttemptForbids =
                 situation.mayHaveRunBefore() && !situation.idempotent() && situation.layer() == RetryLayer.ENTRY;
-        if (row.owner() != situation.layer() || !provenAgain || earlierForbids) {
+        if (row.owner() != situation.layer() || !retryAllowed || earlierAttemptForbids) {
             return giveUp(row.error(), mayHaveRun, situation);
         }
-        if (situation.attempts() >= mostAttempts) {
+        if (situation.attempts() >= maxAttempts) {
             return giveUp(row.error(), mayHaveRun, situation);
         }
         if (row.spendsBudget() && !situation.budget().allowsRetry()) {
             return giveUp(ErrorKind.RETRY_BUDGET_SPENT, mayHaveRun, situation);
         }
-        Duration wait = waitBefore(situation, random);
-        if (wait.compareTo(situation.remaining()) >= 0) {
+        Duration delay = retryDelay(situation, random);
+        if (delay.compareTo(situation.remaining()) >= 0) {
             return giveUp(mayHaveRun ? ErrorKind.DEADLINE_PASSED : row.error(), mayHaveRun, situation);
         }
-        return new Retry(wait, row.spendsBudget());
+        return new Retry(delay, row.spendsBudget());
     }
 
-    private Duration waitBefore(RetrySituation situation, RandomGenerator random) {
-        Duration jittered = backoff.before(situation.attempts(), random);
-        Duration asked = situation.retryAfter().orElse(Duration.ZERO);
-        return Comparators.max(asked, jittered);
+    private Duration retryDelay(RetrySituation situation, RandomGenerator random) {
+        Duration jittered = backoff.delay(situation.attempts(), random);
+        Duration requested = situation.retryAfter().orElse(Duration.ZERO);
+        return Comparators.max(requested, jittered);
     }
 
     private static GiveUp giveUp(ErrorKind error, boolean mayHaveRun, RetrySituation situation) {
-        boolean wouldLie = mayHaveRun && error.ran() == Ran.NOT_RUN;
-        Optional<Duration> comeBackAfter = situation.retryAfter();
-        return new GiveUp(wouldLie ? ErrorKind.ENDPOINT_FAILED : error, comeBackAfter);
+        boolean contradictsNotRun = mayHaveRun && error.ran() == Ran.NOT_RUN;
+        Optional<Duration> retryAfter = situation.retryAfter();
+        return new GiveUp(contradictsNotRun ? ErrorKind.ENDPOINT_FAILED : error, retryAfter);
     }
 }
--- a/src/main/java/org/yuccagw/core/retry/RetrySituation.java
+++ b/src/main/java/org/yuccagw/core/retry/RetrySituation.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * What is known of a request when an attempt failed.
+ * The state of a request after a failed attempt.
  *
- * @param layer the layer that asks
- * @param idempotent whether the request may run more than once
+ * @param layer layer that would make the retry
+ * @param idempotent whether the request may safely run more than once
  * @param mayHaveRunBefore whether an attempt before the failed one may have run
- * @param attempts attempts made so far over all layers, the failed one included
- * @param remaining time left until the one deadline over all attempts
- * @param retryAfter the wait that the other side asked for, if it named one
- * @param budget the service's retry budget at this layer
+ * @param attempts number of attempts made over all layers, including the failed one
+ * @param remaining time until the deadline that covers all attempts
+ * @param retryAfter delay that the peer asked for, if it named one
+ * @param budget retry budget of the service at this layer
  */
 public record RetrySituation(
         RetryLayer layer,
--- a/src/main/java/org/yuccagw/core/retry/RetryTable.java
+++ b/src/main/java/org/yuccagw/core/retry/RetryTable.java
@@ -13,14 +13,14 @@
 import org.yuccagw.core.error.ErrorKind.Ran;
 
 /**
- * Who tries again after what: one row for each failure class.
+ * Defines for each failure class which layer may retry the request, and under which conditions.
  *
- * <p>Layers that retry the same failure multiply their attempts; three layers of three retries make 64 calls of one
- * request. With one owner for each class the count is that of the owner alone.
+ * <p>If several layers retry the same failure, their attempts multiply: three layers with three retries each make 64
+ * calls of one request. Since each class has one owner, the number of attempts is that of the owner.
  *
- * <p>A request that isn't idempotent is tried again only where the row says "not run". The one exception is
- * {@link FailureClass#ENTRY_LOST}: the client sends it again under the same idempotency key, and the claim of that key,
- * not this table, keeps it from running twice.
+ * <p>A request that is not idempotent is retried only if the row says "not run". The one exception is {@link
+ * FailureClass#ENTRY_LOST}: the client retries with the same idempotency key, and the claim of that key, not this
+ * table, prevents a second run.
  */
 public final class RetryTable {
     private static final ImmutableMap<FailureClass, Row> ROWS =
@@ -64,31 +64,31 @@
 
     private RetryTable() {}
 
-    /** The row of a failure class; every class has one. */
+    /** Returns the row of a failure class. Every class has one. */
     public static Row row(FailureClass failure) {
         return ROWS.get(failure);
     }
 
     /**
-     * What the table says of one failure class.
+     * The retry rules of one failure class.
      *
-     * @param owner the only layer that may try again
+     * @param owner the only layer that may retry
      * @param ran whether the failed attempt may have run
-     * @param idempotentAgain whether an idempotent request may be tried again
-     * @param nonIdempotentAgain whether a request that is not idempotent may be tried again
-     * @param spendsBudget whether another attempt takes a token of the service's retry budget; refusals that name
-     *     the endpoint as unfit for good don't, as each endpoint is asked once
-     * @param error the kind that the request ends with when nobody tries again
+     * @param retriesIdempotent whether an idempotent request may be retried
+     * @param retriesNonIdempotent whether a request that is not idempotent may be retried
+     * @param spendsBudget whether a retry takes a token from the retry budget of the service. Failures that rule out
+     *     the endpoint permanently take none, since each endpoint is tried only once.
+     * @param error kind of error that the request ends with if it is not retried
      */
     public record Row(
             RetryLayer owner,
             Ran ran,
-            boolean idempotentAgain,
-            boolean nonIdempotentAgain,
+            boolean retriesIdempotent,
+            boolean retriesNonIdempotent,
             boolean spendsBudget,
             ErrorKind error) {
-        boolean again(boolean idempotent) {
-            return idempotent ? idempotentAgain : nonIdempotentAgain;
+        boolean allowsRetry(boolean idempotent) {
+            return idempotent ? retriesIdempotent : retriesNonIdempotent;
         }
     }
 }
--- a/src/main/java/org/yuccagw/core/retry/package-info.java
+++ b/src/main/java/org/yuccagw/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Retries: one closed table from failure class to the layer that owns it, and a budget for each service. */
+/** Retries: a closed table that maps each failure class to the layer that may retry, and a retry budget per service. */
 package org.yuccagw.core.retry;
--- a/src/main/java/org/yuccagw/core/routing/AttemptReport.java
+++ b/src/main/java/org/yuccagw/core/routing/AttemptReport.java
@@ -2,11 +2,13 @@
 
 import org.yuccagw.core.control.ControlEvent;
 
-/** What traffic reports of an attempt that the router placed, under the attempt's number. */
+/** A report about a routed attempt, identified by the attempt number of {@link RouteRequested.Answer.Chosen}. */
 public interface AttemptReport extends ControlEvent {
     long attempt();
 
-    /** The import ended; {@code blocks} of {@code bytes} arrived after {@code millis}. */
+    /**
+     * The import of cache blocks ended: {@code blocks} blocks with {@code bytes} bytes arrived within {@code millis}.
+     */
     record Imported(long attempt, int blocks, long bytes, long millis) implements AttemptReport {}
 
     /** The request was sent to the endpoint. */
@@ -16,9 +18,9 @@
     record FirstToken(long attempt, long millis) implements AttemptReport {}
 
     /**
-     * The attempt ended, by an answer or otherwise.
+     * The attempt ended, with an answer or without.
      *
-     * @param cachedTokens prompt tokens that the engine says it reused, -1 if it didn't say
+     * @param cachedTokens prompt tokens that the engine reports as reused from its cache, -1 if it reports none
      */
     record Ended(long attempt, boolean answered, long cachedTokens, long answerTokens) implements AttemptReport {}
 }
--- a/src/main/java/org/yuccagw/core/routing/CandidateSet.java
+++ b/src/main/java/org/yuccagw/core/routing/CandidateSet.java
@@ -11,12 +11,12 @@
 import org.yuccagw.core.id.EndpointId;
 
 /**
- * The endpoints of one pool that run one weight version and take new work, arranged for rendezvous hashing at a cost
- * that hardly grows with their number.
+ * The endpoints of one pool that run one weight version and accept new requests. They are grouped so that the cost of
+ * rendezvous hashing grows only slowly with their number.
  *
- * <p>Endpoints are dealt into groups by a hash of their names. A block ranks the groups first and then the endpoints
- * within the best ones, so of 1,250 endpoints about 70 hashes are computed. The number of groups changes only when the
- * pool doubles or halves.
+ * <p>A hash of its name assigns each endpoint to a group. To rank endpoints for a block, the groups are ranked first
+ * and then the endpoints within the best groups, so for 1,250 endpoints about 70 hashes are computed. The number of
+ * groups is a power of two and changes only when the size of the pool doubles or halves.
  */
 final class CandidateSet {
     private static final int GROUP_SIZE = 32;
@@ -58,24 +58,24 @@
         return Optional.ofNullable(byId.get(id));
     }
 
-    /** The endpoints that rank highest for the block, best first, at most so many. */
-    List<EndpointStatus> preferred(BlockKey block, int most) {
-        List<EndpointStatus> ranked = new ArrayList<>(most);
-        long[] taken = new long[groups.size()];
-        while (ranked.size() < Math.min(most, all.size())) {
-            int group = bestGroup(block, taken);
-            rankInto(ranked, groups.get(group), block, most);
-            taken[group] = 1;
+    /** Returns up to {@code limit} endpoints with the highest rank for the block, best first. */
+    List<EndpointStatus> preferred(BlockKey block, int limit) {
+        List<EndpointStatus> ranked = new ArrayList<>(limit);
+        long[] usedGroups = new long[groups.size()];
+        while (ranked.size() < Math.min(limit, all.size())) {
+            int group = bestUnusedGroup(block, usedGroups);
+            addRanked(ranked, groups.get(group), block, limit);
+            usedGroups[group] = 1;
         }
         return ranked;
     }
 
-    private int bestGroup(BlockKey block, long[] taken) {
+    private int bestUnusedGroup(BlockKey block, long[] usedGroups) {
         int best = -1;
         long bestWeight = Long.MIN_VALUE;
         for (int i = 0; i < groups.size(); i++) {
             long weight = Rendezvous.weight(i, block);
-            if (taken[i] == 0 && (best < 0 || weight > bestWeight)) {
+            if (usedGroups[i] == 0 && (best < 0 || weight > bestWeight)) {
                 best = i;
                 bestWeight = weight;
             }
@@ -83,22 +83,22 @@
         return best;
     }
 
-    private static void rankInto(List<EndpointStatus> ranked, List<Member> members, BlockKey block, int most) {
+    private static void addRanked(List<EndpointStatus> ranked, List<Member> members, BlockKey block, int limit) {
         int start = ranked.size();
-        long[] weights = new long[most];
+        long[] weights = new long[limit];
         for (Member member : members) {
             long weight = Rendezvous.weight(member.nameHash(), block);
             int position = ranked.size();
             while (position > start && weights[position - 1] < weight) {
                 position--;
             }
-            if (position >= most) {
+            if (position >= limit) {
                 continue;
             }
-            if (ranked.size() == most) {
-                ranked.remove(most - 1);
+            if (ranked.size() == limit) {
+                ranked.remove(limit - 1);
             }
-            System.arraycopy(weights, position, weights, position + 1, most - 1 - position);
+            System.arraycopy(weights, position, weights, position + 1, limit - 1 - position);
             weights[position] = weight;
             ranked.add(position, member.endpoint());
         }
--- a/src/main/java/org/yuccagw/core/routing/EndpointLoad.java
+++ b/src/main/java/org/yuccagw/core/routing/EndpointLoad.java
@@ -5,125 +5,130 @@
 import org.yuccagw.core.endpoint.EndpointReported;
 
 /**
- * What one endpoint has to do, as far as this entry can tell: its own report, which lags, corrected by what this entry
- * sent there since.
+ * The load of one endpoint as estimated by this entry: the last load report of the endpoint, which lags behind,
+ * corrected by the requests that this entry has sent since.
  *
- * <p>The report says how much prefill waited some time ago. Since then the engine worked some of it off, and this entry
- * may have sent more, which the report can't show yet. What this entry sent before the report is in the report already;
- * counting it again would keep the entry away from an endpoint that it uses well.
+ * <p>The report states how much prefill was queued some time ago. Since then the engine has processed some of it, and
+ * this entry may have sent requests that the report does not include yet. Requests sent before the report are already
+ * included. Counting them again would make the entry avoid an endpoint that it uses efficiently.
  *
- * <p>Example: reported 8,000 waiting tokens half a second ago, speed 8 tokens a millisecond, and 2,000 tokens sent 100
- * ms ago with no first token yet: 8,000 - 4,000 + 2,000 = 6,000 tokens wait, so 750 ms.
+ * <p>Example: the endpoint reported 8,000 queued tokens half a second ago, its speed is 8 tokens/ms, and this entry
+ * sent 2,000 tokens 100 ms ago that have no first token yet. Then 8,000 - 4,000 + 2,000 = 6,000 tokens are queued,
+ * which take 750 ms.
  */
 final class EndpointLoad {
     private static final long REPORT_LAG_NANOS = 300_000_000L;
     private static final double LEARNING_RATE = 0.15;
     private static final double SLOW_LEARNING_RATE = 0.01;
-    private static final double MOST_BASE_FACTOR = 4;
+    private static final double MAX_BASE_LATENCY_FACTOR = 4;
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final double FIRST_BASE_MILLIS = 20;
+    private static final double INITIAL_BASE_LATENCY_MILLIS = 20;
 
-    private final Map<Long, Sent> unanswered = new LinkedHashMap<>();
+    private final Map<Long, PendingPrefill> pendingPrefills = new LinkedHashMap<>();
     private final PrefillSpeed speed;
-    private double baseMillis = FIRST_BASE_MILLIS;
-    private long reportedPrefill;
+    private double baseLatencyMillis = INITIAL_BASE_LATENCY_MILLIS;
+    private long reportedPrefillTokens;
     private int reportedRunning;
     private int reportedWaiting;
     private long reportedNanos = Long.MIN_VALUE / 2;
-    private int attempts;
-    private int alone;
+    private int runningAttempts;
+    private int exclusiveAttempts;
 
-    private EndpointLoad(PrefillSpeed usual) {
-        this.speed = PrefillSpeed.leaningOn(usual);
+    private EndpointLoad(PrefillSpeed overall) {
+        this.speed = PrefillSpeed.withPrior(overall);
     }
 
-    /** An endpoint of which nothing is known but the usual prefill speed. */
-    static EndpointLoad of(PrefillSpeed usual) {
-        return new EndpointLoad(usual);
+    /** Returns the load of an endpoint without reports, whose prior is the prefill speed over all endpoints. */
+    static EndpointLoad of(PrefillSpeed overall) {
+        return new EndpointLoad(overall);
     }
 
-    private record Sent(long nanos, long prefillTokens) {}
+    /** An attempt without a first token yet. */
+    private record PendingPrefill(long sentNanos, long prefillTokens) {}
 
-    void report(EndpointReported report, long nowNanos) {
-        reportedPrefill = report.waitingPrefillTokens();
+    void applyReport(EndpointReported report, long nowNanos) {
+        reportedPrefillTokens = report.waitingPrefillTokens();
         reportedRunning = report.runningRequests();
         reportedWaiting = report.waitingRequests();
         reportedNanos = nowNanos;
     }
 
-    /** An attempt was placed here; its prefill counts until its first token. */
-    void place(long attempt, long prefillTokens, boolean isAlone, long nowNanos) {
-        attempts++;
-        alone += isAlone ? 1 : 0;
-        unanswered.put(attempt, new Sent(nowNanos, prefillTokens));
+    /** Adds an attempt that was placed on the endpoint. Its prefill counts until its first token. */
+    void place(long attempt, long prefillTokens, boolean exclusive, long nowNanos) {
+        runningAttempts++;
+        exclusiveAttempts += exclusive ? 1 : 0;
+        pendingPrefills.put(attempt, new PendingPrefill(nowNanos, prefillTokens));
     }
 
-    void firstToken(long attempt) {
-        unanswered.remove(attempt);
+    void recordFirstToken(long attempt) {
+        pendingPrefills.remove(attempt);
     }
 
-    void end(long attempt, boolean wasAlone) {
-        unanswered.remove(attempt);
-        attempts = Math.max(0, attempts - 1);
-        alone = Math.max(0, alone - (wasAlone ? 1 : 0));
+    void endAttempt(long attempt, boolean exclusive) {
+        pendingPrefills.remove(attempt);
+        runningAttempts = Math.max(0, runningAttempts - 1);
+        exclusiveAttempts = Math.max(0, exclusiveAttempts - (exclusive ? 1 : 0));
     }
 
-    /** Attempts of this entry that run here. */
-    int attempts() {
-        return attempts;
+    /** Returns the number of running attempts that this entry placed on the endpoint. */
+    int attemptCount() {
+        return runningAttempts;
     }
 
-    boolean hasAlone() {
-        return alone > 0;
+    boolean hasExclusiveAttempt() {
+        return exclusiveAttempts > 0;
     }
 
     double tokensPerMilli() {
         return speed.tokensPerMilli();
     }
 
-    /** Milliseconds from sending a request with nothing to prefill to an idle engine until its first token. */
-    double baseMillis() {
-        return baseMillis;
+    /** Returns the time in ms from sending a request without prefill to an idle engine until its first token. */
+    double baseLatencyMillis() {
+        return baseLatencyMillis;
     }
 
-    /** Prompt tokens that wait before a request sent now. */
+    /** Returns the number of prompt tokens that are queued ahead of a request sent now. */
     double queuedTokens(long nowNanos) {
-        long own = 0;
-        long unseen = 0;
-        for (Sent sent : unanswered.values()) {
-            own += sent.prefillTokens();
-            unseen += sent.nanos() > reportedNanos - REPORT_LAG_NANOS ? sent.prefillTokens() : 0;
+        long ownTokens = 0;
+        long unreportedTokens = 0;
+        for (PendingPrefill pending : pendingPrefills.values()) {
+            ownTokens += pending.prefillTokens();
+            unreportedTokens += pending.sentNanos() > reportedNanos - REPORT_LAG_NANOS ? pending.prefillTokens() : 0;
         }
-        double workedOff = tokensPerMilli() * (nowNanos - reportedNanos + REPORT_LAG_NANOS) / NANOS_PER_MILLI;
-        double reported = Math.max(0, reportedPrefill - workedOff);
-        return Math.max((double) own, reported + unseen);
+        double processedTokens = tokensPerMilli() * (nowNanos - reportedNanos + REPORT_LAG_NANOS) / NANOS_PER_MILLI;
+        double reportedTokens = Math.max(0, reportedPrefillTokens - processedTokens);
+        return Math.max((double) ownTokens, reportedTokens + unreportedTokens);
     }
 
     double queueMillis(long nowNanos) {
         return queuedTokens(nowNanos) / tokensPerMilli();
     }
 
-    /** A rank by load alone: requests that run or wait, own ones that the report can't show yet included. */
-    double requests() {
-        return Math.max(attempts, reportedRunning + reportedWaiting);
+    /** Returns the number of running and queued requests, including attempts that the report does not contain yet. */
+    double requestCount() {
+        return Math.max(runningAttempts, reportedRunning + reportedWaiting);
     }
 
-    /** As {@link #requests}, as the endpoint itself said, without any correction. */
-    int reportedRequests() {
+    /** Returns the number of running and queued requests in the last report, without any correction. */
+    int reportedRequestCount() {
         return reportedRunning + reportedWaiting;
     }
 
-    /** A first token came after this time, with so much prefill of its own and nothing known to wait before it. */
-    void learn(long prefillTokens, double millis) {
-        speed.learn(prefillTokens / Math.max(1, millis - baseMillis));
+    /**
+     * Updates the prefill speed from the time to a first token of a request with nothing queued ahead of it, as far as
+     * is known.
+     */
+    void learnSpeed(long prefillTokens, double millis) {
+        speed.learn(prefillTokens / Math.max(1, millis - baseLatencyMillis));
     }
 
     /**
-     * A first token came after this time with next to no prefill of its own. Follows short times quickly and long ones
-     * slowly: what is long has waited for something that isn't known here.
+     * Updates the base latency from the time to a first token of a request with almost no prefill. Shorter times are
+     * followed quickly and longer times slowly, because a longer time includes a wait whose cause is unknown here.
      */
-    void learnBase(double millis) {
-        double rate = millis < baseMillis ? LEARNING_RATE : SLOW_LEARNING_RATE;
-        baseMillis += rate * (Math.min(millis, MOST_BASE_FACTOR * baseMillis) - baseMillis);
+    void learnBaseLatency(double millis) {
+        double rate = millis < baseLatencyMillis ? LEARNING_RATE : SLOW_LEARNING_RATE;
+        baseLatencyMillis += rate * (Math.min(millis, MAX_BASE_LATENCY_FACTOR * baseLatencyMillis) - baseLatencyMillis);
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/ImportPlan.java
+++ b/src/main/java/org/yuccagw/core/routing/ImportPlan.java
@@ -7,11 +7,12 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * Blocks to move from a store to the chosen endpoint before the request is sent.
+ * Cache blocks to copy from a store to the chosen endpoint before the request is sent.
  *
- * @param blocks in the order of the prompt
- * @param deadline when it isn't done by then, the rest is computed again
- * @param joins whether an import of the same blocks to the same endpoint is already on its way: wait, don't repeat
+ * @param blocks blocks in the order of the prompt
+ * @param deadline time limit for the import; blocks that are missing by then are recomputed
+ * @param joins whether an import of the same blocks to the same endpoint is already running; the request waits for that
+ *     import and starts no second one
  */
 public record ImportPlan(
         StoreId store, NetworkAddress address, ImmutableList<StoredBlock> blocks, Duration deadline, boolean joins) {}
--- a/src/main/java/org/yuccagw/core/routing/LoadTable.java
+++ b/src/main/java/org/yuccagw/core/routing/LoadTable.java
@@ -5,10 +5,10 @@
 import org.yuccagw.core.endpoint.EndpointStatus;
 import org.yuccagw.core.id.EndpointId;
 
-/** The loads of all endpoints; a new incarnation starts anew. */
+/** The estimated loads of all endpoints. A new incarnation of an endpoint starts with an empty load. */
 final class LoadTable {
-    private final Map<EndpointId, Entry> byId = new HashMap<>();
-    private final PrefillSpeed usual = PrefillSpeed.usual();
+    private final Map<EndpointId, IncarnationLoad> byId = new HashMap<>();
+    private final PrefillSpeed overallSpeed = PrefillSpeed.overall();
 
     private LoadTable() {}
 
@@ -16,22 +16,22 @@
         return new LoadTable();
     }
 
-    private record Entry(long incarnation, EndpointLoad load) {}
+    private record IncarnationLoad(long incarnation, EndpointLoad load) {}
 
     EndpointLoad of(EndpointStatus endpoint) {
-        Entry entry = byId.get(endpoint.id());
-        if (entry == null || entry.incarnation() != endpoint.incarnation()) {
-            entry = new Entry(endpoint.incarnation(), EndpointLoad.of(usual));
-            byId.put(endpoint.id(), entry);
+        IncarnationLoad current = byId.get(endpoint.id());
+        if (current == null || current.incarnation() != endpoint.incarnation()) {
+            current = new IncarnationLoad(endpoint.incarnation(), EndpointLoad.of(overallSpeed));
+            byId.put(endpoint.id(), current);
         }
-        return entry.load();
+        return current.load();
     }
 
-    void retain(java.util.Collection<EndpointId> known) {
-        byId.keySet().retainAll(known);
+    void retain(java.util.Collection<EndpointId> endpoints) {
+        byId.keySet().retainAll(endpoints);
     }
 
-    double usualTokensPerMilli() {
-        return usual.tokensPerMilli();
+    double overallTokensPerMilli() {
+        return overallSpeed.tokensPerMilli();
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/Placement.java
+++ b/src/main/java/org/yuccagw/core/routing/Placement.java
@@ -10,31 +10,33 @@
 import org.yuccagw.core.routing.RouteExplanation.Candidate;
 
 /**
- * Where an attempt goes.
+ * The routing decision for one attempt.
  *
- * @param fetch blocks to bring there first
- * @param joined an import on its way there to wait for, in place of a fetch
- * @param recomputedTokens prompt tokens that the endpoint will compute
- * @param firstTokenMillis predicted time to first token
+ * @param fetch cache blocks to copy to the endpoint before the request is sent
+ * @param joinedImport a running import to the endpoint to wait for, instead of a fetch
+ * @param recomputedTokens prompt tokens that the endpoint has to prefill
+ * @param firstTokenMillis predicted time to the first token, 0 if the policy predicts none
+ * @param policy name of the policy that decided
+ * @param candidates scored candidates, best first
  */
 record Placement(
         EndpointStatus endpoint,
         Optional<Fetch> fetch,
-        Optional<ImportsInProgress.Import> joined,
+        Optional<ImportsInProgress.Import> joinedImport,
         long recomputedTokens,
         double firstTokenMillis,
         String policy,
-        ImmutableList<Candidate> weighed) {
+        ImmutableList<Candidate> candidates) {
 
-    /** Blocks of a stored prefix up to a depth of the prompt. */
+    /** The blocks of a stored prefix up to a depth in the prompt. */
     record Fetch(StoredPrefix prefix, int depth) {
         List<StoredBlock> blocks() {
             return prefix.upTo(depth);
         }
     }
 
-    /** A placement without any fetch. */
-    static Placement plain(EndpointStatus endpoint, long recomputedTokens, String policy) {
+    /** Returns a placement without a fetch and without a prediction. */
+    static Placement withoutFetch(EndpointStatus endpoint, long recomputedTokens, String policy) {
         return new Placement(
                 endpoint, Optional.empty(), Optional.empty(), recomputedTokens, 0, policy, ImmutableList.of());
     }
--- a/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
+++ b/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
@@ -17,36 +17,41 @@
 import org.yuccagw.core.routing.RouteExplanation.Candidate;
 
 /**
- * Chooses by the predicted time to first token and the prompt work that would be done again.
+ * Chooses the endpoint with the lowest weighted sum of the predicted time to the first token and the prompt tokens that
+ * are recomputed.
  *
- * <p>For a candidate the prediction is the fetch from a store, the wait behind queued prefill, and the prefill of what
- * is neither there nor fetched. A request can fetch all that a store has beyond the candidate's own prefix, nothing, or
- * a part up to where a run of blocks ends or the tier changes, and compute the rest; each is weighed. The objective is
- * <i>first token seconds x weight + recomputed thousands x weight</i> with the weights of the class.
+ * <p>The predicted time of a candidate is the sum of the fetch from a store, the wait for queued prefill, and the
+ * prefill of the blocks that are neither cached nor fetched. A request can fetch nothing, all blocks that a store has
+ * beyond the candidate's cached prefix, or the blocks up to a depth at which a run of blocks ends or the tier changes,
+ * and recompute the rest. Each of these options is scored. The score is <i>seconds to first token x weight + thousands
+ * of recomputed tokens x weight</i> with the weights of the request class.
  *
- * <p>Candidates weighed are a bounded number, whatever the size of the pool:
+ * <p>The number of scored candidates is bounded independently of the size of the pool:
  *
  * <ol>
- *   <li>replicas that seem to hold a beginning of the prompt, or to which an import of it is on its way;
- *   <li>those that rendezvous hashing prefers for the prompt, so that entries that know nothing of it agree, each rank
- *       with a small malus: the first wins unless its queue is longer by that much (bounded load);
- *   <li>a few chosen by chance, which finds an idle endpoint when the others are busy.
+ *   <li>replicas that probably have a prefix of the prompt in their cache, or to which an import of it is running;
+ *   <li>the endpoints with the highest rendezvous rank for the prompt, so that entries without information about the
+ *       prompt choose the same endpoint. Each further rank adds a small penalty, so the first rank wins unless its
+ *       queue is longer by at least that penalty (bounded load);
+ *   <li>a few random endpoints, to find an idle one when the others are busy.
  * </ol>
  */
 final class PredictedFirstToken implements RoutingPolicy {
     static final String NAME = "predicted-first-token";
 
-    private static final int FEW = 16;
-    private static final int PREFERRED = 4;
-    private static final int CHOSEN_BY_CHANCE = 4;
-    private static final int EXPLAINED = 5;
-    private static final double RANK_MALUS_MILLIS = 2;
-    private static final double OTHER_DOMAIN_MILLIS = 4;
-    /** What a millisecond on a link costs those who wait behind it, against one of the request's own. */
-    private static final double LINK_PRICE = 1;
+    private static final int SMALL_POOL_SIZE = 16;
+    private static final int PREFERRED_CANDIDATES = 4;
+    private static final int RANDOM_CANDIDATES = 4;
+    private static final int MAX_EXPLAINED_CANDIDATES = 5;
+    private static final double RANK_PENALTY_MILLIS = 2;
+    private static final double OTHER_DOMAIN_PENALTY_MILLIS = 4;
+    /**
+     * Delay of other requests on the same link per millisecond of a fetch, relative to the delay of the request itself.
+     */
+    private static final double LINK_CONTENTION_FACTOR = 1;
 
-    private static final double MILLIS = 1e3;
-    private static final double THOUSAND = 1e3;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double TOKENS_PER_THOUSAND = 1e3;
 
     private PredictedFirstToken() {}
 
@@ -54,170 +59,184 @@
         return new PredictedFirstToken();
     }
 
-    /** One way to serve the request at one candidate. */
-    private record Way(
+    /** A scored way to serve the request on one candidate. */
+    private record ServingOption(
             EndpointStatus endpoint,
             Optional<Placement.Fetch> fetch,
-            Optional<ImportsInProgress.Import> joined,
+            Optional<ImportsInProgress.Import> joinedImport,
             double queueMillis,
             double prefillMillis,
             double fetchMillis,
-            long recomputed,
+            long recomputedTokens,
             double score) {}
 
     @Override
     public Optional<Placement> place(RoutingView view) {
-        List<Way> ways = new ArrayList<>();
+        List<ServingOption> options = new ArrayList<>();
         int rank = 0;
         for (EndpointStatus endpoint : candidates(view)) {
-            if (view.mayTake(endpoint)) {
-                ways.add(bestWay(view, endpoint, rank));
+            if (view.isEligible(endpoint)) {
+                options.add(bestOption(view, endpoint, rank));
             }
             rank++;
         }
-        if (ways.isEmpty() && view.candidates().size() > FEW) {
+        if (options.isEmpty() && view.candidates().size() > SMALL_POOL_SIZE) {
             view.candidates().all().stream()
-                    .filter(view::mayTake)
+                    .filter(view::isEligible)
                     .findFirst()
-                    .ifPresent(endpoint -> ways.add(bestWay(view, endpoint, 0)));
+                    .ifPresent(endpoint -> options.add(bestOption(view, endpoint, 0)));
         }
-        ways.sort(Comparator.comparingDouble(Way::score));
-        return ways.stream().findFirst().map(best -> placement(best, ways));
+        options.sort(Comparator.comparingDouble(ServingOption::score));
+        return options.stream().findFirst().map(best -> placement(best, options));
     }
 
-    private static Placement placement(Way best, List<Way> ways) {
-        ImmutableList.Builder<Candidate> weighed = ImmutableList.builder();
-        for (Way way : ways.subList(0, Math.min(EXPLAINED, ways.size()))) {
-            weighed.add(new Candidate(
-                    way.endpoint().id(),
-                    way.queueMillis(),
-                    way.prefillMillis(),
-                    way.fetchMillis(),
-                    way.recomputed(),
-                    way.score()));
+    private static Placement placement(ServingOption best, List<ServingOption> options) {
+        ImmutableList.Builder<Candidate> candidates = ImmutableList.builder();
+        for (ServingOption option : options.subList(0, Math.min(MAX_EXPLAINED_CANDIDATES, options.size()))) {
+            candidates.add(new Candidate(
+                    option.endpoint().id(),
+                    option.queueMillis(),
+                    option.prefillMillis(),
+                    option.fetchMillis(),
+                    option.recomputedTokens(),
+                    option.score()));
         }
         return new Placement(
                 best.endpoint(),
                 best.fetch(),
-                best.joined(),
-                best.recomputed(),
+                best.joinedImport(),
+                best.recomputedTokens(),
                 best.queueMillis() + best.prefillMillis() + best.fetchMillis(),
                 NAME,
-                weighed.build());
+                candidates.build());
     }
 
-    /** In the order of preference of rendezvous hashing, then the others. */
+    /** Returns the candidates in the order of their rendezvous rank, followed by the other candidates. */
     private static Set<EndpointStatus> candidates(RoutingView view) {
         List<BlockKey> blocks = view.question().blocks();
         CandidateSet all = view.candidates();
         Set<EndpointStatus> chosen = new LinkedHashSet<>();
-        int preferred = all.size() <= FEW ? all.size() : PREFERRED;
+        int preferred = all.size() <= SMALL_POOL_SIZE ? all.size() : PREFERRED_CANDIDATES;
         if (!blocks.isEmpty()) {
             chosen.addAll(all.preferred(PromptTree.affinityKey(blocks), preferred));
             if (chosen.size() < all.size()) {
                 view.cache().replicas().forEachHolder(blocks, id -> all.find(id).ifPresent(chosen::add));
-                addTargetsOfImports(view, chosen);
+                addImportTargets(view, chosen);
             }
         }
-        if (blocks.isEmpty() && all.size() <= FEW) {
+        if (blocks.isEmpty() && all.size() <= SMALL_POOL_SIZE) {
             chosen.addAll(all.all());
         }
-        for (int i = 0; i < CHOSEN_BY_CHANCE && chosen.size() < all.size(); i++) {
+        for (int i = 0; i < RANDOM_CANDIDATES && chosen.size() < all.size(); i++) {
             chosen.add(all.all().get(view.random().nextInt(all.size())));
         }
         return chosen;
     }
 
-    private static void addTargetsOfImports(RoutingView view, Set<EndpointStatus> chosen) {
-        BlockKey name = PromptTree.affinityKey(view.question().blocks());
-        for (ImportsInProgress.Import running : view.cache().imports().bringing(name)) {
-            view.candidates().find(running.endpoint()).ifPresent(chosen::add);
+    private static void addImportTargets(RoutingView view, Set<EndpointStatus> chosen) {
+        BlockKey affinityKey = PromptTree.affinityKey(view.question().blocks());
+        for (ImportsInProgress.Import runningImport : view.cache().imports().bringing(affinityKey)) {
+            view.candidates().find(runningImport.endpoint()).ifPresent(chosen::add);
         }
     }
 
-    private static Way bestWay(RoutingView view, EndpointStatus endpoint, int rank) {
+    private static ServingOption bestOption(RoutingView view, EndpointStatus endpoint, int rank) {
         List<BlockKey> blocks = view.question().blocks();
-        int held = heldBlocks(view, endpoint);
-        double malus =
-                rank * RANK_MALUS_MILLIS + (endpoint.domain().equals(view.ownDomain()) ? 0 : OTHER_DOMAIN_MILLIS);
-        Way best = way(view, endpoint, Optional.empty(), Optional.empty(), held, 0, malus);
-        if (held >= blocks.size()) {
+        int cachedBlocks = cachedPrefixBlocks(view, endpoint);
+        double penaltyMillis = rank * RANK_PENALTY_MILLIS
+                + (endpoint.domain().equals(view.ownDomain()) ? 0 : OTHER_DOMAIN_PENALTY_MILLIS);
+        ServingOption best = option(view, endpoint, Optional.empty(), Optional.empty(), cachedBlocks, 0, penaltyMillis);
+        if (cachedBlocks >= blocks.size()) {
             return best;
         }
-        Optional<ImportsInProgress.Import> running = view.cache().imports().find(endpoint.id(), blocks.get(held));
-        if (running.isPresent()) {
-            int depth = broughtDepth(running.get(), blocks, held);
-            double left = running.get().leftMillis(view.nowNanos());
-            return better(best, way(view, endpoint, Optional.empty(), running, depth, left, malus));
+        Optional<ImportsInProgress.Import> runningImport =
+                view.cache().imports().find(endpoint.id(), blocks.get(cachedBlocks));
+        if (runningImport.isPresent()) {
+            int depth = importedDepth(runningImport.get(), blocks, cachedBlocks);
+            double remainingMillis = runningImport.get().leftMillis(view.nowNanos());
+            return lowerScore(
+                    best,
+                    option(view, endpoint, Optional.empty(), runningImport, depth, remainingMillis, penaltyMillis));
         }
-        Optional<StoredPrefix> stored =
-                StoredPrefix.find(view.cache(), blocks, view.path(), surelyHeld(view, endpoint, held), view.nowNanos());
+        Optional<StoredPrefix> stored = StoredPrefix.find(
+                view.cache(), blocks, view.path(), fetchStartDepth(view, endpoint, cachedBlocks), view.nowNanos());
         if (stored.isPresent()) {
-            double deadline = view.cache().settings().importDeadline().toMillis();
+            double deadlineMillis = view.cache().settings().importDeadline().toMillis();
             for (StoredPrefix.End end : stored.get().ends()) {
-                double fetch = stored.get().fetchMillis(end);
-                if (fetch < deadline) {
-                    Placement.Fetch part = new Placement.Fetch(stored.get(), end.depth());
-                    best = better(
-                            best, way(view, endpoint, Optional.of(part), Optional.empty(), end.depth(), fetch, malus));
+                double fetchMillis = stored.get().fetchMillis(end);
+                if (fetchMillis < deadlineMillis) {
+                    Placement.Fetch partialFetch = new Placement.Fetch(stored.get(), end.depth());
+                    best = lowerScore(
+                            best,
+                            option(
+                                    view,
+                                    endpoint,
+                                    Optional.of(partialFetch),
+                                    Optional.empty(),
+                                    end.depth(),
+                                    fetchMillis,
+                                    penaltyMillis));
                 }
             }
         }
         return best;
     }
 
-    private static int heldBlocks(RoutingView view, EndpointStatus endpoint) {
+    private static int cachedPrefixBlocks(RoutingView view, EndpointStatus endpoint) {
         List<BlockKey> blocks = view.question().blocks();
         ReplicaIndex replicas = view.cache().replicas();
-        int held = replicas.prefix(endpoint.id(), blocks);
-        boolean doubtful = held > 0 && replicas.isDoubtful(endpoint.id());
-        return doubtful ? (int) (held * ReplicaIndex.DOUBTFUL_SHARE) : held;
+        int cachedBlocks = replicas.prefix(endpoint.id(), blocks);
+        boolean doubtful = cachedBlocks > 0 && replicas.isDoubtful(endpoint.id());
+        return doubtful ? (int) (cachedBlocks * ReplicaIndex.DOUBTFUL_SHARE) : cachedBlocks;
     }
 
     /**
-     * Where a fetch must begin. What a doubtful replica seems to hold may be gone, and then everything that was fetched
-     * behind it would be of no use. The same goes for a run that is held in part: engines evict from the end, so the
-     * replica is about to evict the rest, and events tell of it late.
+     * Returns the depth at which a fetch must start. The blocks attributed to a doubtful replica may have been evicted,
+     * and then all blocks fetched behind them would be useless. The same applies to a run of blocks that is cached only
+     * in part: engines evict from the end, so the replica is about to evict the rest of the run, and its events arrive
+     * late.
      */
-    private static int surelyHeld(RoutingView view, EndpointStatus endpoint, int held) {
+    private static int fetchStartDepth(RoutingView view, EndpointStatus endpoint, int cachedBlocks) {
         if (view.cache().replicas().isDoubtful(endpoint.id())) {
             return 0;
         }
         for (PromptNode node : view.path()) {
-            if (node.startDepth() < held && held < node.startDepth() + node.blocks()) {
+            if (node.startDepth() < cachedBlocks && cachedBlocks < node.startDepth() + node.blocks()) {
                 return node.startDepth();
             }
         }
-        return held;
+        return cachedBlocks;
     }
 
-    private static int broughtDepth(ImportsInProgress.Import running, List<BlockKey> blocks, int from) {
+    private static int importedDepth(ImportsInProgress.Import runningImport, List<BlockKey> blocks, int from) {
         int depth = from;
-        while (depth < blocks.size() && running.brings(blocks.get(depth))) {
+        while (depth < blocks.size() && runningImport.brings(blocks.get(depth))) {
             depth++;
         }
         return depth;
     }
 
-    private static Way way(
+    private static ServingOption option(
             RoutingView view,
             EndpointStatus endpoint,
             Optional<Placement.Fetch> fetch,
-            Optional<ImportsInProgress.Import> joined,
+            Optional<ImportsInProgress.Import> joinedImport,
             int depth,
             double fetchMillis,
-            double malus) {
+            double penaltyMillis) {
         EndpointLoad load = view.loads().of(endpoint);
-        long recomputed = Math.max(0, view.question().promptTokens() - (long) depth * view.blockTokens());
-        double queue = load.queueMillis(view.nowNanos());
-        double prefill = load.baseMillis() + recomputed / load.tokensPerMilli();
-        double first = queue + prefill + fetchMillis * (1 + LINK_PRICE) + malus;
-        double score = view.requestClass().firstTokenWeight() * first / MILLIS
-                + view.requestClass().recomputeWeight() * recomputed / THOUSAND;
-        return new Way(endpoint, fetch, joined, queue, prefill, fetchMillis, recomputed, score);
+        long recomputedTokens = Math.max(0, view.question().promptTokens() - (long) depth * view.blockTokens());
+        double queueMillis = load.queueMillis(view.nowNanos());
+        double prefillMillis = load.baseLatencyMillis() + recomputedTokens / load.tokensPerMilli();
+        double firstTokenMillis =
+                queueMillis + prefillMillis + fetchMillis * (1 + LINK_CONTENTION_FACTOR) + penaltyMillis;
+        double score = view.requestClass().firstTokenWeight() * firstTokenMillis / MILLIS_PER_SECOND
+                + view.requestClass().recomputeWeight() * recomputedTokens / TOKENS_PER_THOUSAND;
+        return new ServingOption(
+                endpoint, fetch, joinedImport, queueMillis, prefillMillis, fetchMillis, recomputedTokens, score);
     }
 
-    private static Way better(Way left, Way right) {
+    private static ServingOption lowerScore(ServingOption left, ServingOption right) {
         return right.score() < left.score() ? right : left;
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/PrefillSpeed.java
+++ b/src/main/java/org/yuccagw/core/routing/PrefillSpeed.java
@@ -1,35 +1,35 @@
 package org.yuccagw.core.routing;
 
 /**
- * A prefill speed in tokens a millisecond, learned from first tokens.
+ * An estimate of the prefill speed in tokens/ms, learned from times to first tokens.
  *
- * <p>One of an endpoint leans on the usual one of all endpoints until it has samples of its own. Otherwise the first
- * endpoint that happened to answer fast would be preferred for good, and the others would never get a chance to show
- * that they are as fast.
+ * <p>The estimate of one endpoint is shrunk towards the estimate over all endpoints until the endpoint has enough
+ * samples of its own. Otherwise the first endpoint that happened to answer quickly would be preferred permanently, and
+ * the others would receive no requests from which their speed could be learned.
  */
 final class PrefillSpeed {
-    private static final double FIRST_TOKENS_PER_MILLI = 8;
-    private static final double LEAST_SPEED = 0.05;
-    private static final double MOST_SPEED = 10_000;
-    private static final double SAMPLES_FOR_HALF = 8;
-    private static final double LEAST_RATE = 0.02;
-
-    private final PrefillSpeed usual;
-    private double logarithm = Math.log(FIRST_TOKENS_PER_MILLI);
+    private static final double INITIAL_TOKENS_PER_MILLI = 8;
+    private static final double MIN_TOKENS_PER_MILLI = 0.05;
+    private static final double MAX_TOKENS_PER_MILLI = 10_000;
+    private static final double SAMPLES_FOR_HALF_WEIGHT = 8;
+    private static final double MIN_LEARNING_RATE = 0.02;
+
+    private final PrefillSpeed prior;
+    private double logTokensPerMilli = Math.log(INITIAL_TOKENS_PER_MILLI);
     private double samples;
 
-    private PrefillSpeed(PrefillSpeed usual) {
-        this.usual = usual;
+    private PrefillSpeed(PrefillSpeed prior) {
+        this.prior = prior;
     }
 
-    /** The speed that is usual over all endpoints. */
-    static PrefillSpeed usual() {
+    /** Returns an estimate over all endpoints, without a prior. */
+    static PrefillSpeed overall() {
         return new PrefillSpeed(null);
     }
 
-    /** The speed of one endpoint, which leans on the usual one. */
-    static PrefillSpeed leaningOn(PrefillSpeed usual) {
-        return new PrefillSpeed(usual);
+    /** Returns an estimate for one endpoint with the estimate over all endpoints as its prior. */
+    static PrefillSpeed withPrior(PrefillSpeed prior) {
+        return new PrefillSpeed(prior);
     }
 
     double tokensPerMilli() {
@@ -37,19 +37,19 @@
     }
 
     void learn(double tokensPerMilli) {
-        double bounded = Math.max(LEAST_SPEED, Math.min(MOST_SPEED, tokensPerMilli));
+        double bounded = Math.max(MIN_TOKENS_PER_MILLI, Math.min(MAX_TOKENS_PER_MILLI, tokensPerMilli));
         samples++;
-        logarithm += Math.max(LEAST_RATE, 1 / samples) * (Math.log(bounded) - logarithm);
-        if (usual != null) {
-            usual.learn(tokensPerMilli);
+        logTokensPerMilli += Math.max(MIN_LEARNING_RATE, 1 / samples) * (Math.log(bounded) - logTokensPerMilli);
+        if (prior != null) {
+            prior.learn(tokensPerMilli);
         }
     }
 
     private double estimate() {
-        if (usual == null) {
-            return logarithm;
+        if (prior == null) {
+            return logTokensPerMilli;
         }
-        double own = samples / (samples + SAMPLES_FOR_HALF);
-        return own * logarithm + (1 - own) * usual.logarithm;
+        double ownWeight = samples / (samples + SAMPLES_FOR_HALF_WEIGHT);
+        return ownWeight * logTokensPerMilli + (1 - ownWeight) * prior.logTokensPerMilli;
     }
 }
