--- a/src/main/java/org/yuccagw/core/routing/RouteComponent.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteComponent.java
@@ -32,59 +32,63 @@
 import org.yuccagw.core.routing.RouteRequested.Question;
 
 /**
- * Says where attempts go, and learns from how they went.
+ * Chooses the endpoint for each attempt and updates its load and speed estimates from the reported outcome.
  *
- * <p>Only endpoints that take new work are candidates, for a model service only those that run the wanted weight
- * version: the one of the catalogue for a new run, its own for a run that goes on elsewhere. Each question is answered
- * exactly once.
+ * <p>Only endpoints that accept new requests are candidates. For a model service they must also run the required weight
+ * version, which is the version in the catalogue for a new run, and the version of the run itself for a run that is
+ * continued on another endpoint. Each query is answered exactly once.
  */
 public final class RouteComponent implements ControlComponent {
-    private static final Duration SWEEP = Duration.ofMinutes(1);
-    private static final long LONGEST_ATTEMPT_NANOS = Duration.ofHours(2).toNanos();
-    private static final long LEAST_TOKENS_TO_LEARN_SPEED = 256;
-    private static final long MOST_TOKENS_TO_LEARN_BASE = 64;
-    private static final double QUIET_QUEUE_MILLIS = 1;
-    private static final long LEAST_DEADLINE_MILLIS = 300;
+    private static final Duration SWEEP_INTERVAL = Duration.ofMinutes(1);
+    private static final long MAX_ATTEMPT_NANOS = Duration.ofHours(2).toNanos();
+    private static final long MIN_TOKENS_TO_LEARN_SPEED = 256;
+    private static final long MAX_TOKENS_TO_LEARN_BASE_LATENCY = 64;
+    private static final double MAX_IDLE_QUEUE_MILLIS = 1;
+    private static final long MIN_IMPORT_DEADLINE_MILLIS = 300;
     private static final RequestClass UNKNOWN_CLASS = new RequestClass(
             "unknown", 0, 1, Duration.ofSeconds(30), Duration.ofMinutes(5), Duration.ofSeconds(20), 1, 0.1);
 
     private final RoutingPolicy policy;
     private final CacheState cache;
     private final LoadTable loads = LoadTable.create();
-    private final StoreQuestions storeQuestions;
-    private final Map<SetName, CandidateSet> candidateSets = new HashMap<>();
+    private final StoreLookups storeLookups;
+    private final Map<CandidateSetKey, CandidateSet> candidateSets = new HashMap<>();
     private final Map<Long, Attempt> attempts = new HashMap<>();
     private long nextAttempt = 1;
 
     private RouteComponent(RoutingPolicy policy, CacheState cache) {
         this.policy = policy;
         this.cache = cache;
-        this.storeQuestions = StoreQuestions.of(cache);
+        this.storeLookups = StoreLookups.of(cache);
     }
 
-    /** The part over the state that it shares with the cache part, which comes before it in the list of parts. */
+    /**
+     * Returns a component over the state that it shares with the cache component. The cache component must precede it
+     * in the list of components.
+     */
     public static RouteComponent of(RoutingPolicy policy, CacheState cache) {
         return new RouteComponent(policy, cache);
     }
 
     /**
-     * Which endpoints of a pool.
+     * The key of a candidate set.
      *
-     * @param version the weight version in question, empty for a plain service
-     * @param others those that run another version than this, in place of those that run it
+     * @param version weight version of the endpoints, empty for a plain service
+     * @param otherVersions whether the set contains the endpoints that run any other version, instead of those that run
+     *     {@code version}
      */
-    private record SetName(String pool, Optional<WeightVersion> version, boolean others) {
-        boolean holds(EndpointStatus endpoint) {
-            boolean same = version.isEmpty() || endpoint.version().equals(version);
-            return others ? !same && endpoint.version().isPresent() : same;
+    private record CandidateSetKey(String pool, Optional<WeightVersion> version, boolean otherVersions) {
+        boolean contains(EndpointStatus endpoint) {
+            boolean sameVersion = version.isEmpty() || endpoint.version().equals(version);
+            return otherVersions ? !sameVersion && endpoint.version().isPresent() : sameVersion;
         }
     }
 
-    /** An attempt that was placed and hasn't ended. */
+    /** An attempt that was placed and has not ended. */
     private static final class Attempt {
         private final Question question;
         private final Placement placement;
-        private final Optional<ImportsInProgress.Import> fetching;
+        private final Optional<ImportsInProgress.Import> startedImport;
         private final double queueMillis;
         private final long placedNanos;
         private long prefillTokens;
@@ -92,12 +96,12 @@
         private Attempt(
                 Question question,
                 Placement placement,
-                Optional<ImportsInProgress.Import> fetching,
+                Optional<ImportsInProgress.Import> startedImport,
                 double queueMillis,
                 long placedNanos) {
             this.question = question;
             this.placement = placement;
-            this.fetching = fetching;
+            this.startedImport = startedImport;
             this.queueMillis = queueMillis;
             this.placedNanos = placedNanos;
             this.prefillTokens = placement.recomputedTokens();
@@ -106,7 +110,7 @@
 
     @Override
     public void start(ControlContext context) {
-        context.after(SWEEP, () -> {
+        context.after(SWEEP_INTERVAL, () -> {
             sweep(context);
             start(context);
         });
@@ -114,40 +118,40 @@
 
     @Override
     public void handle(ControlEvent event, ControlContext context) {
-        if (event instanceof RouteRequested asked) {
-            take(asked, context);
+        if (event instanceof RouteRequested request) {
+            handleRequest(request, context);
         } else if (event instanceof AttemptReport report) {
-            takeReport(report, context);
+            handleReport(report, context);
         } else if (event instanceof EndpointReported reported) {
             Optional<EndpointStatus> endpoint = cache.endpoints().find(reported.endpoint());
-            endpoint.ifPresent(known -> loads.of(known).report(reported, context.nowNanos()));
+            endpoint.ifPresent(status -> loads.of(status).applyReport(reported, context.nowNanos()));
         } else if (event instanceof EndpointsChanged changed) {
-            takeEndpoints(changed.endpoints());
+            handleEndpoints(changed.endpoints());
         } else if (event instanceof CatalogueChanged) {
             candidateSets.clear();
         } else if (event instanceof StoreUpdate.BlocksFound found) {
-            storeQuestions.found(found);
+            storeLookups.handleBlocksFound(found);
         }
     }
 
-    private void take(RouteRequested asked, ControlContext context) {
-        Question question = asked.question();
+    private void handleRequest(RouteRequested request, ControlContext context) {
+        Question question = request.question();
         Optional<Service> service = cache.catalogue().service(question.service());
         if (service.isEmpty()) {
-            refuse(asked, ErrorKind.UNKNOWN_MODEL.raise(question.service()), context);
+            refuse(request, ErrorKind.UNKNOWN_MODEL.raise(question.service()), context);
             return;
         }
-        List<PromptNode> path = notePrompt(question, service.get(), context);
-        boolean firstTry = question.excluded().isEmpty();
-        if (firstTry && storeQuestions.isWorthAsking(question.blocks(), path)) {
-            storeQuestions.ask(question.blocks(), context, () -> decide(asked, context));
+        List<PromptNode> path = recordPrompt(question, service.get(), context);
+        boolean firstAttempt = question.excluded().isEmpty();
+        if (firstAttempt && storeLookups.isNeeded(question.blocks(), path)) {
+            storeLookups.lookUp(question.blocks(), context, () -> decide(request, context));
         } else {
-            decide(asked, context);
+            decide(request, context);
         }
     }
 
-    /** The prompt counts as asked for once: not again for further attempts of the same request. */
-    private List<PromptNode> notePrompt(Question question, Service service, ControlContext context) {
+    /** Counts the prompt once per request. Later attempts of the same request do not count it again. */
+    private List<PromptNode> recordPrompt(Question question, Service service, ControlContext context) {
         if (service.model().isEmpty() || question.blocks().isEmpty()) {
             return List.of();
         }
@@ -158,40 +162,44 @@
         return cache.prompts().arrive(question.blocks(), scope(question, service), nowSeconds, context.random());
     }
 
-    private void decide(RouteRequested asked, ControlContext context) {
-        Question question = asked.question();
+    private void decide(RouteRequested request, ControlContext context) {
+        Question question = request.question();
         Optional<Service> service = cache.catalogue().service(question.service());
         if (service.isEmpty()) {
-            refuse(asked, ErrorKind.UNKNOWN_MODEL.raise(question.service()), context);
+            refuse(request, ErrorKind.UNKNOWN_MODEL.raise(question.service()), context);
             return;
         }
-        boolean onOtherVersion = takesOtherVersion(question, service.get(), context);
-        RouteRequested placed = onOtherVersion ? new RouteRequested(withoutBlocks(question), asked.reply()) : asked;
-        RoutingView view = view(placed.question(), service.get(), onOtherVersion, context);
+        boolean onOtherVersion = choosesOtherVersion(question, service.get(), context);
+        RouteRequested routed = onOtherVersion ? new RouteRequested(withoutBlocks(question), request.reply()) : request;
+        RoutingView view = view(routed.question(), service.get(), onOtherVersion, context);
         Optional<Placement> placement = view.candidates().size() == 0 ? Optional.empty() : policy.place(view);
         if (placement.isEmpty()) {
-            refuse(asked, noEndpoint(question, view), context);
+            refuse(request, noEndpoint(question, view), context);
             return;
         }
-        choose(placed, placement.get(), context);
+        replyChosen(routed, placement.get(), context);
     }
 
     /**
-     * Whether a new request goes to a replica that still runs other weights than the catalogue names.
+     * Returns whether a new request is routed to a replica that still runs another weight version than the catalogue
+     * names.
      *
-     * <p>While a swap rolls over a pool, its replicas run two versions. Only those of the new one as candidates would
-     * leave nobody at first, and then put the whole load on the first few. So each version takes the part of new
-     * requests that it has of the replicas. The request then runs on the older version from its first to its last
-     * token, and the keys of its blocks, which are of the new one, count for nothing.
+     * <p>While a swap rolls over a pool, its replicas run two versions. If only replicas of the new version were
+     * candidates, there would be none at first, and then the first few would receive the whole load. Therefore each
+     * version receives new requests in proportion to its number of replicas. The request then runs on the older version
+     * from its first to its last token, and its block keys, which belong to the new version, are ignored.
      */
-    private boolean takesOtherVersion(Question question, Service service, ControlContext context) {
+    private boolean choosesOtherVersion(Question question, Service service, ControlContext context) {
         if (service.model().isEmpty() || question.version().isPresent()) {
             return false;
         }
-        Optional<WeightVersion> named = service.model().map(Service.ModelSettings::version);
-        int ofNamed = candidates(new SetName(service.pool(), named, false)).size();
-        int ofOthers = candidates(new SetName(service.pool(), named, true)).size();
-        return ofOthers > 0 && context.random().nextInt(ofNamed + ofOthers) < ofOthers;
+        Optional<WeightVersion> catalogueVersion = service.model().map(Service.ModelSettings::version);
+        int catalogueVersionReplicas = candidates(new CandidateSetKey(service.pool(), catalogueVersion, false))
+                .size();
+        int otherVersionReplicas = candidates(new CandidateSetKey(service.pool(), catalogueVersion, true))
+                .size();
+        return otherVersionReplicas > 0
+                && context.random().nextInt(catalogueVersionReplicas + otherVersionReplicas) < otherVersionReplicas;
     }
 
     private static Question withoutBlocks(Question question) {
@@ -208,8 +216,8 @@
                 question.alone());
     }
 
-    private CandidateSet candidates(SetName name) {
-        return candidateSets.computeIfAbsent(name, this::makeSet);
+    private CandidateSet candidates(CandidateSetKey key) {
+        return candidateSets.computeIfAbsent(key, this::buildCandidateSet);
     }
 
     private RoutingView view(Question question, Service service, boolean onOtherVersion, ControlContext context) {
@@ -217,7 +225,7 @@
                 service.model().map(model -> question.version().orElse(model.version()));
         return new RoutingView(
                 question,
-                candidates(new SetName(service.pool(), version, onOtherVersion)),
+                candidates(new CandidateSetKey(service.pool(), version, onOtherVersion)),
                 service.model(),
                 cache.catalogue().requestClass(question.className()).orElse(UNKNOWN_CLASS),
                 cache.prompts().walk(question.blocks()),
@@ -228,26 +236,27 @@
                 context.nowNanos());
     }
 
-    private CandidateSet makeSet(SetName name) {
-        return CandidateSet.of(cache.endpoints().takingNewWork(name.pool()).stream()
-                .filter(name::holds)
+    private CandidateSet buildCandidateSet(CandidateSetKey key) {
+        return CandidateSet.of(cache.endpoints().takingNewWork(key.pool()).stream()
+                .filter(key::contains)
                 .toList());
     }
 
     private static YuccagwException noEndpoint(Question question, RoutingView view) {
-        boolean ownVersion = question.version().isPresent() && view.candidates().size() == 0;
-        return ownVersion
+        boolean versionUnavailable =
+                question.version().isPresent() && view.candidates().size() == 0;
+        return versionUnavailable
                 ? ErrorKind.VERSION_GONE.raise(question.version().get())
                 : ErrorKind.NO_ENDPOINT.raise(question.service());
     }
 
-    private void choose(RouteRequested asked, Placement placement, ControlContext context) {
+    private void replyChosen(RouteRequested request, Placement placement, ControlContext context) {
         long number = nextAttempt++;
-        Question question = asked.question();
+        Question question = request.question();
         EndpointLoad load = loads.of(placement.endpoint());
         double queueMillis = load.queueMillis(context.nowNanos());
         load.place(number, placement.recomputedTokens(), question.alone(), context.nowNanos());
-        Optional<ImportsInProgress.Import> fetching = placement
+        Optional<ImportsInProgress.Import> startedImport = placement
                 .fetch()
                 .map(fetch -> cache.imports()
                         .begin(
@@ -256,22 +265,22 @@
                                 fetch.prefix().slowestTier(),
                                 fetch.blocks(),
                                 context.nowNanos()));
-        attempts.put(number, new Attempt(question, placement, fetching, queueMillis, context.nowNanos()));
+        attempts.put(number, new Attempt(question, placement, startedImport, queueMillis, context.nowNanos()));
         Answer answer = new Answer.Chosen(
                 number,
                 placement.endpoint(),
                 importPlan(placement, context),
-                new RouteExplanation(placement.policy(), placement.weighed()));
-        context.reply(() -> asked.reply().accept(answer));
+                new RouteExplanation(placement.policy(), placement.candidates()));
+        context.reply(() -> request.reply().accept(answer));
     }
 
     private Optional<ImportPlan> importPlan(Placement placement, ControlContext context) {
-        if (placement.joined().isPresent()) {
-            ImportsInProgress.Import joined = placement.joined().get();
-            Duration deadline = deadline(joined.leftMillis(context.nowNanos()));
-            ImmutableList<StoredBlock> blocks = joined.blocks();
-            return Optional.of(
-                    new ImportPlan(joined.store().id(), joined.store().address(), blocks, deadline, true));
+        if (placement.joinedImport().isPresent()) {
+            ImportsInProgress.Import joinedImport = placement.joinedImport().get();
+            Duration importDeadline = importDeadline(joinedImport.leftMillis(context.nowNanos()));
+            ImmutableList<StoredBlock> blocks = joinedImport.blocks();
+            return Optional.of(new ImportPlan(
+                    joinedImport.store().id(), joinedImport.store().address(), blocks, importDeadline, true));
         }
         return placement
                 .fetch()
@@ -279,70 +288,73 @@
                         fetch.prefix().store().id(),
                         fetch.prefix().store().address(),
                         ImmutableList.copyOf(fetch.blocks()),
-                        deadline(fetch.prefix().fetchMillis(fetch.depth())),
+                        importDeadline(fetch.prefix().fetchMillis(fetch.depth())),
                         false));
     }
 
-    /** Twice what the fetch should take: a link that is slower than that, or silent, must not hold a request back. */
-    private Duration deadline(double predictedMillis) {
-        long millis = (long) (2 * predictedMillis) + LEAST_DEADLINE_MILLIS;
+    /**
+     * Returns twice the predicted time of the fetch plus a minimum, so that a link that is slower than that or silent
+     * does not delay the request.
+     */
+    private Duration importDeadline(double predictedMillis) {
+        long millis = (long) (2 * predictedMillis) + MIN_IMPORT_DEADLINE_MILLIS;
         return Duration.ofMillis(
                 Math.min(millis, cache.settings().importDeadline().toMillis()));
     }
 
-    private void refuse(RouteRequested asked, YuccagwException error, ControlContext context) {
-        context.reply(() -> asked.reply().accept(new Answer.Refused(error)));
+    private void refuse(RouteRequested request, YuccagwException error, ControlContext context) {
+        context.reply(() -> request.reply().accept(new Answer.Refused(error)));
     }
 
-    private void takeReport(AttemptReport report, ControlContext context) {
+    private void handleReport(AttemptReport report, ControlContext context) {
         Attempt attempt = attempts.get(report.attempt());
         if (attempt == null) {
             return;
         }
         EndpointLoad load = loads.of(attempt.placement.endpoint());
         if (report instanceof AttemptReport.Imported imported) {
-            endFetch(attempt, imported);
+            endImport(attempt, imported);
         } else if (report instanceof AttemptReport.Sent) {
-            attempt.fetching.ifPresent(cache.imports()::end);
+            attempt.startedImport.ifPresent(cache.imports()::end);
         } else if (report instanceof AttemptReport.FirstToken first) {
-            load.firstToken(report.attempt());
-            learn(attempt, load, first.millis());
+            load.recordFirstToken(report.attempt());
+            learnFromFirstToken(attempt, load, first.millis());
         } else if (report instanceof AttemptReport.Ended ended) {
             attempts.remove(report.attempt());
-            attempt.fetching.ifPresent(cache.imports()::end);
-            load.end(report.attempt(), attempt.question.alone());
-            served(attempt, ended, context);
+            attempt.startedImport.ifPresent(cache.imports()::end);
+            load.endAttempt(report.attempt(), attempt.question.alone());
+            reportServed(attempt, ended, context);
         }
     }
 
-    private void endFetch(Attempt attempt, AttemptReport.Imported imported) {
-        if (attempt.fetching.isEmpty()) {
+    private void endImport(Attempt attempt, AttemptReport.Imported imported) {
+        if (attempt.startedImport.isEmpty()) {
             return;
         }
-        int asked = attempt.placement.fetch().orElseThrow().blocks().size();
-        if (imported.blocks() >= asked) {
-            cache.imports().endWhole(attempt.fetching.get(), (double) imported.millis());
+        int requestedBlocks = attempt.placement.fetch().orElseThrow().blocks().size();
+        if (imported.blocks() >= requestedBlocks) {
+            cache.imports().endWhole(attempt.startedImport.get(), (double) imported.millis());
         } else {
-            cache.imports().end(attempt.fetching.get());
-            int missing = asked - imported.blocks();
-            attempt.prefillTokens += (long) missing * blockTokens(attempt.question);
+            cache.imports().end(attempt.startedImport.get());
+            int missingBlocks = requestedBlocks - imported.blocks();
+            attempt.prefillTokens += (long) missingBlocks * blockTokens(attempt.question);
         }
     }
 
-    /** A first token tells the engine's speed only if nothing of this entry's knowledge waited before it. */
-    private void learn(Attempt attempt, EndpointLoad load, long millis) {
-        if (attempt.queueMillis > QUIET_QUEUE_MILLIS) {
+    /** Learns from a first token only if, as far as this entry knows, nothing was queued ahead of the request. */
+    private void learnFromFirstToken(Attempt attempt, EndpointLoad load, long millis) {
+        if (attempt.queueMillis > MAX_IDLE_QUEUE_MILLIS) {
             return;
         }
-        if (attempt.prefillTokens >= LEAST_TOKENS_TO_LEARN_SPEED) {
-            load.learn(attempt.prefillTokens, (double) millis);
-            cache.learnPrefillSpeed(loads.usualTokensPerMilli());
-        } else if (attempt.prefillTokens <= MOST_TOKENS_TO_LEARN_BASE) {
-            load.learnBase((double) millis);
+        if (attempt.prefillTokens >= MIN_TOKENS_TO_LEARN_SPEED) {
+            load.learnSpeed(attempt.prefillTokens, (double) millis);
+            cache.learnPrefillSpeed(loads.overallTokensPerMilli());
+        } else if (attempt.prefillTokens <= MAX_TOKENS_TO_LEARN_BASE_LATENCY) {
+            load.learnBaseLatency((double) millis);
         }
     }
 
-    private void served(Attempt attempt, AttemptReport.Ended ended, ControlContext context) {
+    private void reportServed(Attempt attempt, AttemptReport.Ended ended, ControlContext context) {
         Optional<Service> service = cache.catalogue().service(attempt.question.service());
         boolean hasBlocks = !attempt.question.blocks().isEmpty();
         if (ended.answered() && hasBlocks && service.flatMap(Service::model).isPresent()) {
@@ -363,20 +375,20 @@
                 .orElse(0);
     }
 
-    private void takeEndpoints(EndpointsSnapshot endpoints) {
+    private void handleEndpoints(EndpointsSnapshot endpoints) {
         candidateSets.clear();
         loads.retain(ImmutableSet.copyOf(endpoints.byId().keySet()));
     }
 
-    /** Drops attempts whose end was never reported, so that a fault elsewhere can't fill the memory. */
+    /** Removes attempts whose end was never reported, so that a missing report cannot exhaust the memory. */
     private void sweep(ControlContext context) {
         for (Iterator<Map.Entry<Long, Attempt>> all = attempts.entrySet().iterator(); all.hasNext(); ) {
             Map.Entry<Long, Attempt> next = all.next();
             Attempt attempt = next.getValue();
-            if (context.nowNanos() - attempt.placedNanos > LONGEST_ATTEMPT_NANOS) {
+            if (context.nowNanos() - attempt.placedNanos > MAX_ATTEMPT_NANOS) {
                 all.remove();
-                attempt.fetching.ifPresent(cache.imports()::end);
-                loads.of(attempt.placement.endpoint()).end(next.getKey(), attempt.question.alone());
+                attempt.startedImport.ifPresent(cache.imports()::end);
+                loads.of(attempt.placement.endpoint()).endAttempt(next.getKey(), attempt.question.alone());
             }
         }
     }
--- a/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
@@ -11,12 +11,12 @@
 import org.yuccagw.core.routing.RouteRequested.Question;
 
 /**
- * The policies by name: the one of the product, and the plain ones that it is measured against.
+ * The routing policies by name: the default policy and simpler policies as baselines for comparison.
  *
- * <p>A policy is a way to choose the endpoint together with when blocks are exported and evicted.
+ * <p>A policy defines how the endpoint is chosen, and also when cache blocks are exported and evicted.
  */
 public final class RoutePolicies {
-    /** Setting name of the product's own policy. */
+    /** Name of the default policy. */
     public static final String PREDICTED_FIRST_TOKEN = PredictedFirstToken.NAME;
 
     public static final String RANDOM = "random";
@@ -24,16 +24,16 @@
     public static final String AFFINITY = "affinity";
     public static final String AFFINITY_ALWAYS_EXPORT = "affinity-always-export";
 
-    /** With affinity, a preferred endpoint is passed over when it has this many times the mean load. */
-    private static final double LOAD_BOUND = 1.25;
+    /** An affinity policy skips a preferred endpoint whose load exceeds the mean load by more than this factor. */
+    private static final double LOAD_BOUND_FACTOR = 1.25;
 
-    private static final int RANKED = 4;
+    private static final int PREFERRED_ENDPOINTS = 4;
 
     private static final ImmutableMap<String, RoutingPolicy> BY_NAME = ImmutableMap.of(
             PREDICTED_FIRST_TOKEN,
             PredictedFirstToken.create(),
             RANDOM,
-            RoutePolicies::byChance,
+            RoutePolicies::atRandom,
             LEAST_LOADED,
             RoutePolicies::leastLoaded,
             AFFINITY,
@@ -43,15 +43,15 @@
 
     private RoutePolicies() {}
 
-    /** All names, the product's own first. */
+    /** Returns the names of all policies, the default policy first. */
     public static List<String> names() {
         return BY_NAME.keySet().asList();
     }
 
     /**
-     * The policy of this name.
+     * Returns the policy with the given name.
      *
-     * @throws IllegalArgumentException if there is none; the message names all
+     * @throws IllegalArgumentException if there is no such policy; the message lists all names
      */
     public static RoutingPolicy byName(String name) {
         RoutingPolicy policy = BY_NAME.get(name);
@@ -61,43 +61,45 @@
         return policy;
     }
 
-    /** The cache settings that belong to the policy. */
-    public static CacheSettings cacheSettings(String name, CacheSettings usual) {
+    /** Returns the cache settings of the policy, derived from the default settings. */
+    public static CacheSettings cacheSettings(String name, CacheSettings defaults) {
         if (name.equals(PREDICTED_FIRST_TOKEN)) {
-            return usual;
+            return defaults;
         }
         CacheSettings.ExportPolicy exports = name.equals(AFFINITY_ALWAYS_EXPORT)
                 ? CacheSettings.ExportPolicy.ALWAYS
                 : CacheSettings.ExportPolicy.NEVER;
-        return usual.withPolicies(exports, CacheSettings.EvictionPolicy.LEAST_RECENTLY_USED);
+        return defaults.withPolicies(exports, CacheSettings.EvictionPolicy.LEAST_RECENTLY_USED);
     }
 
-    private static Optional<Placement> byChance(RoutingView view) {
-        List<EndpointStatus> free = allowed(view);
-        if (free.isEmpty()) {
+    private static Optional<Placement> atRandom(RoutingView view) {
+        List<EndpointStatus> eligible = eligibleEndpoints(view);
+        if (eligible.isEmpty()) {
             return Optional.empty();
         }
-        EndpointStatus chosen = free.get(view.random().nextInt(free.size()));
-        return Optional.of(Placement.plain(chosen, uncached(view, chosen), RANDOM));
+        EndpointStatus chosen = eligible.get(view.random().nextInt(eligible.size()));
+        return Optional.of(Placement.withoutFetch(chosen, uncachedTokens(view, chosen), RANDOM));
     }
 
     private static Optional<Placement> leastLoaded(RoutingView view) {
-        return leastOf(allowed(view), view)
-                .map(chosen -> Placement.plain(chosen, uncached(view, chosen), LEAST_LOADED));
+        return leastLoadedOf(eligibleEndpoints(view), view)
+                .map(chosen -> Placement.withoutFetch(chosen, uncachedTokens(view, chosen), LEAST_LOADED));
     }
 
     private static Optional<Placement> byAffinity(RoutingView view) {
-        return affine(view).map(chosen -> Placement.plain(chosen, uncached(view, chosen), AFFINITY));
+        return affinityEndpoint(view)
+                .map(chosen -> Placement.withoutFetch(chosen, uncachedTokens(view, chosen), AFFINITY));
     }
 
-    /** As by affinity, and all that a store has beyond the endpoint's own prefix is fetched. */
+    /** Like {@link #byAffinity}, but fetches all blocks that a store has beyond the cached prefix of the endpoint. */
     private static Optional<Placement> byAffinityWithImport(RoutingView view) {
-        return affine(view).map(chosen -> {
+        return affinityEndpoint(view).map(chosen -> {
             Question question = view.question();
-            int held = view.cache().replicas().prefix(chosen.id(), question.blocks());
+            int cachedBlocks = view.cache().replicas().prefix(chosen.id(), question.blocks());
             Optional<StoredPrefix> stored =
-                    StoredPrefix.find(view.cache(), question.blocks(), view.path(), held, view.nowNanos());
-            int depth = stored.map(prefix -> held + prefix.blocks().size()).orElse(held);
+                    StoredPrefix.find(view.cache(), question.blocks(), view.path(), cachedBlocks, view.nowNanos());
+            int depth =
+                    stored.map(prefix -> cachedBlocks + prefix.blocks().size()).orElse(cachedBlocks);
             return new Placement(
                     chosen,
                     stored.map(prefix -> new Placement.Fetch(prefix, depth)),
@@ -109,34 +111,38 @@
         });
     }
 
-    /** Rendezvous hashing with bounded load: the first in rank whose load isn't far over the mean. */
-    private static Optional<EndpointStatus> affine(RoutingView view) {
+    /**
+     * Rendezvous hashing with bounded load: returns the highest-ranked preferred endpoint whose load is within the
+     * bound, or the least loaded endpoint if there is none.
+     */
+    private static Optional<EndpointStatus> affinityEndpoint(RoutingView view) {
         if (view.question().blocks().isEmpty()) {
-            return leastOf(allowed(view), view);
+            return leastLoadedOf(eligibleEndpoints(view), view);
         }
-        double total = 0;
+        double totalLoad = 0;
         for (EndpointStatus endpoint : view.candidates().all()) {
-            total += view.loads().of(endpoint).requests();
+            totalLoad += view.loads().of(endpoint).requestCount();
         }
-        double bound = LOAD_BOUND * (total + 1) / view.candidates().size() + 1;
+        double loadBound =
+                LOAD_BOUND_FACTOR * (totalLoad + 1) / view.candidates().size() + 1;
         List<EndpointStatus> ranked = view.candidates()
-                .preferred(PromptTree.affinityKey(view.question().blocks()), RANKED);
+                .preferred(PromptTree.affinityKey(view.question().blocks()), PREFERRED_ENDPOINTS);
         return ranked.stream()
-                .filter(view::mayTake)
-                .filter(endpoint -> view.loads().of(endpoint).requests() <= bound)
+                .filter(view::isEligible)
+                .filter(endpoint -> view.loads().of(endpoint).requestCount() <= loadBound)
                 .findFirst()
-                .or(() -> leastOf(allowed(view), view));
+                .or(() -> leastLoadedOf(eligibleEndpoints(view), view));
     }
 
-    private static Optional<EndpointStatus> leastOf(List<EndpointStatus> endpoints, RoutingView view) {
+    private static Optional<EndpointStatus> leastLoadedOf(List<EndpointStatus> endpoints, RoutingView view) {
         EndpointStatus least = null;
         double leastLoad = Double.MAX_VALUE;
-        int equals = 0;
+        int ties = 0;
         for (EndpointStatus endpoint : endpoints) {
-            double load = view.loads().of(endpoint).requests();
-            equals = load == leastLoad ? equals + 1 : 1;
-            // Among equals each has the same chance, so that the first in the list isn't always taken.
-            if (load < leastLoad || (load == leastLoad && view.random().nextInt(equals) == 0)) {
+            double load = view.loads().of(endpoint).requestCount();
+            ties = load == leastLoad ? ties + 1 : 1;
+            // Reservoir sampling chooses among endpoints of equal load with equal probability.
+            if (load < leastLoad || (load == leastLoad && view.random().nextInt(ties) == 0)) {
                 least = endpoint;
                 leastLoad = load;
             }
@@ -144,13 +150,13 @@
         return Optional.ofNullable(least);
     }
 
-    private static List<EndpointStatus> allowed(RoutingView view) {
-        return view.candidates().all().stream().filter(view::mayTake).toList();
+    private static List<EndpointStatus> eligibleEndpoints(RoutingView view) {
+        return view.candidates().all().stream().filter(view::isEligible).toList();
     }
 
-    private static long uncached(RoutingView view, EndpointStatus endpoint) {
+    private static long uncachedTokens(RoutingView view, EndpointStatus endpoint) {
         ReplicaIndex replicas = view.cache().replicas();
-        int held = replicas.prefix(endpoint.id(), view.question().blocks());
-        return Math.max(0, view.question().promptTokens() - (long) held * view.blockTokens());
+        int cachedBlocks = replicas.prefix(endpoint.id(), view.question().blocks());
+        return Math.max(0, view.question().promptTokens() - (long) cachedBlocks * view.blockTokens());
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/RouteRequested.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteRequested.java
@@ -13,19 +13,19 @@
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.id.WorkspaceId;
 
-/** Traffic asks where an attempt shall go. The reply comes exactly once. */
+/** Requests an endpoint for an attempt. {@code reply} is called exactly once. */
 public record RouteRequested(Question question, Consumer<Answer> reply) implements ControlEvent {
 
     /**
-     * One attempt that needs an endpoint.
+     * An attempt that needs an endpoint.
      *
-     * @param className request class, whose weights make the objective
-     * @param version the weight version that a continued run must keep; empty for the version in the catalogue
-     * @param blocks keys of the prompt's whole blocks in order, empty for a plain call
+     * @param className request class, whose weights define the objective function
+     * @param version weight version that a continued run must keep; empty for the version in the catalogue
+     * @param blocks keys of the complete blocks of the prompt in order, empty for a plain call
      * @param promptTokens prompt size in tokens
-     * @param answerTokens most tokens that the answer may have
+     * @param answerTokens maximum size of the answer in tokens
      * @param excluded endpoints that already failed this request
-     * @param alone whether it must run where nothing else of this entry runs
+     * @param alone whether it must run on an endpoint on which no other attempt of this entry runs
      */
     public record Question(
             RequestId request,
@@ -39,13 +39,14 @@
             ImmutableSet<EndpointId> excluded,
             boolean alone) {}
 
-    /** Where the attempt goes, or why it can't go anywhere. */
+    /** The result: the chosen endpoint, or the reason why there is none. */
     public interface Answer {
         /**
-         * The endpoint, what to import there before the request is sent, and why.
+         * The chosen endpoint.
          *
-         * @param attempt names this attempt in later reports
-         * @param explanation for {@code yuccagw trace}: what was weighed
+         * @param attempt number that identifies the attempt in later {@link AttemptReport}s
+         * @param importFirst cache blocks to import before the request is sent, empty for none
+         * @param explanation scored candidates, shown by {@code yuccagw trace}
          */
         record Chosen(
                 long attempt,
@@ -54,6 +55,7 @@
                 RouteExplanation explanation)
                 implements Answer {}
 
+        /** No endpoint was chosen. */
         record Refused(YuccagwException error) implements Answer {}
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/RoutingPolicy.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutingPolicy.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 
-/** How an endpoint is chosen. */
+/** Chooses the endpoint for an attempt. */
 @FunctionalInterface
 public interface RoutingPolicy {
-    /** The chosen endpoint, empty if none of the candidates may take the question. */
+    /** Returns the placement of the attempt, empty if no candidate is eligible. */
     Optional<Placement> place(RoutingView view);
 }
--- a/src/main/java/org/yuccagw/core/routing/RoutingView.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutingView.java
@@ -12,16 +12,17 @@
 import org.yuccagw.core.routing.RouteRequested.Question;
 
 /**
- * What a {@link RoutingPolicy} decides upon.
+ * The input of a {@link RoutingPolicy}.
  *
- * @param question what was asked
- * @param candidates endpoints that may take it
- * @param model settings of the model, empty for a plain service
- * @param requestClass the class, whose weights make the objective
- * @param path the prompt's path through the tree of known prompts
- * @param loads what each endpoint has to do
- * @param cache what is known of the caches
- * @param ownDomain the failure domain of this entry
+ * @param question attempt to place
+ * @param candidates endpoints of the pool with the required weight version that accept new requests
+ * @param model model settings of the service, empty for a plain service
+ * @param requestClass request class, whose weights define the objective function
+ * @param path path of the prompt through the tree of known prompts
+ * @param loads estimated load of each endpoint
+ * @param cache local view of the caches
+ * @param ownDomain failure domain of this entry
+ * @param nowNanos monotonic time
  */
 record RoutingView(
         Question question,
@@ -35,11 +36,11 @@
         RandomGenerator random,
         long nowNanos) {
 
-    /** Whether the endpoint may take this question. */
-    boolean mayTake(EndpointStatus endpoint) {
+    /** Returns whether the attempt may be placed on the endpoint. */
+    boolean isEligible(EndpointStatus endpoint) {
         EndpointLoad load = loads.of(endpoint);
-        boolean free = question.alone() ? load.attempts() == 0 : !load.hasAlone();
-        return free && !question.excluded().contains(endpoint.id());
+        boolean exclusivityAllows = question.alone() ? load.attemptCount() == 0 : !load.hasExclusiveAttempt();
+        return exclusivityAllows && !question.excluded().contains(endpoint.id());
     }
 
     int blockTokens() {
--- a/src/main/java/org/yuccagw/core/routing/package-info.java
+++ b/src/main/java/org/yuccagw/core/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Routing: which endpoint takes an attempt, by predicted time to first token and recomputed prompt work. */
+/** Routing: chooses the endpoint of an attempt by the predicted time to the first token and the recomputed tokens. */
 package org.yuccagw.core.routing;
