--- a/src/test/java/org/yuccagw/core/admission/AdmissionTest.java
+++ b/src/test/java/org/yuccagw/core/admission/AdmissionTest.java
@@ -31,10 +31,10 @@
     private static final WorkspaceId LARGE = WorkspaceId.of("large");
     private static final WorkspaceId SMALL = WorkspaceId.of("small");
     private static final int LIMIT = 6;
-    private static final double RATE = 10;
-    private static final Duration RUN = Duration.ofMillis(200);
+    private static final double REQUESTS_PER_SECOND = 10;
+    private static final Duration RUN_TIME = Duration.ofMillis(200);
     private static final Duration DEADLINE = Duration.ofSeconds(4);
-    private static final Duration SETTLED = Duration.ofSeconds(8);
+    private static final Duration SETTLING_WAIT = Duration.ofSeconds(8);
 
     private VirtualEntries entries;
     private LimitedCalls calls;
@@ -42,18 +42,20 @@
 
     @BeforeMethod
     public void startThreeEntries() {
-        startWith(ShareLender.WAIT_OUT, new Limits(LIMIT, 0, 0));
+        startEntries(ShareLender.SETTLING_TIME, new Limits(LIMIT, 0, 0));
     }
 
-    private void startWith(Duration waitOut, Limits limits) {
+    private void startEntries(Duration settlingTime, Limits limits) {
         entries = VirtualEntries.of(
-                11, 1, (authority, shards) -> List.of(AdmissionComponent.withWaitOut(authority, shards, waitOut)));
+                11,
+                1,
+                (authority, shards) -> List.of(AdmissionComponent.withSettlingTime(authority, shards, settlingTime)));
         calls = LimitedCalls.over(entries, SERVICE, "interactive");
         names = List.of(entries.start("entry-1"), entries.start("entry-2"), entries.start("entry-3"));
         entries.own(SHARD, names.get(0));
         entries.tellMembers();
         names.forEach(name -> entries.tell(name, new CatalogueChanged(catalogue(limits))));
-        entries.run(SETTLED);
+        entries.run(SETTLING_WAIT);
     }
 
     private static Catalogue catalogue(Limits limits) {
@@ -71,14 +73,14 @@
         return new Workspace(id, "owner", "interactive", limits, 1, List.of(), "secret");
     }
 
-    /** Callers at the entries that always have a few requests waiting. */
-    private void flood(List<EntryId> at, Duration time) {
-        long steps = time.toMillis() / 50;
+    /** Sends requests to the entries at a rate that always keeps a few of them waiting. */
+    private void sendRequests(List<EntryId> targets, Duration duration) {
+        long steps = duration.toMillis() / 50;
         for (long step = 0; step < steps; step++) {
-            for (EntryId entry : at) {
+            for (EntryId entry : targets) {
                 if (entries.isUp(entry)) {
-                    calls.call(entry, LIMITED, RUN);
-                    calls.call(entry, LIMITED, RUN);
+                    calls.call(entry, LIMITED, RUN_TIME);
+                    calls.call(entry, LIMITED, RUN_TIME);
                 }
             }
             entries.run(Duration.ofMillis(50));
@@ -86,155 +88,160 @@
     }
 
     @Test
-    public void aWorkspaceUsesItsWholeLimitOverAllEntriesAndNeverMore() {
-        flood(names, Duration.ofSeconds(10));
+    public void aWorkspaceUsesExactlyItsLimitOverAllEntries() {
+        sendRequests(names, Duration.ofSeconds(10));
         assertEquals(calls.mostRunning(), LIMIT);
-        assertTrue(calls.letIn() > 200, "let in: " + calls.letIn());
+        assertTrue(calls.letIn() > 200, "admitted: " + calls.letIn());
     }
 
-    // The entry that lends a workspace's limit dies while others hold shares. For a while nobody lends. Then another
-    // entry owns the shard and lends anew, while shares of the dead one may still be in use.
+    // The entry that lends the limit of a workspace fails while other entries hold shares. For a while there is no
+    // lender. Then another entry owns the shard and grants new shares, while old shares may still be in use. Shares
+    // that are lent twice would exceed the limit.
     @Test
-    public void theLimitHoldsWhenItsOwnerDiesWithSharesLent() {
-        flood(names, Duration.ofSeconds(3));
+    public void theLimitHoldsWhenItsOwnerFailsWhileSharesAreLent() {
+        sendRequests(names, Duration.ofSeconds(3));
         entries.kill(names.get(0));
         entries.tellMembers();
-        flood(names, Duration.ofSeconds(9));
-        assertTrue(calls.running() > 0, "nothing runs without an owner");
+        sendRequests(names, Duration.ofSeconds(9));
+        assertTrue(calls.running() > 0, "no request runs while there is no owner");
         entries.own(SHARD, names.get(1));
-        flood(names, Duration.ofSeconds(50));
+        sendRequests(names, Duration.ofSeconds(50));
         assertTrue(calls.mostRunning() <= LIMIT, "most running: " + calls.mostRunning());
         entries.run(Duration.ofSeconds(10));
         long before = calls.letIn();
-        flood(names, Duration.ofSeconds(10));
-        assertTrue(calls.letIn() - before > 200, "the limit is not used whole again: " + (calls.letIn() - before));
+        sendRequests(names, Duration.ofSeconds(10));
+        assertTrue(calls.letIn() - before > 200, "the limit is not fully used again: " + (calls.letIn() - before));
     }
 
-    // The owner stands still past its lease, another takes over and waits out the shares. The first one wakes and
-    // finds asks in its queue before it hears that it lost the shard; only its clock can tell it not to lend.
+    // The owner is paused for longer than its lease. Another entry takes over and waits until the shares have expired.
+    // The first owner resumes and finds share requests in its queue before it learns that it lost the shard. It must
+    // detect from its clock that its lease has expired, or it would lend shares a second time.
     @Test
-    public void theLimitHoldsWhenAPausedOwnerWakesBesideANewOne() {
-        flood(names, Duration.ofSeconds(3));
+    public void theLimitHoldsWhenAPausedOwnerResumesAfterATakeover() {
+        sendRequests(names, Duration.ofSeconds(3));
         entries.pause(names.get(0));
-        flood(names.subList(1, 3), Duration.ofSeconds(3));
+        sendRequests(names.subList(1, 3), Duration.ofSeconds(3));
         entries.loseLease(SHARD, names.get(0));
         entries.own(SHARD, names.get(2), names.subList(1, 3));
-        flood(names.subList(1, 3), Duration.ofSeconds(9));
+        sendRequests(names.subList(1, 3), Duration.ofSeconds(9));
         entries.resume(names.get(0));
-        flood(names, Duration.ofSeconds(5));
+        sendRequests(names, Duration.ofSeconds(5));
         assertTrue(calls.mostRunning() <= LIMIT, "most running: " + calls.mostRunning());
     }
 
     @Test
-    public void anOwnerThatDoesNotWaitOutOldSharesPassesTheLimit() {
-        startWith(Duration.ZERO, new Limits(LIMIT, 0, 0));
-        lendAllThenChangeTheOwner();
-        assertTrue(calls.mostRunning() > LIMIT, "the check can't see shares that are lent twice");
+    public void withoutASettlingTimeANewOwnerExceedsTheLimit() {
+        startEntries(Duration.ZERO, new Limits(LIMIT, 0, 0));
+        lendWholeLimitThenChangeOwner();
+        assertTrue(calls.mostRunning() > LIMIT, "the check does not detect shares that are lent twice");
     }
 
     @Test
-    public void anOwnerThatWaitsOutOldSharesDoesNot() {
-        lendAllThenChangeTheOwner();
+    public void withASettlingTimeANewOwnerKeepsTheLimit() {
+        lendWholeLimitThenChangeOwner();
         assertEquals(calls.mostRunning(), LIMIT);
     }
 
-    private void lendAllThenChangeTheOwner() {
-        flood(names.subList(1, 2), Duration.ofSeconds(3));
+    private void lendWholeLimitThenChangeOwner() {
+        sendRequests(names.subList(1, 2), Duration.ofSeconds(3));
         entries.kill(names.get(0));
         entries.tellMembers();
         entries.cut(names.get(1), names.get(2));
         entries.own(SHARD, names.get(2));
-        flood(names.subList(1, 3), Duration.ofSeconds(4));
+        sendRequests(names.subList(1, 3), Duration.ofSeconds(4));
     }
 
-    // Shards are handed over when entries start or end. A caller that comes just then must not be refused for it.
+    // Shards change their owner when entries start or stop. A call that arrives at that moment must not be refused
+    // because the new owner grants no new shares yet.
     @Test
-    public void aCallThatComesWhenTheOwnerIsNewIsLetInWithinItsDeadline() {
+    public void aCallThatArrivesJustAfterAChangeOfOwnerIsAdmittedWithinItsDeadline() {
         entries.loseLease(SHARD, names.get(0));
         entries.own(SHARD, names.get(1));
-        LimitedCalls.Call call = calls.call(names.get(2), LIMITED, RUN);
+        LimitedCalls.Call call = calls.call(names.get(2), LIMITED, RUN_TIME);
         entries.run(DEADLINE);
         assertTrue(call.isLetIn());
     }
 
     @Test
-    public void aRateOverAllEntriesIsKept() {
-        startWith(ShareLender.WAIT_OUT, new Limits(0, RATE, 0));
-        flood(names, Duration.ofSeconds(20));
-        assertTrue(calls.letIn() <= RATE * 20 + RATE + names.size(), "let in: " + calls.letIn());
-        assertTrue(calls.letIn() >= RATE * 20 * 0.8, "let in: " + calls.letIn());
+    public void aRateLimitHoldsOverAllEntries() {
+        startEntries(ShareLender.SETTLING_TIME, new Limits(0, REQUESTS_PER_SECOND, 0));
+        sendRequests(names, Duration.ofSeconds(20));
+        assertTrue(
+                calls.letIn() <= REQUESTS_PER_SECOND * 20 + REQUESTS_PER_SECOND + names.size(),
+                "admitted: " + calls.letIn());
+        assertTrue(calls.letIn() >= REQUESTS_PER_SECOND * 20 * 0.8, "admitted: " + calls.letIn());
     }
 
     @Test
-    public void withoutAnOwnerAndWithoutAShareAWorkspaceIsRefusedAtOnceAndToldWhenToComeBack() {
+    public void withoutAnOwnerAndWithoutAShareARequestIsRefusedImmediatelyWithARetryAfterDelay() {
         entries = VirtualEntries.of(11, 1, (authority, shards) -> List.of(AdmissionComponent.of(authority, shards)));
         calls = LimitedCalls.over(entries, SERVICE, "interactive");
         EntryId alone = entries.start("entry-1");
         entries.tell(alone, new CatalogueChanged(catalogue(new Limits(LIMIT, 0, 0))));
-        Call call = calls.call(alone, LIMITED, RUN);
+        Call call = calls.call(alone, LIMITED, RUN_TIME);
         entries.run(Duration.ofMillis(1));
         assertEquals(call.refusal().orElseThrow().kind(), ErrorKind.WORKSPACE_LIMIT);
         assertTrue(call.refusal().orElseThrow().retryAfter().isPresent());
     }
 
-    // The owner of a workspace's limit is gone before this entry ever had a share, and nobody takes over. Callers
-    // must hear that soon, not at their deadlines.
+    // The owner of the limit of a workspace fails before this entry ever had a share, and no entry takes over. Requests
+    // must be refused soon, and not only at their deadlines.
     @Test
-    public void whenTheOwnerIsSilentTheFirstRequestsAreRefusedSoonAndTheNextAtOnce() {
+    public void whenTheOwnerIsSilentTheFirstRequestsAreRefusedSoonAndLaterOnesImmediately() {
         entries.kill(names.get(0));
-        Call first = calls.call(names.get(1), LIMITED, RUN);
+        Call first = calls.call(names.get(1), LIMITED, RUN_TIME);
         entries.run(Duration.ofMillis(1_500));
         assertEquals(first.refusal().orElseThrow().kind(), ErrorKind.WORKSPACE_LIMIT);
-        Call next = calls.call(names.get(1), LIMITED, RUN);
+        Call next = calls.call(names.get(1), LIMITED, RUN_TIME);
         entries.run(Duration.ofMillis(1));
         assertEquals(next.refusal().orElseThrow().kind(), ErrorKind.WORKSPACE_LIMIT);
     }
 
-    // One large workspace sends hundreds of requests at once. A colleague in a small one sends a single request after
-    // them and should wait for one place, not for hundreds.
+    // A large workspace sends hundreds of requests at once (60 in this test), and then a small workspace sends one. In
+    // arrival order the single request would wait for all the others. In fair order it waits for about one.
     @Test
-    public void aFloodOfOneWorkspaceDelaysAnotherByAboutOneRequest() {
+    public void aBurstOfOneWorkspaceDelaysAnotherByAboutOneRequest() {
         EntryId entry = names.get(0);
         entries.tell(entry, new CapacityChanged(SERVICE, 4));
         for (int request = 0; request < 60; request++) {
-            calls.call(entry, LARGE, RUN);
+            calls.call(entry, LARGE, RUN_TIME);
         }
         entries.run(Duration.ofMillis(50));
-        Call small = calls.call(entry, SMALL, RUN);
+        Call smallCall = calls.call(entry, SMALL, RUN_TIME);
         entries.run(Duration.ofSeconds(5));
-        assertTrue(small.waited().compareTo(RUN.multipliedBy(2)) <= 0, "waited " + small.waited());
+        assertTrue(smallCall.waited().compareTo(RUN_TIME.multipliedBy(2)) <= 0, "waited " + smallCall.waited());
     }
 
     @Test
-    public void aRequestThatCantMeetItsDeadlineIsRefusedAtOnceAndTheTimeToComeBackIsTrue() {
+    public void aRequestThatCannotMeetItsDeadlineIsRefusedImmediatelyWithACorrectRetryAfterDelay() {
         EntryId entry = names.get(0);
         entries.tell(entry, new CapacityChanged(SERVICE, 1));
-        calls.call(entry, SMALL, RUN);
-        entries.run(RUN.plusMillis(1));
-        Call refused = calls.call(entry, LARGE, RUN);
+        calls.call(entry, SMALL, RUN_TIME);
+        entries.run(RUN_TIME.plusMillis(1));
+        Call refused = calls.call(entry, LARGE, RUN_TIME);
         for (int request = 0; request < 60 && refused.refusal().isEmpty(); request++) {
-            refused = calls.call(entry, LARGE, RUN);
+            refused = calls.call(entry, LARGE, RUN_TIME);
             entries.run(Duration.ofNanos(1));
         }
         assertEquals(refused.refusal().orElseThrow().kind(), ErrorKind.OVERLOADED);
-        assertTrue(refused.waited().compareTo(Duration.ofMillis(1)) < 0, "the refusal was held back");
-        Duration comeBack = refused.refusal().orElseThrow().retryAfter().orElseThrow();
-        entries.run(comeBack.plusMillis(1));
-        Call again = calls.call(entry, LARGE, RUN);
+        assertTrue(refused.waited().compareTo(Duration.ofMillis(1)) < 0, "the refusal was delayed");
+        Duration retryAfter = refused.refusal().orElseThrow().retryAfter().orElseThrow();
+        entries.run(retryAfter.plusMillis(1));
+        Call retry = calls.call(entry, LARGE, RUN_TIME);
         entries.run(Duration.ofSeconds(5));
-        assertTrue(again.isLetIn(), "the caller came back in vain");
+        assertTrue(retry.isLetIn(), "the retry was not admitted");
     }
 
     @Test
-    public void aCallerThatLeavesFreesItsPlaceInTheQueueAndInTheService() {
+    public void aCallerThatDisconnectsReleasesItsSlotInTheQueueAndInTheService() {
         EntryId entry = names.get(0);
         entries.tell(entry, new CapacityChanged(SERVICE, 1));
-        calls.call(entry, LARGE, RUN);
-        Call leaving = calls.call(entry, LARGE, RUN);
+        calls.call(entry, LARGE, RUN_TIME);
+        Call disconnected = calls.call(entry, LARGE, RUN_TIME);
         entries.tell(entry, new AdmissionRequested.Withdrawn(org.yuccagw.core.id.RequestId.of("request-1")));
-        Call next = calls.call(entry, LARGE, RUN);
-        entries.run(RUN.plusMillis(10));
-        assertFalse(leaving.isAnswered());
+        Call next = calls.call(entry, LARGE, RUN_TIME);
+        entries.run(RUN_TIME.plusMillis(10));
+        assertFalse(disconnected.isAnswered());
         assertTrue(next.isLetIn());
         assertEquals(entries.state(entry, AdmissionSnapshot.class).waiting(), 0);
     }
--- a/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
+++ b/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
@@ -34,22 +34,22 @@
 
 public class ForwardMachineTest {
     private static final ServiceName SERVICE = ServiceName.of("service");
-    private static final long FIRST_WEIGHTS = 1;
-    private static final EndpointIncarnation FIRST_START = EndpointIncarnation.of(EndpointId.of("e1"), 1);
+    private static final long FIRST_VERSION = 1;
+    private static final EndpointIncarnation FIRST_INCARNATION = EndpointIncarnation.of(EndpointId.of("e1"), 1);
 
     private RecordedForwardEffects effects;
     private long tickets;
 
     @BeforeMethod
-    public void freshEffects() {
+    public void createEffects() {
         effects = new RecordedForwardEffects();
         tickets = 0;
     }
 
-    // ---- The usual way.
+    // ---- Answers without failures
 
     @Test
-    public void anAnswerIsPassedOnAsItCame() {
+    public void anAnswerIsForwardedUnchanged() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
@@ -62,28 +62,28 @@
     }
 
     @Test
-    public void whatIsLeftOfTheTimeIsPassedOnToTheSecondAttempt() {
+    public void theSecondAttemptGetsTheRemainingTime() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
-        effects.pass(Duration.ofMillis(300));
+        effects.advance(Duration.ofMillis(300));
         machine.onFailure(1, End.BROKEN, "reset");
         machine.onPlaced(placed("e2"));
         assertTrue(effects.lines.contains("send leg 2 to e2 left 500 after -1 fresh"), effects.lines.toString());
     }
 
     @Test
-    public void theRateLimitThatAnAnswerNamesIsReportedOfTheEndpointThatSaidSo() {
+    public void theRateLimitInAnAnswerIsReportedForItsEndpoint() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
-        machine.onHead(1, noticed(ok(), EndpointNotice.ofRateLimit(RateLimit.of(1.4))));
+        machine.onHead(1, withNotice(ok(), EndpointNotice.ofRateLimit(RateLimit.of(1.4))));
         assertEquals(
                 effects.notices,
                 ImmutableList.of(
-                        new NoticeReceived(FIRST_START, EndpointNotice.ofRateLimit(RateLimit.of(1.4)), false)));
+                        new NoticeReceived(FIRST_INCARNATION, EndpointNotice.ofRateLimit(RateLimit.of(1.4)), false)));
     }
 
     @Test
-    public void anAnswerWithoutARateLimitIsReportedWhereOneWasKnown() {
+    public void anAnswerWithoutARateLimitIsReportedIfOneWasKnown() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
@@ -92,40 +92,42 @@
         ForwardMachine second = begin(RouteKind.IDEMPOTENT, false, 2);
         second.onPlaced(placed("e1", true));
         second.onHead(1, ok());
-        assertEquals(effects.notices, ImmutableList.of(new NoticeReceived(FIRST_START, EndpointNotice.NONE, true)));
+        assertEquals(
+                effects.notices, ImmutableList.of(new NoticeReceived(FIRST_INCARNATION, EndpointNotice.NONE, true)));
     }
 
-    // The answer is kept back for a second try, or the request goes elsewhere: what its head says still counts.
+    // An answer that is held during a retry, or discarded because the request is placed elsewhere, is not forwarded.
+    // The notice in its head must be reported nevertheless.
     @Test
-    public void whatAnEndpointSaysOfItselfCountsInAnswersThatAreNotPassedOn() {
+    public void noticesInAnswersThatAreNotForwardedAreReported() {
         EndpointNotice leaving = EndpointNotice.ofLeaving();
         EndpointNotice backOff = EndpointNotice.ofBackOff(Duration.ofSeconds(3));
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 3);
         machine.onPlaced(placed("e1"));
-        machine.onHead(1, noticed(answer(500, true, true), leaving));
+        machine.onHead(1, withNotice(answer(500, true, true), leaving));
         machine.onPlaced(placed("e1"));
-        machine.onHead(2, noticed(notRun(503), backOff));
+        machine.onHead(2, withNotice(notRun(503), backOff));
         assertEquals(
                 effects.notices,
                 ImmutableList.of(
-                        new NoticeReceived(FIRST_START, leaving, false),
-                        new NoticeReceived(FIRST_START, backOff, false)));
+                        new NoticeReceived(FIRST_INCARNATION, leaving, false),
+                        new NoticeReceived(FIRST_INCARNATION, backOff, false)));
     }
 
-    // An endpoint that is full answers without looking at the request, so it can't name its id.
+    // An overloaded endpoint answers without reading the request, so its answer does not name the request id.
     @Test
-    public void whatAnEndpointSaysOfItselfCountsInARefusalThatNamesNoRequest() {
+    public void aNoticeInARefusalWithoutARequestIdIsReported() {
         EndpointNotice backOff = EndpointNotice.ofBackOff(Duration.ofSeconds(3));
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 3);
         machine.onPlaced(placed("e1"));
         AnswerStart refusal =
                 new AnswerStart(503, false, false, true, false, false, true, OptionalLong.empty(), backOff);
         machine.onHead(1, refusal);
-        assertEquals(effects.notices, ImmutableList.of(new NoticeReceived(FIRST_START, backOff, false)));
+        assertEquals(effects.notices, ImmutableList.of(new NoticeReceived(FIRST_INCARNATION, backOff, false)));
     }
 
     @Test
-    public void anAnswerOfAnotherEndpointSaysNothingOfTheLimitOfTheExpectedOne() {
+    public void aRateLimitInAnAnswerOfAnotherEndpointIsNotReportedForTheExpectedOne() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(
@@ -143,9 +145,10 @@
         assertEquals(effects.notices, ImmutableList.of());
     }
 
-    // Others decide by what an engine has still to read; they have to hear when an answer has begun, once.
+    // Placement depends on the prompt tokens that an engine still has to prefill, so the start of an answer must be
+    // reported, and exactly once.
     @Test
-    public void theBeginOfAStreamsAnswerIsToldOnce() {
+    public void theStartOfAStreamedAnswerIsReportedOnce() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
@@ -153,12 +156,12 @@
         assertEquals(effects.begunTickets, ImmutableList.of(1L));
     }
 
-    // ---- Not twice.
+    // ---- No request runs twice
 
-    // The connection breaks after a consent letter was sent. The endpoint may have sent it on. A second attempt would
-    // ring the referee twice, and a status that promises "not run" would make the caller do the same.
+    // The connection breaks after the request was sent, and the endpoint may have run it. A retry would run a request
+    // that is not idempotent twice, and a status that implies "not run" would make the caller retry it.
     @Test
-    public void aRequestThatMayHaveRunIsNeitherSentAgainNorCalledNotRun() {
+    public void aNonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onFailure(1, End.BROKEN, "reset");
@@ -168,7 +171,7 @@
     }
 
     @Test
-    public void aRequestOfWhichNothingWasSentGoesElsewhereWhateverItsKind() {
+    public void aRequestThatWasNotSentIsRetriedElsewhereWhateverItsKind() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
         machine.onPlaced(placed("e1"));
         machine.onFailure(1, End.UNREACHED, "refused");
@@ -180,7 +183,7 @@
     }
 
     @Test
-    public void aRequestThatAnEndpointSaysItDidNotRunGoesElsewhereFromTheBudget() {
+    public void aRequestThatAnEndpointReportsAsNotRunIsRetriedElsewhereWithinTheBudget() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, notRun(503));
@@ -189,10 +192,10 @@
         assertEquals(effects.error.ran(), ErrorKind.Ran.NOT_RUN);
     }
 
-    // An endpoint answers 503 without saying that it did not run the request. Passed on, the status would promise just
-    // that, and the caller would send a save again that has been carried out.
+    // An endpoint answers with status 503 without stating that it did not run the request. If forwarded, the status
+    // would imply "not run", and the caller would retry a write that may have been carried out.
     @Test
-    public void anEndpointsStatusThatPromisesTooMuchIsNotPassedOn() {
+    public void aStatusThatImpliesNotRunWithoutProofIsNotForwarded() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, answer(503, true, false));
@@ -200,13 +203,13 @@
     }
 
     @Test
-    public void aRequestThatIsNotRepeatableGoesOverAConnectionOfItsOwn() {
+    public void aRequestThatIsNotRepeatableIsSentOverANewConnection() {
         begin(RouteKind.NON_IDEMPOTENT, false, 1).onPlaced(placed("e1"));
         assertTrue(effects.lines.get(1).endsWith("fresh"), effects.lines.toString());
     }
 
     @Test
-    public void noMoreEndpointsRunARequestThanItsRouteAllows() {
+    public void aRequestRunsOnNoMoreEndpointsThanItsRouteAllows() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onFailure(1, End.BROKEN, "reset");
@@ -216,11 +219,12 @@
         assertEquals(effects.attempts.size(), 2);
     }
 
-    // ---- Whose answer it is.
+    // ---- Authenticity of answers
 
-    // A late answer to an earlier request sits on a kept connection. The caller would get somebody else's data.
+    // A late answer to an earlier request is received on a reused connection. If forwarded, the caller would get the
+    // data of another caller.
     @Test
-    public void anAnswerThatNamesAnotherRequestIsNeverPassedOn() {
+    public void anAnswerThatNamesAnotherRequestIsNeverForwarded() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 1);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, answer(200, false, true));
@@ -230,7 +234,7 @@
     }
 
     @Test
-    public void aSuccessWithoutTheEndpointsSealIsNoSuccess() {
+    public void aSuccessWithoutASealIsRejected() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 1);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, answer(200, true, false));
@@ -238,7 +242,7 @@
     }
 
     @Test
-    public void anAnswerThatBreaksOffIsCutAndNotEnded() {
+    public void anInterruptedAnswerIsAbortedAndNotCompleted() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
@@ -248,8 +252,8 @@
         assertFalse(effects.lines.contains("end"));
     }
 
-    // The head of an answer says "not run" after the attempt was counted as over; reading the endpoint of the ended
-    // attempt threw, and the caller waited for its whole time without an answer.
+    // The head of an answer says "not run" after the attempt was counted as ended. Reading the endpoint of the ended
+    // attempt threw an exception, and the caller waited until its deadline without an answer.
     @Test
     public void anAnswerThatSaysNotRunEndsTheAttemptOnce() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
@@ -259,10 +263,10 @@
         assertEquals(effects.attempts, ImmutableList.of(End.WRONG_VERSION));
     }
 
-    // ---- Faults kept back.
+    // ---- Held error answers
 
     @Test
-    public void aFaultIsPassedOnWhenNoOtherEndpointMayTry() {
+    public void anErrorAnswerIsForwardedIfNoOtherEndpointIsAvailable() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, answer(500, true, true));
@@ -274,7 +278,7 @@
     }
 
     @Test
-    public void aFaultIsForgottenWhenAnotherEndpointAnswers() {
+    public void anErrorAnswerIsDiscardedIfAnotherEndpointAnswers() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, answer(500, true, true));
@@ -287,12 +291,13 @@
         assertEquals(effects.ends, 1);
     }
 
-    // ---- Streams.
+    // ---- Streams
 
-    // The engine crashes in the middle of event 3. The user would read a torn word, or the same words twice. Events 1
-    // and 2 went out whole; the stream goes on from another engine with the same weights after event 2.
+    // The engine crashes in the middle of event 3, after events 1 and 2 were forwarded. The caller would receive an
+    // incomplete event or the same events twice. The stream must continue after event 2 on another engine with the same
+    // weight version.
     @Test
-    public void aResumableStreamGoesOnAfterItsLastWholeEvent() {
+    public void aResumableStreamContinuesAfterItsLastCompleteEvent() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
@@ -310,7 +315,7 @@
     }
 
     @Test
-    public void aStreamThatEndsInsideAnEventIsNotWhole() {
+    public void aStreamThatEndsInsideAnEventIsAborted() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 1);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
@@ -321,7 +326,7 @@
     }
 
     @Test
-    public void aStreamIsNeverResumedWithOtherWeights() {
+    public void aStreamIsNeverResumedWithAnotherWeightVersion() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 3);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
@@ -335,36 +340,36 @@
         assertFalse(effects.callerBody.toString().contains("other"));
     }
 
-    // The connection to the engine falls silent for good and shows no error. The analyst would stare at half a
-    // sentence until the browser gives up.
+    // The connection to the engine stays open but delivers no more bytes and no error. Without a timeout the caller
+    // would wait for the rest of the answer until its own timeout.
     @Test
-    public void aStreamThatPausesForTooLongGoesOnElsewhere() {
+    public void aStreamThatPausesForTooLongIsContinuedElsewhere() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("id: 1\ndata: a\n\n"));
-        effects.pass(Duration.ofMillis(700));
+        effects.advance(Duration.ofMillis(700));
         machine.onTimer(TimerKind.GAP, 1);
         assertEquals(effects.attempts, ImmutableList.of(End.SILENT));
         assertTrue(effects.lines.contains("place REPEAT without [e1] version 1"));
     }
 
     @Test
-    public void aStreamThatMovesOnIsLeftAlone() {
+    public void aStreamThatMakesProgressIsNotInterrupted() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
         machine.onPlaced(placed("e1"));
         machine.onHead(1, ok());
-        effects.pass(Duration.ofMillis(500));
+        effects.advance(Duration.ofMillis(500));
         machine.onBytes(1, bytes("id: 1\ndata: a\n\n"));
-        effects.pass(Duration.ofMillis(200));
+        effects.advance(Duration.ofMillis(200));
         machine.onTimer(TimerKind.GAP, 1);
         assertTrue(effects.attempts.isEmpty());
     }
 
-    // ---- Time and leaving.
+    // ---- Deadlines and disconnected callers
 
     @Test
-    public void atTheEndOfItsTimeARequestThatWasSentIsNotCalledNotRun() {
+    public void atItsDeadlineARequestThatWasSentIsNotReportedAsNotRun() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
         machine.onPlaced(placed("e1"));
         machine.onTimer(TimerKind.DEADLINE, 0);
@@ -373,14 +378,14 @@
     }
 
     @Test
-    public void atTheEndOfItsTimeARequestThatWasNeverSentIsCalledNotRun() {
+    public void atItsDeadlineARequestThatWasNeverSentIsReportedAsNotRun() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
         machine.onTimer(TimerKind.DEADLINE, 0);
         assertEquals(effects.error.ran(), ErrorKind.Ran.NOT_RUN);
     }
 
     @Test
-    public void whatRunsForACallerThatLeftIsGivenUpAtOnce() {
+    public void theAttemptOfACallerThatDisconnectedIsAbandonedImmediately() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
         machine.onCallerLeft();
@@ -391,7 +396,7 @@
     }
 
     @Test
-    public void aPlaceThatComesAfterTheEndIsGivenBack() {
+    public void aPlacementThatArrivesAfterTheEndIsReleased() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onCallerLeft();
         machine.onPlaced(placed("e1"));
@@ -399,15 +404,15 @@
     }
 
     @Test
-    public void aRepeatableRequestThatGetsNoAnswerIsTriedElsewhereInTime() {
+    public void aRepeatableRequestWithoutAnAnswerIsRetriedElsewhereInTime() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
         machine.onPlaced(placed("e1"));
-        effects.pass(Duration.ofMillis(400));
+        effects.advance(Duration.ofMillis(400));
         machine.onTimer(TimerKind.HEAD, 1);
         assertTrue(effects.lines.contains("place REPEAT without [e1]"), effects.lines.toString());
     }
 
-    // ---- Small helpers.
+    // ---- Helpers
 
     private ForwardMachine begin(RouteKind kind, boolean resumable, int attempts) {
         Route route = new Route(
@@ -470,11 +475,11 @@
                 false,
                 false,
                 true,
-                OptionalLong.of(FIRST_WEIGHTS),
+                OptionalLong.of(FIRST_VERSION),
                 EndpointNotice.NONE);
     }
 
-    private static AnswerStart noticed(AnswerStart head, EndpointNotice notice) {
+    private static AnswerStart withNotice(AnswerStart head, EndpointNotice notice) {
         return new AnswerStart(
                 head.status(),
                 head.ofThisRequest(),
--- a/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
+++ b/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
@@ -16,7 +16,7 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 
-/** Writes down what a machine asks for, in virtual time. */
+/** Records the effects of a {@link ForwardMachine} in virtual time. */
 final class RecordedForwardEffects implements ForwardEffects {
     final List<Long> begunTickets = new ArrayList<>();
     final List<NoticeReceived> notices = new ArrayList<>();
@@ -27,7 +27,7 @@
     ErrorKind error;
     int ends;
 
-    void pass(Duration time) {
+    void advance(Duration time) {
         nowNanos += time.toNanos();
     }
 
@@ -88,9 +88,9 @@
     }
 
     @Override
-    public void answerError(YuccagwException told) {
-        error = told.kind();
-        lines.add("error " + told.kind());
+    public void answerError(YuccagwException raised) {
+        error = raised.kind();
+        lines.add("error " + raised.kind());
     }
 
     @Override
--- a/src/test/java/org/yuccagw/core/retry/RetryPolicyTest.java
+++ b/src/test/java/org/yuccagw/core/retry/RetryPolicyTest.java
@@ -28,32 +28,33 @@
     }
 
     @Test(dataProvider = "failures")
-    public void everyFailureHasOneOwnerAndOnlyItRetries(FailureClass failure) {
+    public void everyFailureClassIsRetriedByItsOwnerOnly(FailureClass failure) {
         RetryTable.Row row = RetryTable.row(failure);
         assertNotNull(row);
         for (RetryLayer layer : RetryLayer.values()) {
             boolean retried = decide(failure, situation(layer, true, false, 1)) instanceof Retry;
-            assertEquals(retried, layer == row.owner() && row.idempotentAgain(), layer.name());
+            assertEquals(retried, layer == row.owner() && row.retriesIdempotent(), layer.name());
         }
     }
 
     @Test(dataProvider = "failures")
-    public void theEntryNeverRepeatsANonIdempotentRequestThatMayHaveRun(FailureClass failure) {
+    public void theEntryNeverRetriesANonIdempotentRequestThatMayHaveRun(FailureClass failure) {
         boolean mayHaveRun = RetryTable.row(failure).ran() != Ran.NOT_RUN;
         boolean retried = decide(failure, situation(RetryLayer.ENTRY, false, false, 1)) instanceof Retry;
         assertTrue(!(retried && mayHaveRun), failure.name());
-        boolean retriedAfterDoubt = decide(failure, situation(RetryLayer.ENTRY, false, true, 2)) instanceof Retry;
-        assertTrue(!retriedAfterDoubt, failure.name());
+        boolean retriedAfterUncertainAttempt =
+                decide(failure, situation(RetryLayer.ENTRY, false, true, 2)) instanceof Retry;
+        assertTrue(!retriedAfterUncertainAttempt, failure.name());
     }
 
     @Test(dataProvider = "failures")
-    public void noRefusalClaimsNotRunAfterAnAttemptThatMayHaveRun(FailureClass failure) {
+    public void noErrorClaimsNotRunAfterAnAttemptThatMayHaveRun(FailureClass failure) {
         RetryDecision decision = decide(failure, situation(RetryLayer.ENTRY, true, true, 4));
         assertEquals(((GiveUp) decision).error().ran() == Ran.NOT_RUN, false, failure.name());
     }
 
     @Test
-    public void anEmptyBudgetEndsTheRequestAtOnceAsNotRun() {
+    public void anEmptyBudgetEndsTheRequestImmediatelyAsNotRun() {
         RetrySituation spent = new RetrySituation(
                 RetryLayer.ENTRY, true, false, 1, MINUTE, Optional.empty(), new RetryBudget(0.9, 20, 0.1));
         assertEquals(
@@ -61,27 +62,27 @@
     }
 
     @Test
-    public void aWaitPastTheDeadlineIsRefusedNowAndTheCallerIsToldWhenToComeBack() {
-        Optional<Duration> asked = Optional.of(Duration.ofMinutes(2));
+    public void aDelayBeyondTheDeadlineIsRefusedImmediatelyWithARetryAfterDelay() {
+        Optional<Duration> requested = Optional.of(Duration.ofMinutes(2));
         RetrySituation late =
-                new RetrySituation(RetryLayer.ENTRY, true, false, 1, MINUTE, asked, RetryBudget.full(20, 0.1));
-        assertEquals(decide(FailureClass.OVERLOADED, late), new GiveUp(ErrorKind.ENDPOINT_REFUSED, asked));
+                new RetrySituation(RetryLayer.ENTRY, true, false, 1, MINUTE, requested, RetryBudget.full(20, 0.1));
+        assertEquals(decide(FailureClass.OVERLOADED, late), new GiveUp(ErrorKind.ENDPOINT_REFUSED, requested));
     }
 
     @Test
-    public void theWaitIsJitteredWithinTheDoublingCeilingAndNeverBelowWhatWasAsked() {
+    public void theDelayIsJitteredBelowADoublingCeilingAndNeverShorterThanRequested() {
         Backoff backoff = Backoff.usual();
         for (int retry = 1; retry <= 40; retry++) {
             long ceiling = (long) Math.min(2000, 50 * Math.pow(2, Math.min(retry - 1, 30)));
-            assertTrue(backoff.before(retry, random).toMillis() <= ceiling);
+            assertTrue(backoff.delay(retry, random).toMillis() <= ceiling);
         }
-        RetrySituation asked = new RetrySituation(
+        RetrySituation requested = new RetrySituation(
                 RetryLayer.ENTRY, true, false, 1, MINUTE, Optional.of(Duration.ofSeconds(9)), RetryBudget.unlimited());
-        assertEquals(decide(FailureClass.OVERLOADED, asked), new Retry(Duration.ofSeconds(9), true));
+        assertEquals(decide(FailureClass.OVERLOADED, requested), new Retry(Duration.ofSeconds(9), true));
     }
 
     @Test
-    public void successesEarnTheBudgetBackButNeverPastItsCapacity() {
+    public void successesRefillTheBudgetUpToItsCapacity() {
         RetryBudget budget = RetryBudget.full(1, 0.25).spend();
         for (int success = 0; success < 3; success++) {
             budget = budget.succeed();
@@ -92,7 +93,7 @@
     }
 
     @Test
-    public void onlyAModelEnginesOwnCodeOrStatus429ProvesThatNothingRan() {
+    public void onlyAnErrorCodeOfAModelEngineOrStatus429ProvesThatNothingRan() {
         assertEquals(FailureClass.ofAnswer(429, ""), FailureClass.OVERLOADED);
         assertEquals(FailureClass.ofAnswer(503, "overloaded"), FailureClass.OVERLOADED);
         assertEquals(FailureClass.ofAnswer(503, "leaving"), FailureClass.LEAVING);
--- a/src/test/java/org/yuccagw/core/routing/CacheCore.java
+++ b/src/test/java/org/yuccagw/core/routing/CacheCore.java
@@ -41,7 +41,7 @@
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.id.WorkspaceId;
 
-/** A control core with the cache and the route part in virtual time; its effects are kept for a test to look at. */
+/** A control core with the cache component and the route component in virtual time. Records its actions for tests. */
 public final class CacheCore {
     public static final ServiceName SERVICE = ServiceName.of("assistant");
     public static final WorkspaceId WORKSPACE = WorkspaceId.of("statistics");
@@ -67,20 +67,20 @@
                 NetworkAddress.of("127.0.0.1", 3));
         core = ControlCore.of(
                 self, new SplittableRandom(7), List.of(CacheComponent.of(state), RouteComponent.of(policy, state)));
-        take(core.start(0, 0));
+        applyEffects(core.start(0, 0));
     }
 
     public static CacheCore of(CacheSettings settings, String policy) {
         return new CacheCore(settings, RoutePolicies.byName(policy));
     }
 
-    /** The product's policy, so many endpoints on version v1, and two stores. */
+    /** Returns a core with the default policy, the given number of endpoints on version v1, and two stores. */
     public static CacheCore usual(int endpointCount) {
-        CacheCore made = of(CacheSettings.usual(), RoutePolicies.PREDICTED_FIRST_TOKEN);
-        made.catalogue("v1");
-        made.endpoints(endpointCount, "v1");
-        made.stores(1);
-        return made;
+        CacheCore core = of(CacheSettings.usual(), RoutePolicies.PREDICTED_FIRST_TOKEN);
+        core.catalogue("v1");
+        core.endpoints(endpointCount, "v1");
+        core.stores(1);
+        return core;
     }
 
     public CacheState state() {
@@ -92,10 +92,10 @@
     }
 
     public void handle(ControlEvent event) {
-        take(core.handle(event, nowNanos, 0));
+        applyEffects(core.handle(event, nowNanos, 0));
     }
 
-    /** Lets time pass, with every timer at its own time. */
+    /** Advances the virtual time and runs each timer at its own time. */
     public void pass(Duration duration) {
         long end = nowNanos + duration.toNanos();
         while (core.nextTimerNanos() <= end) {
@@ -165,7 +165,7 @@
         return EndpointId.of(String.format("assistant-%04d", number));
     }
 
-    /** Keys of a prompt: the same name and length give the same keys. */
+    /** Returns the block keys of a prompt. The same name and length give the same keys. */
     public static ImmutableList<BlockKey> prompt(String name, int blocks) {
         ImmutableList.Builder<BlockKey> keys = ImmutableList.builder();
         for (int i = 0; i < blocks; i++) {
@@ -175,7 +175,7 @@
         return keys.build();
     }
 
-    /** A preamble followed by blocks of its own. */
+    /** Returns a preamble followed by blocks that are specific to the prompt. */
     public static ImmutableList<BlockKey> extended(List<BlockKey> preamble, String name, int blocks) {
         return ImmutableList.<BlockKey>builder()
                 .addAll(preamble)
@@ -211,7 +211,7 @@
         return (RouteRequested.Answer.Chosen) ask(question(blocks));
     }
 
-    /** The whole life of a request that goes well. */
+    /** Routes a request and reports that it was sent and answered successfully. */
     public RouteRequested.Answer.Chosen serve(List<BlockKey> blocks) {
         RouteRequested.Answer.Chosen chosen = route(blocks);
         handle(new AttemptReport.Sent(chosen.attempt()));
@@ -220,7 +220,7 @@
         return chosen;
     }
 
-    /** The actions of one kind since this was last asked for it, oldest first. */
+    /** Removes and returns the recorded actions of one type, oldest first. */
     public <T extends ControlAction> List<T> actions(Class<T> kind) {
         List<T> found =
                 actions.stream().filter(kind::isInstance).map(kind::cast).toList();
@@ -228,7 +228,7 @@
         return found;
     }
 
-    /** Answers every export that was ordered, as if all blocks were sealed. */
+    /** Reports each requested export as successful, with all blocks sealed. */
     public void finishExports() {
         actions(org.yuccagw.core.cache.CacheOrder.ExportBlocks.class)
                 .forEach(order -> handle(new EngineCacheUpdate.ExportEnded(
@@ -241,7 +241,7 @@
                 .toList();
     }
 
-    /** The endpoint lost all its blocks, as a snapshot shows. */
+    /** Reports by a snapshot that the endpoint has lost all its blocks. */
     public void evictAll(EndpointId endpoint) {
         handle(new EngineCacheUpdate.SnapshotRead(endpoint, 1, Optional.empty(), List.of()));
     }
@@ -250,7 +250,7 @@
         return StoreId.of("store-" + number);
     }
 
-    private void take(List<ControlCore.Effect> effects) {
+    private void applyEffects(List<ControlCore.Effect> effects) {
         for (ControlCore.Effect effect : effects) {
             if (effect instanceof ControlCore.Effect.Perform perform) {
                 actions.add(perform.action());
--- a/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
+++ b/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test(dataProvider = "policies")
-    public void everyPolicyChoosesOnlyEndpointsThatTakeNewWork(String policy) {
+    public void everyPolicyChoosesOnlyEndpointsThatAcceptNewRequests(String policy) {
         CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
         core.catalogue("v2");
         core.endpoint(0, "v1", false);
@@ -41,11 +41,12 @@
         }
     }
 
-    // The catalogue names new weights while every replica still runs the old ones, then while one of four runs the new
-    // ones. Users would be refused at first, and then all wait for the first replica. Cause: only replicas of the
-    // version in the catalogue were candidates. Old ones must serve on until their turn, without blocks of the new one.
+    // The catalogue names a new weight version while every replica still runs the old one, and then while one of four
+    // replicas runs the new one. When only replicas of the catalogue version were candidates, requests were refused at
+    // first and then all queued on the first replica. Replicas of the old version must serve requests until they are
+    // swapped, and without block imports, since block keys belong to the new version.
     @Test(dataProvider = "policies")
-    public void duringASwapEachVersionTakesItsPartOfNewRequests(String policy) {
+    public void duringASwapEachVersionReceivesNewRequestsInProportionToItsReplicas(String policy) {
         CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
         core.catalogue("v2");
         core.endpoints(3, "v1");
@@ -53,17 +54,19 @@
         assertEquals(before.endpoint().version(), Optional.of(WeightVersion.of("v1")));
         assertTrue(before.importFirst().isEmpty());
         core.endpoint(3, "v2", true);
-        int ofNew = 0;
+        int routedToNewVersion = 0;
         for (int i = 0; i < 200; i++) {
             Answer.Chosen chosen = core.route(CacheCore.prompt("p" + i, 10));
-            boolean isNew = chosen.endpoint().id().equals(CacheCore.endpointId(3));
-            ofNew += isNew ? 1 : 0;
+            boolean isNewVersion = chosen.endpoint().id().equals(CacheCore.endpointId(3));
+            routedToNewVersion += isNewVersion ? 1 : 0;
         }
-        assertTrue(ofNew >= 30 && ofNew <= 75, ofNew + " of 200 on one of four replicas");
+        assertTrue(
+                routedToNewVersion >= 30 && routedToNewVersion <= 75,
+                routedToNewVersion + " of 200 routed to one of four replicas");
     }
 
     @Test(dataProvider = "policies")
-    public void everyPolicyPassesOverExcludedEndpoints(String policy) {
+    public void everyPolicySkipsExcludedEndpoints(String policy) {
         CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
         core.catalogue("v1");
         core.endpoints(2, "v1");
@@ -71,7 +74,7 @@
         Question again = excluding(first, ImmutableSet.of(CacheCore.endpointId(0)));
         assertEquals(((Answer.Chosen) core.ask(again)).endpoint().id(), CacheCore.endpointId(1));
         Question neither = excluding(first, ImmutableSet.of(CacheCore.endpointId(0), CacheCore.endpointId(1)));
-        assertEquals(refusal(core.ask(neither)), ErrorKind.NO_ENDPOINT);
+        assertEquals(refusalKind(core.ask(neither)), ErrorKind.NO_ENDPOINT);
     }
 
     @Test
@@ -89,21 +92,24 @@
                 1,
                 ImmutableSet.of(),
                 false);
-        assertEquals(refusal(core.ask(unknown)), ErrorKind.UNKNOWN_MODEL);
+        assertEquals(refusalKind(core.ask(unknown)), ErrorKind.UNKNOWN_MODEL);
     }
 
     @Test
-    public void aRunThatGoesOnKeepsItsVersionOrIsToldThatItIsGone() {
+    public void aContinuedRunKeepsItsVersionOrFailsWithVersionGone() {
         CacheCore core = CacheCore.usual(2);
         core.endpoint(2, "v0", true);
         Question question = core.question(CacheCore.prompt("p", 4));
         assertEquals(
-                ((Answer.Chosen) core.ask(onVersion(question, "v0"))).endpoint().id(), CacheCore.endpointId(2));
-        assertEquals(refusal(core.ask(onVersion(question, "v9"))), ErrorKind.VERSION_GONE);
+                ((Answer.Chosen) core.ask(withVersion(question, "v0")))
+                        .endpoint()
+                        .id(),
+                CacheCore.endpointId(2));
+        assertEquals(refusalKind(core.ask(withVersion(question, "v9"))), ErrorKind.VERSION_GONE);
     }
 
     @Test
-    public void aPromptReturnsToTheReplicaThatHoldsIt() {
+    public void aRepeatedPromptIsRoutedToTheReplicaThatHasItCached() {
         CacheCore core = CacheCore.usual(13);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 60);
         EndpointId first =
@@ -117,7 +123,7 @@
     }
 
     @Test
-    public void aLongQueueSendsAPromptToAnotherReplica() {
+    public void aLongQueueMovesAPromptToAnotherReplica() {
         CacheCore core = CacheCore.usual(4);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 8);
         EndpointId warm = core.serve(preamble).endpoint().id();
@@ -132,7 +138,7 @@
     }
 
     @Test
-    public void newPromptsSpreadOverThePool() {
+    public void newPromptsAreSpreadOverThePool() {
         CacheCore core = CacheCore.usual(13);
         Set<EndpointId> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
@@ -142,28 +148,28 @@
     }
 
     @Test
-    public void aSuspectPromptRunsAlone() {
+    public void aSuspectPromptRunsOnAnEndpointWithoutOtherAttempts() {
         CacheCore core = CacheCore.usual(2);
         Answer.Chosen running = core.route(CacheCore.prompt("p", 4));
         Question question = core.question(CacheCore.prompt("suspect", 4));
-        Question alone = alone(question);
-        Answer.Chosen placed = (Answer.Chosen) core.ask(alone);
+        Question exclusive = exclusive(question);
+        Answer.Chosen placed = (Answer.Chosen) core.ask(exclusive);
         assertNotEquals(placed.endpoint().id(), running.endpoint().id());
         assertEquals(
                 core.route(CacheCore.prompt("other", 4)).endpoint().id(),
                 running.endpoint().id());
-        assertEquals(refusal(core.ask(alone(question))), ErrorKind.NO_ENDPOINT);
+        assertEquals(refusalKind(core.ask(exclusive(question))), ErrorKind.NO_ENDPOINT);
         core.handle(new AttemptReport.Ended(placed.attempt(), true, 0, 1));
-        assertTrue(core.ask(alone(question)) instanceof Answer.Chosen);
+        assertTrue(core.ask(exclusive(question)) instanceof Answer.Chosen);
     }
 
     @Test
-    public void theSameEventsGiveTheSameChoices() {
+    public void theSameEventsLeadToTheSameChoices() {
         assertEquals(choices(), choices());
     }
 
     @Test
-    public void manyEndpointsAreWeighedByAFew() {
+    public void onlyAFewOfManyEndpointsAreScored() {
         CacheCore core = CacheCore.usual(1_250);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 60);
         EndpointId first = core.serve(preamble).endpoint().id();
@@ -181,24 +187,24 @@
         return chosen.build();
     }
 
-    private static ErrorKind refusal(Answer answer) {
+    private static ErrorKind refusalKind(Answer answer) {
         return ((Answer.Refused) answer).error().kind();
     }
 
     private static Question excluding(Question question, ImmutableSet<EndpointId> excluded) {
-        return changed(question, question.version(), excluded, false);
+        return copyWith(question, question.version(), excluded, false);
     }
 
-    private static Question onVersion(Question question, String version) {
-        return changed(question, Optional.of(WeightVersion.of(version)), question.excluded(), false);
+    private static Question withVersion(Question question, String version) {
+        return copyWith(question, Optional.of(WeightVersion.of(version)), question.excluded(), false);
     }
 
-    private static Question alone(Question question) {
-        return changed(question, question.version(), question.excluded(), true);
+    private static Question exclusive(Question question) {
+        return copyWith(question, question.version(), question.excluded(), true);
     }
 
-    private static Question changed(
-            Question question, Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
+    private static Question copyWith(
+            Question question, Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean exclusive) {
         return new Question(
                 question.request(),
                 question.workspace(),
@@ -209,6 +215,6 @@
                 question.promptTokens(),
                 question.answerTokens(),
                 excluded,
-                alone);
+                exclusive);
     }
 }
