--- a/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
+++ b/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
@@ -66,10 +66,10 @@
      * @param version weight version that the engine must run for a block to be committed
      */
     public void importBlocks(EndpointStatus endpoint, ImportPlan plan, String version, Consumer<ImportOutcome> done) {
-        Optional<Running> other = plan.joins() ? find(endpoint.id(), plan.blocks()) : Optional.empty();
+        Optional<Running> other = plan.joinsRunningImport() ? find(endpoint.id(), plan.blocks()) : Optional.empty();
         if (other.isPresent()) {
             join(other.get(), plan.deadline(), done);
-        } else if (plan.joins()) {
+        } else if (plan.joinsRunningImport()) {
             // The import to join has ended meanwhile: what it brought is there, the engine computes the rest.
             done.accept(new ImportOutcome(plan.blocks().size(), 0, 0));
         } else {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
@@ -210,7 +210,7 @@
     @Override
     public void askRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
         spans.begin("route");
-        RouteRequested.Question question = new RouteRequested.Question(
+        RouteRequested.Query question = new RouteRequested.Query(
                 profile.request(),
                 profile.workspace(),
                 profile.service(),
--- a/src/main/java/org/yuccagw/adapters/peer/ShareCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ShareCodec.java
@@ -44,7 +44,7 @@
             put(wire.setKind(GRANT), grant.limit(), grant.share())
                     .setEpoch(grant.epoch())
                     .setSequence(grant.sequence())
-                    .setValidMillis(grant.life().toMillis());
+                    .setValidMillis(grant.lifetime().toMillis());
         } else if (message instanceof Present) {
             wire.setKind(PRESENT);
         }
--- a/src/main/java/org/yuccagw/adapters/serving/Dialect.java
+++ b/src/main/java/org/yuccagw/adapters/serving/Dialect.java
@@ -7,7 +7,7 @@
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
-import org.yuccagw.core.forward.AnswerStart;
+import org.yuccagw.core.forward.EndpointAnswerHead;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.placing.PlacementDecision;
@@ -30,7 +30,7 @@
             long afterEvent);
 
     /** What decides about an endpoint's answer. */
-    AnswerStart readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected);
+    EndpointAnswerHead readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected);
 
     /** The endpoint's headers that go on to the caller. */
     HeaderMap answerHeaders(HeaderMap endpointHeaders);
--- a/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
@@ -21,7 +21,7 @@
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.error.YuccagwException;
-import org.yuccagw.core.forward.AnswerStart;
+import org.yuccagw.core.forward.EndpointAnswerHead;
 import org.yuccagw.core.forward.ForwardEffects;
 import org.yuccagw.core.forward.ForwardMachine;
 import org.yuccagw.core.forward.ForwardMachine.TimerKind;
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void askPlace(
+    public void requestPlacement(
             ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left) {
         services.control()
                 .offer(new PlacementRequest(
@@ -113,7 +113,7 @@
 
     private void onPlaced(PlacementDecision decision) {
         watch.look();
-        machine.onPlaced(decision);
+        machine.onPlacementDecision(decision);
     }
 
     @Override
@@ -143,13 +143,13 @@
     }
 
     @Override
-    public void hold(long leg) {
+    public void pauseReading(long leg) {
         present.call.pause();
         held = true;
     }
 
     @Override
-    public void readOn(long leg) {
+    public void resumeReading(long leg) {
         held = false;
         present.call.resume();
     }
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public void cut() {
+    public void abortAnswer() {
         response.cut();
     }
 
@@ -265,7 +265,7 @@
 
     @Override
     public void callerLeft() {
-        machine.onCallerLeft();
+        machine.onCallerDisconnected();
     }
 
     /** One attempt on its connection. */
@@ -285,7 +285,7 @@
         public void onHead(int answeredStatus, HeaderMap answeredHeaders) {
             status = answeredStatus;
             headers = answeredHeaders;
-            AnswerStart start = services.dialect().readAnswer(status, headers, request.id(), endpoint);
+            EndpointAnswerHead start = services.dialect().readAnswer(status, headers, request.id(), endpoint);
             machine.onHead(number, start);
         }
 
--- a/src/main/java/org/yuccagw/bench/requests/RetryStorm.java
+++ b/src/main/java/org/yuccagw/bench/requests/RetryStorm.java
@@ -140,7 +140,7 @@
             }
             RetrySituation situation = new RetrySituation(
                     layers.get(0), idempotent, false, attempt, PLENTY, Optional.empty(), RetryBudget.full(20, 0.1));
-            RetryDecision decision = RetryPolicy.usual().decide(failure.get(), situation, random);
+            RetryDecision decision = RetryPolicy.defaults().decide(failure.get(), situation, random);
             if (decision instanceof RetryDecision.GiveUp) {
                 return failure;
             }
--- a/src/main/java/org/yuccagw/bench/requests/StormModel.java
+++ b/src/main/java/org/yuccagw/bench/requests/StormModel.java
@@ -103,7 +103,7 @@
             RetryDecision decision = policy.decide(FailureClass.OVERLOADED, situation(attempt, now), random);
             if (decision instanceof Retry retry) {
                 budget = budget.spend();
-                long at = now + Math.max(STEP_MILLIS, retry.after().toMillis());
+                long at = now + Math.max(STEP_MILLIS, retry.delay().toMillis());
                 attempts.add(new Attempt(at, attempt.askedMillis(), attempt.number() + 1));
             } else {
                 refused++;
@@ -130,11 +130,11 @@
                 "refused",
                 "last refusal after the outage (s)");
         // Three layers of four attempts each make 64 attempts of one request.
-        RetryPolicy stacked = RetryPolicy.of(64, Backoff.usual());
+        RetryPolicy stacked = RetryPolicy.of(64, Backoff.defaults());
         add(table, "stacked, no budget", new Run(stacked, RetryBudget.unlimited(), seed));
-        add(table, "owned, no budget", new Run(RetryPolicy.usual(), RetryBudget.unlimited(), seed));
-        add(table, "owned, budget", new Run(RetryPolicy.usual(), RetryBudget.full(20, 0.1), seed));
-        add(table, "no retries", new Run(RetryPolicy.of(1, Backoff.usual()), RetryBudget.unlimited(), seed));
+        add(table, "owned, no budget", new Run(RetryPolicy.defaults(), RetryBudget.unlimited(), seed));
+        add(table, "owned, budget", new Run(RetryPolicy.defaults(), RetryBudget.full(20, 0.1), seed));
+        add(table, "no retries", new Run(RetryPolicy.of(1, Backoff.defaults()), RetryBudget.unlimited(), seed));
         return table.build();
     }
 
--- a/src/main/java/org/yuccagw/bench/routing/VirtualServing.java
+++ b/src/main/java/org/yuccagw/bench/routing/VirtualServing.java
@@ -189,7 +189,7 @@
 
     private void ask(Arrival arrival) {
         ImmutableList<BlockKey> blocks = world.keysNow(arrival.blocks());
-        RouteRequested.Question question = new RouteRequested.Question(
+        RouteRequested.Query question = new RouteRequested.Query(
                 RequestId.of("request-" + requests++),
                 WorkspaceId.of("workspace-" + arrival.workspace()),
                 ServiceName.of(deployment.services().get(arrival.service()).name()),
@@ -209,8 +209,8 @@
             open--;
             return;
         }
-        if (chosen.importFirst().isPresent()) {
-            importThenSend(arrival, blocks, chosen, chosen.importFirst().get());
+        if (chosen.importPlan().isPresent()) {
+            importThenSend(arrival, blocks, chosen, chosen.importPlan().get());
         } else {
             send(arrival, blocks, chosen);
         }
@@ -220,7 +220,7 @@
             Arrival arrival, ImmutableList<BlockKey> blocks, RouteRequested.Answer.Chosen chosen, ImportPlan plan) {
         long began = now;
         String name = chosen.endpoint().id() + " " + plan.blocks().get(0).key();
-        if (plan.joins()) {
+        if (plan.joinsRunningImport()) {
             long end = Math.max(now, importEnds.getOrDefault(name, now));
             at(end, () -> send(arrival, blocks, chosen));
             return;
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -146,7 +146,7 @@
                 RetryBudget.unlimited());
         RetryDecision decision = policy.decide(failure, situation, ThreadLocalRandom.current());
         if (decision instanceof RetryDecision.Retry retry) {
-            thread.executeAfter(this::attempt, Math.max(1, retry.after().toMillis()), TimeUnit.MILLISECONDS);
+            thread.executeAfter(this::attempt, Math.max(1, retry.delay().toMillis()), TimeUnit.MILLISECONDS);
         } else {
             result.completeExceptionally(finalError);
         }
--- a/src/main/java/org/yuccagw/client/YuccagwClient.java
+++ b/src/main/java/org/yuccagw/client/YuccagwClient.java
@@ -17,7 +17,7 @@
     private final ClientSettings settings;
     private final HttpCaller http;
     private final Directory directory;
-    private final RetryPolicy policy = RetryPolicy.usual();
+    private final RetryPolicy policy = RetryPolicy.defaults();
 
     private YuccagwClient(ClientSettings settings, HttpCaller http) {
         this.settings = settings;
--- a/src/main/java/org/yuccagw/core/admission/ShareBorrower.java
+++ b/src/main/java/org/yuccagw/core/admission/ShareBorrower.java
@@ -75,7 +75,7 @@
         epoch = grant.epoch();
         sequence = grant.sequence();
         granted = grant.share();
-        grantExpiryNanos = oldestPendingRequestNanos + grant.life().toNanos();
+        grantExpiryNanos = oldestPendingRequestNanos + grant.lifetime().toNanos();
         oldestPendingRequestNanos = Long.MAX_VALUE;
         updateRates(nowNanos);
         return true;
--- a/src/main/java/org/yuccagw/core/admission/SharePeerMessage.java
+++ b/src/main/java/org/yuccagw/core/admission/SharePeerMessage.java
@@ -28,9 +28,9 @@
      * Grants a share, which replaces the previous share of the entry. Sent by the owner to an entry.
      *
      * @param sequence sequence number of the grant, increasing during the epoch of an owner
-     * @param life lifetime of the share, starting when the request that it answers was sent
+     * @param lifetime lifetime of the share, starting when the request that it answers was sent
      */
-    record Grant(ShardNumber shard, long epoch, LimitName limit, Share share, long sequence, Duration life)
+    record Grant(ShardNumber shard, long epoch, LimitName limit, Share share, long sequence, Duration lifetime)
             implements SharePeerMessage {}
 
     /**
--- a/src/main/java/org/yuccagw/core/forward/AnswerStart.java
+++ b/src/main/java/org/yuccagw/core/forward/EndpointAnswerHead.java
@@ -7,21 +7,21 @@
  * The properties of the head of an answer that decide how the answer is handled.
  *
  * @param status HTTP status
- * @param ofThisRequest whether it names the id of this request; otherwise the answer belongs to another request
+ * @param forThisRequest whether it names the id of this request; otherwise the answer belongs to another request
  * @param sealed whether it carries the seal that every complete answer of an endpoint has
  * @param notRun whether the endpoint states that it did not run the request
- * @param fromOther whether an endpoint other than the expected one answered
+ * @param fromOtherEndpoint whether an endpoint other than the expected one answered
  * @param encoded whether the body has a content encoding, which endpoints never apply
  * @param framed whether the framing distinguishes the end of the body from a broken connection
  * @param version weight version that generated the answer
  * @param notice state of the endpoint as stated in the head
  */
-public record AnswerStart(
+public record EndpointAnswerHead(
         int status,
-        boolean ofThisRequest,
+        boolean forThisRequest,
         boolean sealed,
         boolean notRun,
-        boolean fromOther,
+        boolean fromOtherEndpoint,
         boolean encoded,
         boolean framed,
         OptionalLong version,
@@ -40,7 +40,7 @@
     /** Returns whether the answer may be forwarded as an answer of the endpoint to this request. */
     boolean isGenuine() {
         boolean complete = !isSuccess() || sealed;
-        return ofThisRequest && !encoded && framed && complete;
+        return forThisRequest && !encoded && framed && complete;
     }
 
     /**
@@ -48,7 +48,7 @@
      * without a request id counts as coming from the expected endpoint, just as the refusal itself is accepted.
      */
     boolean isOfExpectedEndpoint() {
-        return (ofThisRequest || notRun) && !fromOther;
+        return (forThisRequest || notRun) && !fromOtherEndpoint;
     }
 
     boolean isMisdirected() {
--- a/src/main/java/org/yuccagw/core/forward/ForwardEffects.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardEffects.java
@@ -18,32 +18,36 @@
     long nowNanos();
 
     /**
-     * Requests an endpoint. The result is passed to {@link ForwardMachine#onPlaced}.
+     * Requests an endpoint. The result is passed to {@link ForwardMachine#onPlacementDecision}.
      *
      * @param excluded endpoints that must not be chosen
-     * @param pinned weight version that the endpoint must run, empty for any
-     * @param left time until the deadline of the request
+     * @param pinnedVersion weight version that the endpoint must run, empty for any
+     * @param remaining time until the deadline of the request
      */
-    void askPlace(ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left);
+    void requestPlacement(
+            ImmutableSet<EndpointId> excluded,
+            PlacementRequest.Kind kind,
+            OptionalLong pinnedVersion,
+            Duration remaining);
 
     /**
      * Sends the request to the chosen endpoint.
      *
      * @param leg number of the send
-     * @param left time that the endpoint has for its answer
+     * @param remaining time that the endpoint has for its answer
      * @param afterEvent id of the event after which the stream starts
-     * @param fresh whether to open a new connection for the request
+     * @param newConnection whether to open a new connection for the request
      */
-    void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh);
+    void send(long leg, PlacementDecision.Placed placed, Duration remaining, long afterEvent, boolean newConnection);
 
     /** Closes the connection of the leg. No further events of the leg are reported. */
     void abandon(long leg);
 
-    /** Pauses reading the answer of the leg until {@link #readOn}. */
-    void hold(long leg);
+    /** Pauses reading the answer of the leg until {@link #resumeReading}. */
+    void pauseReading(long leg);
 
     /** Resumes reading the answer of the leg. */
-    void readOn(long leg);
+    void resumeReading(long leg);
 
     /** Calls {@link ForwardMachine#onTimer} after the delay. */
     void schedule(ForwardMachine.TimerKind kind, long leg, Duration delay);
@@ -58,7 +62,7 @@
     void answerEnd();
 
     /** Aborts an answer that has started and cannot be completed, so that the caller detects that it is incomplete. */
-    void cut();
+    void abortAnswer();
 
     /** Answers the caller with an error. Called only before the answer has started. */
     void answerError(YuccagwException error);
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -27,8 +27,8 @@
  * <p>Invariants:
  *
  * <ul>
- *   <li>The answer to the caller ends exactly once: by {@code answerEnd}, {@code answerError} or {@code cut}, or
- *       because the caller disconnected.
+ *   <li>The answer to the caller ends exactly once: by {@code answerEnd}, {@code answerError} or {@code abortAnswer},
+ *       or because the caller disconnected.
  *   <li>A request that is not repeatable is retried only if it is proven that it did not run: the endpoint stated so,
  *       or no connection was established. It is sent over a new connection, because if a reused connection turns out to
  *       be closed, it is unknown whether the request was read.
@@ -77,7 +77,7 @@
 
     private State state = State.NEW;
     private PlacementDecision.Placed placed;
-    private AnswerStart answerHead;
+    private EndpointAnswerHead answerHead;
     private OptionalLong pinnedVersion = OptionalLong.empty();
     private long leg;
     private int sends;
@@ -133,7 +133,7 @@
     }
 
     /** Called with the result of a placement request. A placement that is no longer needed is released. */
-    public void onPlaced(PlacementDecision decision) {
+    public void onPlacementDecision(PlacementDecision decision) {
         if (state != State.PLACING) {
             if (decision instanceof PlacementDecision.Placed late) {
                 effects.report(new AttemptEnded(late.ticket(), End.LEFT));
@@ -148,7 +148,7 @@
     }
 
     /** Called when the head of the answer was received on a leg. */
-    public void onHead(long ofLeg, AnswerStart head) {
+    public void onHead(long ofLeg, EndpointAnswerHead head) {
         if (isStale(ofLeg)) {
             return;
         }
@@ -243,7 +243,7 @@
     }
 
     /** Called when the caller disconnected. The running attempt is abandoned immediately. */
-    public void onCallerLeft() {
+    public void onCallerDisconnected() {
         if (state == State.OVER) {
             return;
         }
@@ -255,7 +255,7 @@
 
     private void requestPlacement(Kind kind) {
         state = State.PLACING;
-        effects.askPlace(ImmutableSet.copyOf(excluded), kind, pinnedVersion, remaining());
+        effects.requestPlacement(ImmutableSet.copyOf(excluded), kind, pinnedVersion, remaining());
     }
 
     private void send(PlacementDecision.Placed chosen) {
@@ -314,7 +314,7 @@
 
     // ---- Answers
 
-    private void forwardAnswer(AnswerStart head) {
+    private void forwardAnswer(EndpointAnswerHead head) {
         boolean unprovenNotRun = head.impliesNotRun();
         if (unprovenNotRun) {
             // The status would imply "not run" although the endpoint did not state it.
@@ -330,7 +330,7 @@
         scheduleGap();
     }
 
-    private void handleResumedHead(AnswerStart head) {
+    private void handleResumedHead(EndpointAnswerHead head) {
         if (!head.isSuccess()) {
             handleLegFailure(End.FAULT, "status " + head.status() + " to a resumed stream");
             return;
@@ -345,7 +345,7 @@
 
     /** Holds the error answer and requests another endpoint. If there is none, the error answer is forwarded. */
     private void retryBeforeForwarding() {
-        effects.hold(leg);
+        effects.pauseReading(leg);
         heldForRetry = true;
         excluded.add(placed.endpoint().id());
         lastFailure = "status " + answerHead.status();
@@ -355,20 +355,20 @@
 
     private void forwardHeldAnswer() {
         heldForRetry = false;
-        AnswerStart heldHead = answerHead;
+        EndpointAnswerHead heldHead = answerHead;
         state = State.SENDING;
         forwardAnswer(heldHead);
         if (state == State.STREAMING) {
-            effects.readOn(leg);
+            effects.resumeReading(leg);
             if (endedWhileHeld) {
                 onEnd(leg);
             }
         }
     }
 
-    private void handleNotRun(AnswerStart head) {
+    private void handleNotRun(EndpointAnswerHead head) {
         effects.abandon(leg);
-        End end = head.isMisdirected() ? (head.fromOther() ? End.WRONG_ENDPOINT : End.WRONG_VERSION) : End.SHED;
+        End end = head.isMisdirected() ? (head.fromOtherEndpoint() ? End.WRONG_ENDPOINT : End.WRONG_VERSION) : End.SHED;
         endAttempt(end, end == End.WRONG_ENDPOINT ? OptionalLong.empty() : head.version());
         lastFailure = "status " + head.status() + ", not run";
         if (end != End.WRONG_VERSION) {
@@ -454,13 +454,13 @@
 
     // ---- Helpers
 
-    private void reportNotice(AnswerStart head) {
+    private void reportNotice(EndpointAnswerHead head) {
         EndpointNotice notice = head.notice();
         boolean limitStated = notice.rateLimit().isPresent() || head.isGenuine();
-        boolean limitForeseen = placed.rateLimited() && limitStated;
-        if (head.isOfExpectedEndpoint() && (notice.saysSomething() || limitForeseen)) {
+        boolean limitKnownAtPlacement = placed.rateLimited() && limitStated;
+        if (head.isOfExpectedEndpoint() && (notice.saysSomething() || limitKnownAtPlacement)) {
             EndpointIncarnation endpoint = placed.endpoint().incarnation();
-            effects.report(new NoticeReceived(endpoint, notice, limitForeseen));
+            effects.report(new NoticeReceived(endpoint, notice, limitKnownAtPlacement));
         }
     }
 
@@ -533,7 +533,7 @@
     }
 
     private void abort(String detail) {
-        effects.cut();
+        effects.abortAnswer();
         finish("cut: " + detail);
     }
 
--- a/src/main/java/org/yuccagw/core/request/RequestMachine.java
+++ b/src/main/java/org/yuccagw/core/request/RequestMachine.java
@@ -215,9 +215,9 @@
         RouteRequested.Answer.Chosen chosen = (RouteRequested.Answer.Chosen) answer;
         attempt = chosen.attempt();
         endpoint = chosen.endpoint();
-        if (chosen.importFirst().isPresent()) {
+        if (chosen.importPlan().isPresent()) {
             state = State.IMPORTING;
-            effects.startImport(attempt, endpoint, chosen.importFirst().get());
+            effects.startImport(attempt, endpoint, chosen.importPlan().get());
         } else {
             send();
         }
@@ -467,7 +467,7 @@
             stream = "";
             state = State.WAITING;
             leg++;
-            effects.schedule(TimerKind.BACKOFF, leg, retry.after());
+            effects.schedule(TimerKind.BACKOFF, leg, retry.delay());
         } else {
             finish(exhaustedError((RetryDecision.GiveUp) decision));
         }
--- a/src/main/java/org/yuccagw/core/retry/Backoff.java
+++ b/src/main/java/org/yuccagw/core/retry/Backoff.java
@@ -14,7 +14,7 @@
     private static final int MAX_DOUBLINGS = 30;
 
     /** Returns a backoff that starts at 50 ms and is limited to 2 s. */
-    public static Backoff usual() {
+    public static Backoff defaults() {
         return new Backoff(Duration.ofMillis(50), Duration.ofSeconds(2));
     }
 
--- a/src/main/java/org/yuccagw/core/retry/RetryDecision.java
+++ b/src/main/java/org/yuccagw/core/retry/RetryDecision.java
@@ -8,11 +8,11 @@
     /**
      * The request is retried.
      *
-     * @param after delay before the next attempt
+     * @param delay delay before the next attempt
      * @param spendsBudget whether the retry must take a token from the retry budget. If a concurrent request changed
      *     the budget first, the decision must be made again with the new budget.
      */
-    record Retry(Duration after, boolean spendsBudget) implements RetryDecision {}
+    record Retry(Duration delay, boolean spendsBudget) implements RetryDecision {}
 
     /**
      * The request ends immediately with an error of this kind. The kind says "not run" only if no attempt may have run.
--- a/src/main/java/org/yuccagw/core/retry/RetryPolicy.java
+++ b/src/main/java/org/yuccagw/core/retry/RetryPolicy.java
@@ -41,9 +41,9 @@
         this.backoff = backoff;
     }
 
-    /** Returns a policy of four attempts with the backoff of {@link Backoff#usual()}. */
-    public static RetryPolicy usual() {
-        return of(DEFAULT_MAX_ATTEMPTS, Backoff.usual());
+    /** Returns a policy of four attempts with the backoff of {@link Backoff#defaults()}. */
+    public static RetryPolicy defaults() {
+        return of(DEFAULT_MAX_ATTEMPTS, Backoff.defaults());
     }
 
     /**
--- a/src/main/java/org/yuccagw/core/routing/ImportPlan.java
+++ b/src/main/java/org/yuccagw/core/routing/ImportPlan.java
@@ -11,8 +11,12 @@
  *
  * @param blocks blocks in the order of the prompt
  * @param deadline time limit for the import; blocks that are missing by then are recomputed
- * @param joins whether an import of the same blocks to the same endpoint is already running; the request waits for that
- *     import and starts no second one
+ * @param joinsRunningImport whether an import of the same blocks to the same endpoint is already running; the request
+ *     waits for that import and starts no second one
  */
 public record ImportPlan(
-        StoreId store, NetworkAddress address, ImmutableList<StoredBlock> blocks, Duration deadline, boolean joins) {}
+        StoreId store,
+        NetworkAddress address,
+        ImmutableList<StoredBlock> blocks,
+        Duration deadline,
+        boolean joinsRunningImport) {}
--- a/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
+++ b/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
@@ -113,7 +113,7 @@
 
     /** Returns the candidates in the order of their rendezvous rank, followed by the other candidates. */
     private static Set<EndpointStatus> candidates(RoutingView view) {
-        List<BlockKey> blocks = view.question().blocks();
+        List<BlockKey> blocks = view.query().blocks();
         CandidateSet all = view.candidates();
         Set<EndpointStatus> chosen = new LinkedHashSet<>();
         int preferred = all.size() <= SMALL_POOL_SIZE ? all.size() : PREFERRED_CANDIDATES;
@@ -134,14 +134,14 @@
     }
 
     private static void addImportTargets(RoutingView view, Set<EndpointStatus> chosen) {
-        BlockKey affinityKey = PromptTree.affinityKey(view.question().blocks());
+        BlockKey affinityKey = PromptTree.affinityKey(view.query().blocks());
         for (ImportsInProgress.Import runningImport : view.cache().imports().bringing(affinityKey)) {
             view.candidates().find(runningImport.endpoint()).ifPresent(chosen::add);
         }
     }
 
     private static ServingOption bestOption(RoutingView view, EndpointStatus endpoint, int rank) {
-        List<BlockKey> blocks = view.question().blocks();
+        List<BlockKey> blocks = view.query().blocks();
         int cachedBlocks = cachedPrefixBlocks(view, endpoint);
         double penaltyMillis = rank * RANK_PENALTY_MILLIS
                 + (endpoint.domain().equals(view.ownDomain()) ? 0 : OTHER_DOMAIN_PENALTY_MILLIS);
@@ -183,7 +183,7 @@
     }
 
     private static int cachedPrefixBlocks(RoutingView view, EndpointStatus endpoint) {
-        List<BlockKey> blocks = view.question().blocks();
+        List<BlockKey> blocks = view.query().blocks();
         ReplicaIndex replicas = view.cache().replicas();
         int cachedBlocks = replicas.prefix(endpoint.id(), blocks);
         boolean doubtful = cachedBlocks > 0 && replicas.isDoubtful(endpoint.id());
@@ -225,7 +225,7 @@
             double fetchMillis,
             double penaltyMillis) {
         EndpointLoad load = view.loads().of(endpoint);
-        long recomputedTokens = Math.max(0, view.question().promptTokens() - (long) depth * view.blockTokens());
+        long recomputedTokens = Math.max(0, view.query().promptTokens() - (long) depth * view.blockTokens());
         double queueMillis = load.queueMillis(view.nowNanos());
         double prefillMillis = load.baseLatencyMillis() + recomputedTokens / load.tokensPerMilli();
         double firstTokenMillis =
--- a/src/main/java/org/yuccagw/core/routing/RouteComponent.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteComponent.java
@@ -29,7 +29,7 @@
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.routing.RouteRequested.Answer;
-import org.yuccagw.core.routing.RouteRequested.Question;
+import org.yuccagw.core.routing.RouteRequested.Query;
 
 /**
  * Chooses the endpoint for each attempt and updates its load and speed estimates from the reported outcome.
@@ -86,7 +86,7 @@
 
     /** An attempt that was placed and has not ended. */
     private static final class Attempt {
-        private final Question question;
+        private final Query query;
         private final Placement placement;
         private final Optional<ImportsInProgress.Import> startedImport;
         private final double queueMillis;
@@ -94,12 +94,12 @@
         private long prefillTokens;
 
         private Attempt(
-                Question question,
+                Query query,
                 Placement placement,
                 Optional<ImportsInProgress.Import> startedImport,
                 double queueMillis,
                 long placedNanos) {
-            this.question = question;
+            this.query = query;
             this.placement = placement;
             this.startedImport = startedImport;
             this.queueMillis = queueMillis;
@@ -135,46 +135,46 @@
     }
 
     private void handleRequest(RouteRequested request, ControlContext context) {
-        Question question = request.question();
-        Optional<Service> service = cache.catalogue().service(question.service());
+        Query query = request.query();
+        Optional<Service> service = cache.catalogue().service(query.service());
         if (service.isEmpty()) {
-            refuse(request, ErrorKind.UNKNOWN_MODEL.raise(question.service()), context);
+            refuse(request, ErrorKind.UNKNOWN_MODEL.raise(query.service()), context);
             return;
         }
-        List<PromptNode> path = recordPrompt(question, service.get(), context);
-        boolean firstAttempt = question.excluded().isEmpty();
-        if (firstAttempt && storeLookups.isNeeded(question.blocks(), path)) {
-            storeLookups.lookUp(question.blocks(), context, () -> decide(request, context));
+        List<PromptNode> path = recordPrompt(query, service.get(), context);
+        boolean firstAttempt = query.excluded().isEmpty();
+        if (firstAttempt && storeLookups.isNeeded(query.blocks(), path)) {
+            storeLookups.lookUp(query.blocks(), context, () -> decide(request, context));
         } else {
             decide(request, context);
         }
     }
 
     /** Counts the prompt once per request. Later attempts of the same request do not count it again. */
-    private List<PromptNode> recordPrompt(Question question, Service service, ControlContext context) {
-        if (service.model().isEmpty() || question.blocks().isEmpty()) {
+    private List<PromptNode> recordPrompt(Query query, Service service, ControlContext context) {
+        if (service.model().isEmpty() || query.blocks().isEmpty()) {
             return List.of();
         }
-        if (!question.excluded().isEmpty()) {
-            return cache.prompts().walk(question.blocks());
+        if (!query.excluded().isEmpty()) {
+            return cache.prompts().walk(query.blocks());
         }
         double nowSeconds = CacheState.seconds(context.nowNanos());
-        return cache.prompts().arrive(question.blocks(), scope(question, service), nowSeconds, context.random());
+        return cache.prompts().arrive(query.blocks(), scope(query, service), nowSeconds, context.random());
     }
 
     private void decide(RouteRequested request, ControlContext context) {
-        Question question = request.question();
-        Optional<Service> service = cache.catalogue().service(question.service());
+        Query query = request.query();
+        Optional<Service> service = cache.catalogue().service(query.service());
         if (service.isEmpty()) {
-            refuse(request, ErrorKind.UNKNOWN_MODEL.raise(question.service()), context);
+            refuse(request, ErrorKind.UNKNOWN_MODEL.raise(query.service()), context);
             return;
         }
-        boolean onOtherVersion = choosesOtherVersion(question, service.get(), context);
-        RouteRequested routed = onOtherVersion ? new RouteRequested(withoutBlocks(question), request.reply()) : request;
-        RoutingView view = view(routed.question(), service.get(), onOtherVersion, context);
+        boolean onOtherVersion = choosesOtherVersion(query, service.get(), context);
+        RouteRequested routed = onOtherVersion ? new RouteRequested(withoutBlocks(query), request.reply()) : request;
+        RoutingView view = view(routed.query(), service.get(), onOtherVersion, context);
         Optional<Placement> placement = view.candidates().size() == 0 ? Optional.empty() : policy.place(view);
         if (placement.isEmpty()) {
-            refuse(request, noEndpoint(question, view), context);
+            refuse(request, noEndpoint(query, view), context);
             return;
         }
         replyChosen(routed, placement.get(), context);
@@ -189,8 +189,8 @@
      * version receives new requests in proportion to its number of replicas. The request then runs on the older version
      * from its first to its last token, and its block keys, which belong to the new version, are ignored.
      */
-    private boolean choosesOtherVersion(Question question, Service service, ControlContext context) {
-        if (service.model().isEmpty() || question.version().isPresent()) {
+    private boolean choosesOtherVersion(Query query, Service service, ControlContext context) {
+        if (service.model().isEmpty() || query.version().isPresent()) {
             return false;
         }
         Optional<WeightVersion> catalogueVersion = service.model().map(Service.ModelSettings::version);
@@ -202,33 +202,33 @@
                 && context.random().nextInt(catalogueVersionReplicas + otherVersionReplicas) < otherVersionReplicas;
     }
 
-    private static Question withoutBlocks(Question question) {
-        return new Question(
-                question.request(),
-                question.workspace(),
-                question.service(),
-                question.className(),
-                question.version(),
+    private static Query withoutBlocks(Query query) {
+        return new Query(
+                query.request(),
+                query.workspace(),
+                query.service(),
+                query.className(),
+                query.version(),
                 ImmutableList.of(),
-                question.promptTokens(),
-                question.answerTokens(),
-                question.excluded(),
-                question.alone());
+                query.promptTokens(),
+                query.answerTokens(),
+                query.excluded(),
+                query.exclusive());
     }
 
     private CandidateSet candidates(CandidateSetKey key) {
         return candidateSets.computeIfAbsent(key, this::buildCandidateSet);
     }
 
-    private RoutingView view(Question question, Service service, boolean onOtherVersion, ControlContext context) {
+    private RoutingView view(Query query, Service service, boolean onOtherVersion, ControlContext context) {
         Optional<WeightVersion> version =
-                service.model().map(model -> question.version().orElse(model.version()));
+                service.model().map(model -> query.version().orElse(model.version()));
         return new RoutingView(
-                question,
+                query,
                 candidates(new CandidateSetKey(service.pool(), version, onOtherVersion)),
                 service.model(),
-                cache.catalogue().requestClass(question.className()).orElse(UNKNOWN_CLASS),
-                cache.prompts().walk(question.blocks()),
+                cache.catalogue().requestClass(query.className()).orElse(UNKNOWN_CLASS),
+                cache.prompts().walk(query.blocks()),
                 loads,
                 cache,
                 context.self().domain(),
@@ -242,20 +242,20 @@
                 .toList());
     }
 
-    private static YuccagwException noEndpoint(Question question, RoutingView view) {
+    private static YuccagwException noEndpoint(Query query, RoutingView view) {
         boolean versionUnavailable =
-                question.version().isPresent() && view.candidates().size() == 0;
+                query.version().isPresent() && view.candidates().size() == 0;
         return versionUnavailable
-                ? ErrorKind.VERSION_GONE.raise(question.version().get())
-                : ErrorKind.NO_ENDPOINT.raise(question.service());
+                ? ErrorKind.VERSION_GONE.raise(query.version().get())
+                : ErrorKind.NO_ENDPOINT.raise(query.service());
     }
 
     private void replyChosen(RouteRequested request, Placement placement, ControlContext context) {
         long number = nextAttempt++;
-        Question question = request.question();
+        Query query = request.query();
         EndpointLoad load = loads.of(placement.endpoint());
         double queueMillis = load.queueMillis(context.nowNanos());
-        load.place(number, placement.recomputedTokens(), question.alone(), context.nowNanos());
+        load.place(number, placement.recomputedTokens(), query.exclusive(), context.nowNanos());
         Optional<ImportsInProgress.Import> startedImport = placement
                 .fetch()
                 .map(fetch -> cache.imports()
@@ -265,7 +265,7 @@
                                 fetch.prefix().slowestTier(),
                                 fetch.blocks(),
                                 context.nowNanos()));
-        attempts.put(number, new Attempt(question, placement, startedImport, queueMillis, context.nowNanos()));
+        attempts.put(number, new Attempt(query, placement, startedImport, queueMillis, context.nowNanos()));
         Answer answer = new Answer.Chosen(
                 number,
                 placement.endpoint(),
@@ -322,7 +322,7 @@
         } else if (report instanceof AttemptReport.Ended ended) {
             attempts.remove(report.attempt());
             attempt.startedImport.ifPresent(cache.imports()::end);
-            load.endAttempt(report.attempt(), attempt.question.alone());
+            load.endAttempt(report.attempt(), attempt.query.exclusive());
             reportServed(attempt, ended, context);
         }
     }
@@ -337,7 +337,7 @@
         } else {
             cache.imports().end(attempt.startedImport.get());
             int missingBlocks = requestedBlocks - imported.blocks();
-            attempt.prefillTokens += (long) missingBlocks * blockTokens(attempt.question);
+            attempt.prefillTokens += (long) missingBlocks * blockTokens(attempt.query);
         }
     }
 
@@ -355,22 +355,22 @@
     }
 
     private void reportServed(Attempt attempt, AttemptReport.Ended ended, ControlContext context) {
-        Optional<Service> service = cache.catalogue().service(attempt.question.service());
-        boolean hasBlocks = !attempt.question.blocks().isEmpty();
+        Optional<Service> service = cache.catalogue().service(attempt.query.service());
+        boolean hasBlocks = !attempt.query.blocks().isEmpty();
         if (ended.answered() && hasBlocks && service.flatMap(Service::model).isPresent()) {
             context.raise(new PromptServed(
-                    attempt.placement.endpoint(), scope(attempt.question, service.get()), attempt.question.blocks()));
+                    attempt.placement.endpoint(), scope(attempt.query, service.get()), attempt.query.blocks()));
         }
     }
 
-    private static PromptScope scope(Question question, Service service) {
+    private static PromptScope scope(Query query, Service service) {
         WeightVersion version =
-                question.version().orElseGet(() -> service.model().orElseThrow().version());
-        return new PromptScope(question.workspace(), question.className(), question.service(), version);
+                query.version().orElseGet(() -> service.model().orElseThrow().version());
+        return new PromptScope(query.workspace(), query.className(), query.service(), version);
     }
 
-    private int blockTokens(Question question) {
-        return cache.model(question.service())
+    private int blockTokens(Query query) {
+        return cache.model(query.service())
                 .map(Service.ModelSettings::blockTokens)
                 .orElse(0);
     }
@@ -388,7 +388,7 @@
             if (context.nowNanos() - attempt.placedNanos > MAX_ATTEMPT_NANOS) {
                 all.remove();
                 attempt.startedImport.ifPresent(cache.imports()::end);
-                loads.of(attempt.placement.endpoint()).endAttempt(next.getKey(), attempt.question.alone());
+                loads.of(attempt.placement.endpoint()).endAttempt(next.getKey(), attempt.query.exclusive());
             }
         }
     }
--- a/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
@@ -8,7 +8,7 @@
 import org.yuccagw.core.cache.ReplicaIndex;
 import org.yuccagw.core.cache.StoredPrefix;
 import org.yuccagw.core.endpoint.EndpointStatus;
-import org.yuccagw.core.routing.RouteRequested.Question;
+import org.yuccagw.core.routing.RouteRequested.Query;
 
 /**
  * The routing policies by name: the default policy and simpler policies as baselines for comparison.
@@ -94,17 +94,17 @@
     /** Like {@link #byAffinity}, but fetches all blocks that a store has beyond the cached prefix of the endpoint. */
     private static Optional<Placement> byAffinityWithImport(RoutingView view) {
         return affinityEndpoint(view).map(chosen -> {
-            Question question = view.question();
-            int cachedBlocks = view.cache().replicas().prefix(chosen.id(), question.blocks());
+            Query query = view.query();
+            int cachedBlocks = view.cache().replicas().prefix(chosen.id(), query.blocks());
             Optional<StoredPrefix> stored =
-                    StoredPrefix.find(view.cache(), question.blocks(), view.path(), cachedBlocks, view.nowNanos());
+                    StoredPrefix.find(view.cache(), query.blocks(), view.path(), cachedBlocks, view.nowNanos());
             int depth =
                     stored.map(prefix -> cachedBlocks + prefix.blocks().size()).orElse(cachedBlocks);
             return new Placement(
                     chosen,
                     stored.map(prefix -> new Placement.Fetch(prefix, depth)),
                     Optional.empty(),
-                    Math.max(0, question.promptTokens() - (long) depth * view.blockTokens()),
+                    Math.max(0, query.promptTokens() - (long) depth * view.blockTokens()),
                     0,
                     AFFINITY_ALWAYS_EXPORT,
                     com.google.common.collect.ImmutableList.of());
@@ -116,7 +116,7 @@
      * bound, or the least loaded endpoint if there is none.
      */
     private static Optional<EndpointStatus> affinityEndpoint(RoutingView view) {
-        if (view.question().blocks().isEmpty()) {
+        if (view.query().blocks().isEmpty()) {
             return leastLoadedOf(eligibleEndpoints(view), view);
         }
         double totalLoad = 0;
@@ -125,8 +125,8 @@
         }
         double loadBound =
                 LOAD_BOUND_FACTOR * (totalLoad + 1) / view.candidates().size() + 1;
-        List<EndpointStatus> ranked = view.candidates()
-                .preferred(PromptTree.affinityKey(view.question().blocks()), PREFERRED_ENDPOINTS);
+        List<EndpointStatus> ranked =
+                view.candidates().preferred(PromptTree.affinityKey(view.query().blocks()), PREFERRED_ENDPOINTS);
         return ranked.stream()
                 .filter(view::isEligible)
                 .filter(endpoint -> view.loads().of(endpoint).requestCount() <= loadBound)
@@ -156,7 +156,7 @@
 
     private static long uncachedTokens(RoutingView view, EndpointStatus endpoint) {
         ReplicaIndex replicas = view.cache().replicas();
-        int cachedBlocks = replicas.prefix(endpoint.id(), view.question().blocks());
-        return Math.max(0, view.question().promptTokens() - (long) cachedBlocks * view.blockTokens());
+        int cachedBlocks = replicas.prefix(endpoint.id(), view.query().blocks());
+        return Math.max(0, view.query().promptTokens() - (long) cachedBlocks * view.blockTokens());
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/RouteRequested.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteRequested.java
@@ -14,7 +14,7 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /** Requests an endpoint for an attempt. {@code reply} is called exactly once. */
-public record RouteRequested(Question question, Consumer<Answer> reply) implements ControlEvent {
+public record RouteRequested(Query query, Consumer<Answer> reply) implements ControlEvent {
 
     /**
      * An attempt that needs an endpoint.
@@ -25,9 +25,9 @@
      * @param promptTokens prompt size in tokens
      * @param answerTokens maximum size of the answer in tokens
      * @param excluded endpoints that already failed this request
-     * @param alone whether it must run on an endpoint on which no other attempt of this entry runs
+     * @param exclusive whether it must run on an endpoint on which no other attempt of this entry runs
      */
-    public record Question(
+    public record Query(
             RequestId request,
             WorkspaceId workspace,
             ServiceName service,
@@ -37,7 +37,7 @@
             long promptTokens,
             long answerTokens,
             ImmutableSet<EndpointId> excluded,
-            boolean alone) {}
+            boolean exclusive) {}
 
     /** The result: the chosen endpoint, or the reason why there is none. */
     public interface Answer {
@@ -45,13 +45,13 @@
          * The chosen endpoint.
          *
          * @param attempt number that identifies the attempt in later {@link AttemptReport}s
-         * @param importFirst cache blocks to import before the request is sent, empty for none
+         * @param importPlan cache blocks to import before the request is sent, empty for none
          * @param explanation scored candidates, shown by {@code yuccagw trace}
          */
         record Chosen(
                 long attempt,
                 org.yuccagw.core.endpoint.EndpointStatus endpoint,
-                Optional<ImportPlan> importFirst,
+                Optional<ImportPlan> importPlan,
                 RouteExplanation explanation)
                 implements Answer {}
 
--- a/src/main/java/org/yuccagw/core/routing/RoutingView.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutingView.java
@@ -9,12 +9,12 @@
 import org.yuccagw.core.catalogue.Service.ModelSettings;
 import org.yuccagw.core.endpoint.EndpointStatus;
 import org.yuccagw.core.id.FailureDomain;
-import org.yuccagw.core.routing.RouteRequested.Question;
+import org.yuccagw.core.routing.RouteRequested.Query;
 
 /**
  * The input of a {@link RoutingPolicy}.
  *
- * @param question attempt to place
+ * @param query attempt to place
  * @param candidates endpoints of the pool with the required weight version that accept new requests
  * @param model model settings of the service, empty for a plain service
  * @param requestClass request class, whose weights define the objective function
@@ -25,7 +25,7 @@
  * @param nowNanos monotonic time
  */
 record RoutingView(
-        Question question,
+        Query query,
         CandidateSet candidates,
         Optional<ModelSettings> model,
         RequestClass requestClass,
@@ -39,8 +39,8 @@
     /** Returns whether the attempt may be placed on the endpoint. */
     boolean isEligible(EndpointStatus endpoint) {
         EndpointLoad load = loads.of(endpoint);
-        boolean exclusivityAllows = question.alone() ? load.attemptCount() == 0 : !load.hasExclusiveAttempt();
-        return exclusivityAllows && !question.excluded().contains(endpoint.id());
+        boolean exclusivityAllows = query.exclusive() ? load.attemptCount() == 0 : !load.hasExclusiveAttempt();
+        return exclusivityAllows && !query.excluded().contains(endpoint.id());
     }
 
     int blockTokens() {
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -110,7 +110,7 @@
                         plan,
                         version,
                         arrived -> done.accept(new Importer.Outcome(arrived.blocks(), arrived.bytes()))),
-                RetryGate.of(RetryPolicy.usual(), this::systemLimits),
+                RetryGate.of(RetryPolicy.defaults(), this::systemLimits),
                 traces.tracer(),
                 new EntryMetrics(metrics),
                 runs);
--- a/src/main/java/org/yuccagw/platform/EndpointHeads.java
+++ b/src/main/java/org/yuccagw/platform/EndpointHeads.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.yuccagw.adapters.serving.CallerHead;
 import org.yuccagw.core.deployment.WorkspaceAccess;
-import org.yuccagw.core.forward.AnswerStart;
+import org.yuccagw.core.forward.EndpointAnswerHead;
 import org.yuccagw.core.forward.ForwardRequest;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
@@ -79,13 +79,13 @@
     }
 
     /** What decides about an answer. */
-    static AnswerStart answer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
+    static EndpointAnswerHead answer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
         String id = headers.getFirst(PlatformNames.REQUEST_ID);
         String endpoint = headers.getFirst(PlatformNames.ENDPOINT_ID);
         boolean framed = headers.contains(Headers.CONTENT_LENGTH)
                 || headers.contains(Headers.TRANSFER_ENCODING)
                 || "close".equalsIgnoreCase(headers.getFirst(Headers.CONNECTION));
-        return new AnswerStart(
+        return new EndpointAnswerHead(
                 status,
                 request.value().equals(id),
                 headers.contains(PlatformNames.SEAL),
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformDialect.java
@@ -9,7 +9,7 @@
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
-import org.yuccagw.core.forward.AnswerStart;
+import org.yuccagw.core.forward.EndpointAnswerHead;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.placing.PlacementDecision;
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public AnswerStart readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
+    public EndpointAnswerHead readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
         return EndpointHeads.answer(status, headers, request, expected);
     }
 
--- a/src/test/java/org/yuccagw/bench/jmh/RouteBenchmark.java
+++ b/src/test/java/org/yuccagw/bench/jmh/RouteBenchmark.java
@@ -39,7 +39,7 @@
 
     @Setup
     public void serveEachPromptOnce() {
-        core = CacheCore.usual(candidates);
+        core = CacheCore.withDefaults(candidates);
         for (int i = 0; i < PROMPTS; i++) {
             prompts.add(CacheCore.prompt("prompt" + i, BLOCKS));
             core.serve(prompts.get(i));
--- a/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
@@ -25,15 +25,15 @@
     // blocks. The entry that keeps the store deletes exactly those generations once no export can still be running.
     @Test
     public void blocksOfAWriterThatDiedBeforeSealingAreCollected() {
-        CacheCore core = CacheCore.usual(3);
-        core.pass(Duration.ofSeconds(31));
-        assertTrue(core.actions(CacheOrder.ReadUnsealed.class).size() >= 2);
+        CacheCore core = CacheCore.withDefaults(3);
+        core.advance(Duration.ofSeconds(31));
+        assertTrue(core.takeActions(CacheOrder.ReadUnsealed.class).size() >= 2);
         core.handle(new StoreUpdate.UnsealedRead(
                 CacheCore.store(0),
                 List.of(
                         new StoreUpdate.Unsealed(PREAMBLE.get(0), 5, "entry-1-1-1", 3_600_000),
                         new StoreUpdate.Unsealed(PREAMBLE.get(1), 6, "entry-1-1-2", 1_000))));
-        List<CacheOrder.DeleteBlocks> deletions = core.actions(CacheOrder.DeleteBlocks.class);
+        List<CacheOrder.DeleteBlocks> deletions = core.takeActions(CacheOrder.DeleteBlocks.class);
         assertEquals(deletions.size(), 1);
         assertEquals(deletions.get(0).blocks(), List.of(new CacheOrder.Generation(PREAMBLE.get(0), 5)));
     }
@@ -45,12 +45,12 @@
     public void aStoreThatDiesDuringAnImportIsLeftAloneAtOnce() {
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.STORE));
         core.handle(new AttemptReport.Imported(chosen.attempt(), 0, 0, 40));
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
-        core.pass(Duration.ofSeconds(2));
-        assertTrue(core.route(PREAMBLE).importFirst().isPresent(), "it is tried again after a while");
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
+        core.advance(Duration.ofSeconds(2));
+        assertTrue(core.route(PREAMBLE).importPlan().isPresent(), "it is tried again after a while");
     }
 
     // A store frees a block while an engine reads it. The read that goes on finishes, a later one finds the block gone
@@ -60,7 +60,7 @@
     public void aBlockThatIsGoneIsNotAskedForAgain() {
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         assertEquals(plan.blocks().size(), PREAMBLE.size());
         BlockKey gone = plan.blocks().get(20).key();
         core.handle(new EngineCacheUpdate.ImportEnded(
@@ -73,7 +73,7 @@
                 List.of(new EngineCacheUpdate.FailedBlock(gone, EngineCacheUpdate.ImportFailure.GONE))));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         core.evictAll(chosen.endpoint().id());
-        assertEquals(core.route(PREAMBLE).importFirst().orElseThrow().blocks().size(), 20);
+        assertEquals(core.route(PREAMBLE).importPlan().orElseThrow().blocks().size(), 20);
     }
 
     // Bytes of a stored block were damaged. The engine sees the wrong checksum and refuses the block; the analyst's
@@ -82,7 +82,7 @@
     public void aDamagedCopyIsForgotten() {
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         core.handle(new EngineCacheUpdate.ImportEnded(
                 chosen.endpoint().id(),
                 plan.store(),
@@ -94,25 +94,25 @@
                         plan.blocks().get(0).key(), EngineCacheUpdate.ImportFailure.DAMAGED))));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         core.evictAll(chosen.endpoint().id());
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
     }
 
     // The store fills up in the middle of an export. Half a notebook is sealed, the rest is refused. Cause: other
     // writers were faster. The sealed half is of use, nothing more is sent there, and the least valuable blocks go.
     @Test
     public void aStoreThatFillsUpDuringAnExportKeepsTheSealedPart() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         EndpointId first = core.serve(PREAMBLE).endpoint().id();
-        core.pass(Duration.ofSeconds(5));
+        core.advance(Duration.ofSeconds(5));
         CacheOrder.ExportBlocks export =
-                core.actions(CacheOrder.ExportBlocks.class).get(0);
+                core.takeActions(CacheOrder.ExportBlocks.class).get(0);
         List<StoredBlock> half = CacheCore.sealed(export.blocks().subList(0, 30), 1);
         core.handle(new EngineCacheUpdate.ExportEnded(export.number(), first, half, true, Optional.empty()));
-        assertFalse(core.actions(CacheOrder.MoveBlocks.class).isEmpty()
-                && core.actions(CacheOrder.DeleteBlocks.class).isEmpty());
+        assertFalse(core.takeActions(CacheOrder.MoveBlocks.class).isEmpty()
+                && core.takeActions(CacheOrder.DeleteBlocks.class).isEmpty());
         core.serve(CacheCore.prompt("other", 60));
-        core.pass(Duration.ofMillis(900));
-        assertTrue(core.actions(CacheOrder.ExportBlocks.class).stream()
+        core.advance(Duration.ofMillis(900));
+        assertTrue(core.takeActions(CacheOrder.ExportBlocks.class).stream()
                 .noneMatch(order -> order.store().id().equals(export.store().id())));
     }
 
@@ -121,14 +121,14 @@
     // replica is doubtful and counts for half, until a snapshot shows what it holds.
     @Test
     public void aGapThatHidesAnEvictionMakesTheReplicaDoubtfulUntilASnapshot() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         EndpointId warm = core.serve(PREAMBLE).endpoint().id();
         core.handle(new EngineCacheUpdate.EventsRead(warm, 1, List.of(new ReplicaIndex.Event(1, true, PREAMBLE))));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 0);
-        core.actions(CacheOrder.ReadCacheSnapshot.class);
+        core.takeActions(CacheOrder.ReadCacheSnapshot.class);
         core.handle(new EngineCacheUpdate.EventsRead(
                 warm, 3, List.of(new ReplicaIndex.Event(3, true, CacheCore.prompt("other", 1)))));
-        assertEquals(core.actions(CacheOrder.ReadCacheSnapshot.class).size(), 1);
+        assertEquals(core.takeActions(CacheOrder.ReadCacheSnapshot.class).size(), 1);
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 30);
         core.handle(new EngineCacheUpdate.SnapshotRead(warm, 3, Optional.empty(), CacheCore.prompt("other", 1)));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 60);
@@ -157,14 +157,14 @@
     public void aSwapBetweenImportAndRunLeavesNothingOfTheOldVersion() {
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.FULL));
-        core.catalogue("v2");
-        core.endpoints(3, "v2");
+        core.setCatalogue("v2");
+        core.addEndpoints(3, "v2");
         assertEquals(core.state().replicas().prefix(chosen.endpoint().id(), PREAMBLE), 0);
         List<BlockKey> underNewWeights = CacheCore.prompt("notebook under v2", 60);
         Answer.Chosen after = core.route(underNewWeights);
-        assertFalse(after.importFirst().isPresent());
+        assertFalse(after.importPlan().isPresent());
         assertEquals(recomputedBlocks(after), 60);
     }
 
@@ -175,13 +175,13 @@
     public void aSilentLinkCostsOneBoundedDeadline() {
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         double predicted = chosen.explanation().candidates().get(0).fetchMillis();
         assertTrue(plan.deadline().toMillis() <= 2 * predicted + 400);
         core.handle(failed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.LATE));
         core.handle(new AttemptReport.Imported(
                 chosen.attempt(), 0, 0, plan.deadline().toMillis()));
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
     }
 
     // Two analysts return to one shared notebook within a second of each other. Fetched twice, the same bytes would
@@ -191,8 +191,8 @@
         CacheCore core = storedAndGone();
         Answer.Chosen first = core.route(CacheCore.extended(PREAMBLE, "first", 1));
         Answer.Chosen second = core.route(CacheCore.extended(PREAMBLE, "second", 1));
-        assertFalse(first.importFirst().orElseThrow().joins());
-        assertTrue(second.importFirst().orElseThrow().joins());
+        assertFalse(first.importPlan().orElseThrow().joinsRunningImport());
+        assertTrue(second.importPlan().orElseThrow().joinsRunningImport());
         assertEquals(second.endpoint().id(), first.endpoint().id());
         long bytes = core.state().stores().all().stream()
                 .mapToLong(StoreTable.Store::foregroundBytes)
@@ -206,10 +206,10 @@
     public void aReplacedStoreStartsEmpty() {
         CacheCore core = storedAndGone();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        assertTrue(chosen.importFirst().isPresent());
+        assertTrue(chosen.importPlan().isPresent());
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
-        core.stores(2);
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
+        core.setStores(2);
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
     }
 
     // All entries are replaced while the stores are full. Nothing of what the stores hold is known any more, exports
@@ -217,27 +217,28 @@
     // refused for good, and every preamble is computed on its return. The keeper reads a page and frees what it names.
     @Test
     public void aStoreFullOfBlocksThatNobodyKnowsIsFreedPageByPage() {
-        CacheCore core = CacheCore.usual(2);
+        CacheCore core = CacheCore.withDefaults(2);
         core.handle(new StoreUpdate.StatusRead(
                 CacheCore.store(0),
                 new StoreUpdate.Usage(0, 100_000),
                 new StoreUpdate.Usage(1_000_000, 1_000_000),
                 1_000));
-        assertEquals(core.actions(CacheOrder.ReadStorePage.class).size(), 1);
+        assertEquals(core.takeActions(CacheOrder.ReadStorePage.class).size(), 1);
         List<StoreUpdate.Found> page = CacheCore.sealed(PREAMBLE, 4).stream()
                 .map(block -> new StoreUpdate.Found(block, StoreTier.DISK))
                 .toList();
         core.handle(new StoreUpdate.PageRead(CacheCore.store(0), page));
-        assertEquals(core.actions(CacheOrder.DeleteBlocks.class).get(0).blocks().size(), 1);
+        assertEquals(
+                core.takeActions(CacheOrder.DeleteBlocks.class).get(0).blocks().size(), 1);
     }
 
     /** A core that knows the preamble as stored, and every replica as empty. */
     private static CacheCore storedAndGone() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         core.serve(PREAMBLE);
-        core.pass(Duration.ofSeconds(5));
+        core.advance(Duration.ofSeconds(5));
         core.finishExports();
-        core.pass(AWAY);
+        core.advance(AWAY);
         core.finishExports();
         for (int i = 0; i < 3; i++) {
             core.evictAll(CacheCore.endpointId(i));
--- a/src/test/java/org/yuccagw/core/cache/CacheKnowledgeTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheKnowledgeTest.java
@@ -126,11 +126,11 @@
 
     @Test
     public void evictionTakesWhatReturnsLeast() {
-        CacheCore core = CacheCore.usual(2);
+        CacheCore core = CacheCore.withDefaults(2);
         for (int i = 0; i < 40; i++) {
             core.serve(CacheCore.prompt("once" + i, 20));
             core.serve(CacheCore.prompt("often", 20));
-            core.pass(Duration.ofSeconds(30));
+            core.advance(Duration.ofSeconds(30));
             core.finishExports();
         }
         core.handle(new StoreUpdate.StatusRead(
@@ -138,16 +138,16 @@
         core.handle(new StoreUpdate.StatusRead(
                 CacheCore.store(1), new StoreUpdate.Usage(0, 1), new StoreUpdate.Usage(96, 100), 1_000));
         Set<BlockKey> often = new HashSet<>(CacheCore.prompt("often", 20));
-        core.actions(CacheOrder.DeleteBlocks.class)
+        core.takeActions(CacheOrder.DeleteBlocks.class)
                 .forEach(order -> order.blocks().forEach(block -> assertFalse(often.contains(block.key()))));
     }
 
     @Test
     public void aHintBringsAStoredPromptToAnEngineOnce() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         var prompt = CacheCore.prompt("notebook", 40);
         core.serve(prompt);
-        core.pass(Duration.ofSeconds(5));
+        core.advance(Duration.ofSeconds(5));
         core.finishExports();
         core.evictAll(core.route(prompt).endpoint().id());
         List<Integer> begun = new ArrayList<>();
@@ -156,7 +156,7 @@
         core.handle(new PrefetchRequested(scope, prompt, begun::add));
         core.handle(new PrefetchRequested(scope, prompt, begun::add));
         assertEquals(begun, List.of(40, 0));
-        assertEquals(core.actions(CacheOrder.PrefetchBlocks.class).size(), 1);
+        assertEquals(core.takeActions(CacheOrder.PrefetchBlocks.class).size(), 1);
     }
 
     private static BlockKey key(int number) {
--- a/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
+++ b/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
@@ -51,7 +51,7 @@
     @Test
     public void anAnswerIsForwardedUnchanged() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("body"));
         machine.onEnd(1);
@@ -64,17 +64,17 @@
     @Test
     public void theSecondAttemptGetsTheRemainingTime() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         effects.advance(Duration.ofMillis(300));
         machine.onFailure(1, End.BROKEN, "reset");
-        machine.onPlaced(placed("e2"));
+        machine.onPlacementDecision(placed("e2"));
         assertTrue(effects.lines.contains("send leg 2 to e2 left 500 after -1 fresh"), effects.lines.toString());
     }
 
     @Test
     public void theRateLimitInAnAnswerIsReportedForItsEndpoint() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, withNotice(ok(), EndpointNotice.ofRateLimit(RateLimit.of(1.4))));
         assertEquals(
                 effects.notices,
@@ -85,12 +85,12 @@
     @Test
     public void anAnswerWithoutARateLimitIsReportedIfOneWasKnown() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onEnd(1);
         assertEquals(effects.notices, ImmutableList.of());
         ForwardMachine second = begin(RouteKind.IDEMPOTENT, false, 2);
-        second.onPlaced(placed("e1", true));
+        second.onPlacementDecision(placed("e1", true));
         second.onHead(1, ok());
         assertEquals(
                 effects.notices, ImmutableList.of(new NoticeReceived(FIRST_INCARNATION, EndpointNotice.NONE, true)));
@@ -103,9 +103,9 @@
         EndpointNotice leaving = EndpointNotice.ofLeaving();
         EndpointNotice backOff = EndpointNotice.ofBackOff(Duration.ofSeconds(3));
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 3);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, withNotice(answer(500, true, true), leaving));
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(2, withNotice(notRun(503), backOff));
         assertEquals(
                 effects.notices,
@@ -119,9 +119,9 @@
     public void aNoticeInARefusalWithoutARequestIdIsReported() {
         EndpointNotice backOff = EndpointNotice.ofBackOff(Duration.ofSeconds(3));
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 3);
-        machine.onPlaced(placed("e1"));
-        AnswerStart refusal =
-                new AnswerStart(503, false, false, true, false, false, true, OptionalLong.empty(), backOff);
+        machine.onPlacementDecision(placed("e1"));
+        EndpointAnswerHead refusal =
+                new EndpointAnswerHead(503, false, false, true, false, false, true, OptionalLong.empty(), backOff);
         machine.onHead(1, refusal);
         assertEquals(effects.notices, ImmutableList.of(new NoticeReceived(FIRST_INCARNATION, backOff, false)));
     }
@@ -129,10 +129,10 @@
     @Test
     public void aRateLimitInAnAnswerOfAnotherEndpointIsNotReportedForTheExpectedOne() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(
                 1,
-                new AnswerStart(
+                new EndpointAnswerHead(
                         421,
                         true,
                         false,
@@ -150,7 +150,7 @@
     @Test
     public void theStartOfAStreamedAnswerIsReportedOnce() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("id: 1\n\n"));
         assertEquals(effects.begunTickets, ImmutableList.of(1L));
@@ -163,7 +163,7 @@
     @Test
     public void aNonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onFailure(1, End.BROKEN, "reset");
         assertEquals(effects.error, ErrorKind.ENDPOINT_FAILED);
         assertEquals(effects.error.ran(), ErrorKind.Ran.MAY_HAVE_RUN);
@@ -173,10 +173,10 @@
     @Test
     public void aRequestThatWasNotSentIsRetriedElsewhereWhateverItsKind() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onFailure(1, End.UNREACHED, "refused");
         assertTrue(effects.lines.contains("place UNSENT without [e1]"), effects.lines.toString());
-        machine.onPlaced(placed("e2"));
+        machine.onPlacementDecision(placed("e2"));
         machine.onHead(2, ok());
         machine.onEnd(2);
         assertEquals(effects.attempts, ImmutableList.of(End.UNREACHED, End.ANSWERED));
@@ -185,10 +185,10 @@
     @Test
     public void aRequestThatAnEndpointReportsAsNotRunIsRetriedElsewhereWithinTheBudget() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, notRun(503));
         assertTrue(effects.lines.contains("place REPEAT without [e1]"), effects.lines.toString());
-        machine.onPlaced(new PlacementDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
+        machine.onPlacementDecision(new PlacementDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
         assertEquals(effects.error.ran(), ErrorKind.Ran.NOT_RUN);
     }
 
@@ -197,23 +197,23 @@
     @Test
     public void aStatusThatImpliesNotRunWithoutProofIsNotForwarded() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, answer(503, true, false));
         assertEquals(effects.error, ErrorKind.ENDPOINT_FAILED);
     }
 
     @Test
     public void aRequestThatIsNotRepeatableIsSentOverANewConnection() {
-        begin(RouteKind.NON_IDEMPOTENT, false, 1).onPlaced(placed("e1"));
+        begin(RouteKind.NON_IDEMPOTENT, false, 1).onPlacementDecision(placed("e1"));
         assertTrue(effects.lines.get(1).endsWith("fresh"), effects.lines.toString());
     }
 
     @Test
     public void aRequestRunsOnNoMoreEndpointsThanItsRouteAllows() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onFailure(1, End.BROKEN, "reset");
-        machine.onPlaced(placed("e2"));
+        machine.onPlacementDecision(placed("e2"));
         machine.onFailure(2, End.BROKEN, "reset");
         assertEquals(effects.error, ErrorKind.ENDPOINT_FAILED);
         assertEquals(effects.attempts.size(), 2);
@@ -226,7 +226,7 @@
     @Test
     public void anAnswerThatNamesAnotherRequestIsNeverForwarded() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, answer(200, false, true));
         machine.onBytes(1, bytes("somebody else's"));
         assertEquals(effects.callerBody.length(), 0);
@@ -236,7 +236,7 @@
     @Test
     public void aSuccessWithoutASealIsRejected() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, answer(200, true, false));
         assertEquals(effects.error, ErrorKind.ENDPOINT_FAILED);
     }
@@ -244,7 +244,7 @@
     @Test
     public void anInterruptedAnswerIsAbortedAndNotCompleted() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("half"));
         machine.onFailure(1, End.BROKEN, "reset");
@@ -257,7 +257,7 @@
     @Test
     public void anAnswerThatSaysNotRunEndsTheAttemptOnce() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, notRun(421));
         machine.onFailure(1, End.BROKEN, "late");
         assertEquals(effects.attempts, ImmutableList.of(End.WRONG_VERSION));
@@ -268,9 +268,9 @@
     @Test
     public void anErrorAnswerIsForwardedIfNoOtherEndpointIsAvailable() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, answer(500, true, true));
-        machine.onPlaced(new PlacementDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
+        machine.onPlacementDecision(new PlacementDecision.Refused(ErrorKind.RETRY_BUDGET_SPENT.raise(SERVICE)));
         machine.onBytes(1, bytes("why"));
         machine.onEnd(1);
         assertEquals(effects.callerBody.toString(), "why");
@@ -280,10 +280,10 @@
     @Test
     public void anErrorAnswerIsDiscardedIfAnotherEndpointAnswers() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, answer(500, true, true));
         machine.onEnd(1);
-        machine.onPlaced(placed("e2"));
+        machine.onPlacementDecision(placed("e2"));
         machine.onHead(2, ok());
         machine.onBytes(2, bytes("good"));
         machine.onEnd(2);
@@ -299,12 +299,12 @@
     @Test
     public void aResumableStreamContinuesAfterItsLastCompleteEvent() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
         machine.onFailure(1, End.BROKEN, "reset");
         assertTrue(effects.lines.contains("place REPEAT without [e1] version 1"), effects.lines.toString());
-        machine.onPlaced(placed("e2"));
+        machine.onPlacementDecision(placed("e2"));
         assertTrue(effects.lines.get(effects.lines.size() - 1).contains("after 2"));
         machine.onHead(2, ok());
         machine.onBytes(2, bytes("id: 3\ndata: c\n\n"));
@@ -317,7 +317,7 @@
     @Test
     public void aStreamThatEndsInsideAnEventIsAborted() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("id: 1\ndata: a\n\nid: 2\nda"));
         machine.onEnd(1);
@@ -328,14 +328,15 @@
     @Test
     public void aStreamIsNeverResumedWithAnotherWeightVersion() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 3);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("id: 1\ndata: a\n\n"));
         machine.onFailure(1, End.BROKEN, "reset");
-        machine.onPlaced(placed("e2"));
+        machine.onPlacementDecision(placed("e2"));
         machine.onHead(
                 2,
-                new AnswerStart(200, true, true, false, false, false, true, OptionalLong.of(2), EndpointNotice.NONE));
+                new EndpointAnswerHead(
+                        200, true, true, false, false, false, true, OptionalLong.of(2), EndpointNotice.NONE));
         machine.onBytes(2, bytes("id: 2\ndata: other\n\n"));
         assertFalse(effects.callerBody.toString().contains("other"));
     }
@@ -345,7 +346,7 @@
     @Test
     public void aStreamThatPausesForTooLongIsContinuedElsewhere() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         machine.onBytes(1, bytes("id: 1\ndata: a\n\n"));
         effects.advance(Duration.ofMillis(700));
@@ -357,7 +358,7 @@
     @Test
     public void aStreamThatMakesProgressIsNotInterrupted() {
         ForwardMachine machine = begin(RouteKind.STREAM, true, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onHead(1, ok());
         effects.advance(Duration.ofMillis(500));
         machine.onBytes(1, bytes("id: 1\ndata: a\n\n"));
@@ -371,7 +372,7 @@
     @Test
     public void atItsDeadlineARequestThatWasSentIsNotReportedAsNotRun() {
         ForwardMachine machine = begin(RouteKind.NON_IDEMPOTENT, false, 1);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         machine.onTimer(TimerKind.DEADLINE, 0);
         assertEquals(effects.error, ErrorKind.DEADLINE_PASSED);
         assertTrue(effects.lines.contains("abandon leg 1"));
@@ -387,8 +388,8 @@
     @Test
     public void theAttemptOfACallerThatDisconnectedIsAbandonedImmediately() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
-        machine.onCallerLeft();
+        machine.onPlacementDecision(placed("e1"));
+        machine.onCallerDisconnected();
         assertTrue(effects.lines.contains("abandon leg 1"));
         assertEquals(effects.attempts, ImmutableList.of(End.LEFT));
         machine.onFailure(1, End.BROKEN, "late");
@@ -398,15 +399,15 @@
     @Test
     public void aPlacementThatArrivesAfterTheEndIsReleased() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onCallerLeft();
-        machine.onPlaced(placed("e1"));
+        machine.onCallerDisconnected();
+        machine.onPlacementDecision(placed("e1"));
         assertEquals(effects.attempts, ImmutableList.of(End.LEFT));
     }
 
     @Test
     public void aRepeatableRequestWithoutAnAnswerIsRetriedElsewhereInTime() {
         ForwardMachine machine = begin(RouteKind.IDEMPOTENT, false, 2);
-        machine.onPlaced(placed("e1"));
+        machine.onPlacementDecision(placed("e1"));
         effects.advance(Duration.ofMillis(400));
         machine.onTimer(TimerKind.HEAD, 1);
         assertTrue(effects.lines.contains("place REPEAT without [e1]"), effects.lines.toString());
@@ -462,14 +463,14 @@
                 ++tickets, listed, OptionalLong.empty(), Optional.empty(), Optional.empty(), 1, 40, rateLimited);
     }
 
-    private static AnswerStart ok() {
+    private static EndpointAnswerHead ok() {
         return answer(200, true, true);
     }
 
-    private static AnswerStart answer(int status, boolean ofThisRequest, boolean sealed) {
-        return new AnswerStart(
+    private static EndpointAnswerHead answer(int status, boolean forThisRequest, boolean sealed) {
+        return new EndpointAnswerHead(
                 status,
-                ofThisRequest,
+                forThisRequest,
                 sealed,
                 false,
                 false,
@@ -479,21 +480,21 @@
                 EndpointNotice.NONE);
     }
 
-    private static AnswerStart withNotice(AnswerStart head, EndpointNotice notice) {
-        return new AnswerStart(
+    private static EndpointAnswerHead withNotice(EndpointAnswerHead head, EndpointNotice notice) {
+        return new EndpointAnswerHead(
                 head.status(),
-                head.ofThisRequest(),
+                head.forThisRequest(),
                 head.sealed(),
                 head.notRun(),
-                head.fromOther(),
+                head.fromOtherEndpoint(),
                 head.encoded(),
                 head.framed(),
                 head.version(),
                 notice);
     }
 
-    private static AnswerStart notRun(int status) {
-        return new AnswerStart(
+    private static EndpointAnswerHead notRun(int status) {
+        return new EndpointAnswerHead(
                 status, true, false, true, false, false, true, OptionalLong.empty(), EndpointNotice.NONE);
     }
 
--- a/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
+++ b/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
@@ -37,16 +37,20 @@
     }
 
     @Override
-    public void askPlace(
-            ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left) {
-        String version = pinned.isPresent() ? " version " + pinned.getAsLong() : "";
+    public void requestPlacement(
+            ImmutableSet<EndpointId> excluded,
+            PlacementRequest.Kind kind,
+            OptionalLong pinnedVersion,
+            Duration remaining) {
+        String version = pinnedVersion.isPresent() ? " version " + pinnedVersion.getAsLong() : "";
         lines.add("place " + kind + " without " + excluded + version);
     }
 
     @Override
-    public void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh) {
-        lines.add("send leg " + leg + " to " + placed.endpoint().id() + " left " + left.toMillis() + " after "
-                + afterEvent + (fresh ? " fresh" : ""));
+    public void send(
+            long leg, PlacementDecision.Placed placed, Duration remaining, long afterEvent, boolean newConnection) {
+        lines.add("send leg " + leg + " to " + placed.endpoint().id() + " left " + remaining.toMillis() + " after "
+                + afterEvent + (newConnection ? " fresh" : ""));
     }
 
     @Override
@@ -55,12 +59,12 @@
     }
 
     @Override
-    public void hold(long leg) {
+    public void pauseReading(long leg) {
         lines.add("hold leg " + leg);
     }
 
     @Override
-    public void readOn(long leg) {
+    public void resumeReading(long leg) {
         lines.add("read on leg " + leg);
     }
 
@@ -83,7 +87,7 @@
     }
 
     @Override
-    public void cut() {
+    public void abortAnswer() {
         lines.add("cut");
     }
 
--- a/src/test/java/org/yuccagw/core/retry/RetryPolicyTest.java
+++ b/src/test/java/org/yuccagw/core/retry/RetryPolicyTest.java
@@ -18,7 +18,7 @@
     private static final Duration MINUTE = Duration.ofMinutes(1);
 
     private final SplittableRandom random = new SplittableRandom(7);
-    private final RetryPolicy policy = RetryPolicy.usual();
+    private final RetryPolicy policy = RetryPolicy.defaults();
 
     @DataProvider
     public Object[][] failures() {
@@ -71,7 +71,7 @@
 
     @Test
     public void theDelayIsJitteredBelowADoublingCeilingAndNeverShorterThanRequested() {
-        Backoff backoff = Backoff.usual();
+        Backoff backoff = Backoff.defaults();
         for (int retry = 1; retry <= 40; retry++) {
             long ceiling = (long) Math.min(2000, 50 * Math.pow(2, Math.min(retry - 1, 30)));
             assertTrue(backoff.delay(retry, random).toMillis() <= ceiling);
--- a/src/test/java/org/yuccagw/core/routing/CacheCore.java
+++ b/src/test/java/org/yuccagw/core/routing/CacheCore.java
@@ -75,11 +75,11 @@
     }
 
     /** Returns a core with the default policy, the given number of endpoints on version v1, and two stores. */
-    public static CacheCore usual(int endpointCount) {
+    public static CacheCore withDefaults(int endpointCount) {
         CacheCore core = of(CacheSettings.usual(), RoutePolicies.PREDICTED_FIRST_TOKEN);
-        core.catalogue("v1");
-        core.endpoints(endpointCount, "v1");
-        core.stores(1);
+        core.setCatalogue("v1");
+        core.addEndpoints(endpointCount, "v1");
+        core.setStores(1);
         return core;
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Advances the virtual time and runs each timer at its own time. */
-    public void pass(Duration duration) {
+    public void advance(Duration duration) {
         long end = nowNanos + duration.toNanos();
         while (core.nextTimerNanos() <= end) {
             nowNanos = Math.max(nowNanos, core.nextTimerNanos());
@@ -106,7 +106,7 @@
         handle(new ControlCore.Tick());
     }
 
-    public void catalogue(String version) {
+    public void setCatalogue(String version) {
         RequestClass notebook = new RequestClass(
                 CLASS, 0, 1, Duration.ofSeconds(30), Duration.ofMinutes(5), Duration.ofSeconds(20), 1, 0.5);
         Service service = new Service(
@@ -123,13 +123,13 @@
                 1, SystemLimits.usual(), Map.of(CLASS, notebook), Map.of(), Map.of(SERVICE, service), List.of())));
     }
 
-    public void endpoints(int count, String version) {
+    public void addEndpoints(int count, String version) {
         for (int i = 0; i < count; i++) {
-            endpoint(i, version, true);
+            setEndpoint(i, version, true);
         }
     }
 
-    public void endpoint(int number, String version, boolean takesNewWork) {
+    public void setEndpoint(int number, String version, boolean takesNewWork) {
         EndpointId id = endpointId(number);
         endpoints.put(
                 id,
@@ -145,7 +145,7 @@
         handle(new EndpointsChanged(new EndpointsSnapshot(ImmutableMap.copyOf(endpoints))));
     }
 
-    public void stores(long incarnation) {
+    public void setStores(long incarnation) {
         List<PlatformListed.ListedVm> vms = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             vms.add(new PlatformListed.ListedVm(
@@ -183,9 +183,9 @@
                 .build();
     }
 
-    public RouteRequested.Question question(List<BlockKey> blocks) {
+    public RouteRequested.Query query(List<BlockKey> blocks) {
         requests++;
-        return new RouteRequested.Question(
+        return new RouteRequested.Query(
                 RequestId.of("request-" + requests),
                 WORKSPACE,
                 SERVICE,
@@ -198,9 +198,9 @@
                 false);
     }
 
-    public RouteRequested.Answer ask(RouteRequested.Question question) {
+    public RouteRequested.Answer request(RouteRequested.Query query) {
         List<RouteRequested.Answer> answers = new ArrayList<>();
-        handle(new RouteRequested(question, answers::add));
+        handle(new RouteRequested(query, answers::add));
         if (answers.size() != 1) {
             throw new AssertionError("expected one answer, got " + answers);
         }
@@ -208,7 +208,7 @@
     }
 
     public RouteRequested.Answer.Chosen route(List<BlockKey> blocks) {
-        return (RouteRequested.Answer.Chosen) ask(question(blocks));
+        return (RouteRequested.Answer.Chosen) request(query(blocks));
     }
 
     /** Routes a request and reports that it was sent and answered successfully. */
@@ -221,7 +221,7 @@
     }
 
     /** Removes and returns the recorded actions of one type, oldest first. */
-    public <T extends ControlAction> List<T> actions(Class<T> kind) {
+    public <T extends ControlAction> List<T> takeActions(Class<T> kind) {
         List<T> found =
                 actions.stream().filter(kind::isInstance).map(kind::cast).toList();
         actions.removeAll(found);
@@ -230,7 +230,7 @@
 
     /** Reports each requested export as successful, with all blocks sealed. */
     public void finishExports() {
-        actions(org.yuccagw.core.cache.CacheOrder.ExportBlocks.class)
+        takeActions(org.yuccagw.core.cache.CacheOrder.ExportBlocks.class)
                 .forEach(order -> handle(new EngineCacheUpdate.ExportEnded(
                         order.number(), order.endpoint().id(), sealed(order.blocks(), 1), false, Optional.empty())));
     }
--- a/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
+++ b/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
@@ -21,7 +21,7 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.routing.RouteRequested.Answer;
-import org.yuccagw.core.routing.RouteRequested.Question;
+import org.yuccagw.core.routing.RouteRequested.Query;
 
 public class RouteComponentTest {
     @DataProvider
@@ -32,10 +32,10 @@
     @Test(dataProvider = "policies")
     public void everyPolicyChoosesOnlyEndpointsThatAcceptNewRequests(String policy) {
         CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
-        core.catalogue("v2");
-        core.endpoint(0, "v1", false);
-        core.endpoint(1, "v2", false);
-        core.endpoint(2, "v2", true);
+        core.setCatalogue("v2");
+        core.setEndpoint(0, "v1", false);
+        core.setEndpoint(1, "v2", false);
+        core.setEndpoint(2, "v2", true);
         for (int i = 0; i < 20; i++) {
             assertEquals(core.route(CacheCore.prompt("p" + i, 10)).endpoint().id(), CacheCore.endpointId(2));
         }
@@ -48,12 +48,12 @@
     @Test(dataProvider = "policies")
     public void duringASwapEachVersionReceivesNewRequestsInProportionToItsReplicas(String policy) {
         CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
-        core.catalogue("v2");
-        core.endpoints(3, "v1");
+        core.setCatalogue("v2");
+        core.addEndpoints(3, "v1");
         Answer.Chosen before = core.route(CacheCore.prompt("first", 10));
         assertEquals(before.endpoint().version(), Optional.of(WeightVersion.of("v1")));
-        assertTrue(before.importFirst().isEmpty());
-        core.endpoint(3, "v2", true);
+        assertTrue(before.importPlan().isEmpty());
+        core.setEndpoint(3, "v2", true);
         int routedToNewVersion = 0;
         for (int i = 0; i < 200; i++) {
             Answer.Chosen chosen = core.route(CacheCore.prompt("p" + i, 10));
@@ -68,54 +68,54 @@
     @Test(dataProvider = "policies")
     public void everyPolicySkipsExcludedEndpoints(String policy) {
         CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
-        core.catalogue("v1");
-        core.endpoints(2, "v1");
-        Question first = core.question(CacheCore.prompt("p", 10));
-        Question again = excluding(first, ImmutableSet.of(CacheCore.endpointId(0)));
-        assertEquals(((Answer.Chosen) core.ask(again)).endpoint().id(), CacheCore.endpointId(1));
-        Question neither = excluding(first, ImmutableSet.of(CacheCore.endpointId(0), CacheCore.endpointId(1)));
-        assertEquals(refusalKind(core.ask(neither)), ErrorKind.NO_ENDPOINT);
+        core.setCatalogue("v1");
+        core.addEndpoints(2, "v1");
+        Query first = core.query(CacheCore.prompt("p", 10));
+        Query again = excluding(first, ImmutableSet.of(CacheCore.endpointId(0)));
+        assertEquals(((Answer.Chosen) core.request(again)).endpoint().id(), CacheCore.endpointId(1));
+        Query neither = excluding(first, ImmutableSet.of(CacheCore.endpointId(0), CacheCore.endpointId(1)));
+        assertEquals(refusalKind(core.request(neither)), ErrorKind.NO_ENDPOINT);
     }
 
     @Test
     public void anUnknownServiceIsRefused() {
-        CacheCore core = CacheCore.usual(1);
-        Question question = core.question(CacheCore.prompt("p", 1));
-        Question unknown = new Question(
-                question.request(),
-                question.workspace(),
+        CacheCore core = CacheCore.withDefaults(1);
+        Query query = core.query(CacheCore.prompt("p", 1));
+        Query unknown = new Query(
+                query.request(),
+                query.workspace(),
                 ServiceName.of("absent"),
-                question.className(),
+                query.className(),
                 Optional.empty(),
-                question.blocks(),
+                query.blocks(),
                 1,
                 1,
                 ImmutableSet.of(),
                 false);
-        assertEquals(refusalKind(core.ask(unknown)), ErrorKind.UNKNOWN_MODEL);
+        assertEquals(refusalKind(core.request(unknown)), ErrorKind.UNKNOWN_MODEL);
     }
 
     @Test
     public void aContinuedRunKeepsItsVersionOrFailsWithVersionGone() {
-        CacheCore core = CacheCore.usual(2);
-        core.endpoint(2, "v0", true);
-        Question question = core.question(CacheCore.prompt("p", 4));
+        CacheCore core = CacheCore.withDefaults(2);
+        core.setEndpoint(2, "v0", true);
+        Query query = core.query(CacheCore.prompt("p", 4));
         assertEquals(
-                ((Answer.Chosen) core.ask(withVersion(question, "v0")))
+                ((Answer.Chosen) core.request(withVersion(query, "v0")))
                         .endpoint()
                         .id(),
                 CacheCore.endpointId(2));
-        assertEquals(refusalKind(core.ask(withVersion(question, "v9"))), ErrorKind.VERSION_GONE);
+        assertEquals(refusalKind(core.request(withVersion(query, "v9"))), ErrorKind.VERSION_GONE);
     }
 
     @Test
     public void aRepeatedPromptIsRoutedToTheReplicaThatHasItCached() {
-        CacheCore core = CacheCore.usual(13);
+        CacheCore core = CacheCore.withDefaults(13);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 60);
         EndpointId first =
                 core.serve(CacheCore.extended(preamble, "q1", 2)).endpoint().id();
         for (int i = 2; i < 10; i++) {
-            core.pass(Duration.ofSeconds(20));
+            core.advance(Duration.ofSeconds(20));
             Answer.Chosen again = core.serve(CacheCore.extended(preamble, "q" + i, 2));
             assertEquals(again.endpoint().id(), first);
             assertTrue(again.explanation().candidates().get(0).recomputedTokens() < 4 * CacheCore.BLOCK_TOKENS);
@@ -124,7 +124,7 @@
 
     @Test
     public void aLongQueueMovesAPromptToAnotherReplica() {
-        CacheCore core = CacheCore.usual(4);
+        CacheCore core = CacheCore.withDefaults(4);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 8);
         EndpointId warm = core.serve(preamble).endpoint().id();
         Set<EndpointId> used = new HashSet<>();
@@ -139,7 +139,7 @@
 
     @Test
     public void newPromptsAreSpreadOverThePool() {
-        CacheCore core = CacheCore.usual(13);
+        CacheCore core = CacheCore.withDefaults(13);
         Set<EndpointId> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             used.add(core.serve(CacheCore.prompt("prompt" + i, 20)).endpoint().id());
@@ -149,18 +149,18 @@
 
     @Test
     public void aSuspectPromptRunsOnAnEndpointWithoutOtherAttempts() {
-        CacheCore core = CacheCore.usual(2);
+        CacheCore core = CacheCore.withDefaults(2);
         Answer.Chosen running = core.route(CacheCore.prompt("p", 4));
-        Question question = core.question(CacheCore.prompt("suspect", 4));
-        Question exclusive = exclusive(question);
-        Answer.Chosen placed = (Answer.Chosen) core.ask(exclusive);
+        Query query = core.query(CacheCore.prompt("suspect", 4));
+        Query exclusive = exclusive(query);
+        Answer.Chosen placed = (Answer.Chosen) core.request(exclusive);
         assertNotEquals(placed.endpoint().id(), running.endpoint().id());
         assertEquals(
                 core.route(CacheCore.prompt("other", 4)).endpoint().id(),
                 running.endpoint().id());
-        assertEquals(refusalKind(core.ask(exclusive(question))), ErrorKind.NO_ENDPOINT);
+        assertEquals(refusalKind(core.request(exclusive(query))), ErrorKind.NO_ENDPOINT);
         core.handle(new AttemptReport.Ended(placed.attempt(), true, 0, 1));
-        assertTrue(core.ask(exclusive(question)) instanceof Answer.Chosen);
+        assertTrue(core.request(exclusive(query)) instanceof Answer.Chosen);
     }
 
     @Test
@@ -170,7 +170,7 @@
 
     @Test
     public void onlyAFewOfManyEndpointsAreScored() {
-        CacheCore core = CacheCore.usual(1_250);
+        CacheCore core = CacheCore.withDefaults(1_250);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 60);
         EndpointId first = core.serve(preamble).endpoint().id();
         Answer.Chosen again = core.serve(CacheCore.extended(preamble, "q", 1));
@@ -179,7 +179,7 @@
     }
 
     private static ImmutableList<EndpointId> choices() {
-        CacheCore core = CacheCore.usual(40);
+        CacheCore core = CacheCore.withDefaults(40);
         ImmutableList.Builder<EndpointId> chosen = ImmutableList.builder();
         for (int i = 0; i < 50; i++) {
             chosen.add(core.serve(CacheCore.prompt("p" + i % 20, 20)).endpoint().id());
@@ -191,29 +191,29 @@
         return ((Answer.Refused) answer).error().kind();
     }
 
-    private static Question excluding(Question question, ImmutableSet<EndpointId> excluded) {
-        return copyWith(question, question.version(), excluded, false);
+    private static Query excluding(Query query, ImmutableSet<EndpointId> excluded) {
+        return copyWith(query, query.version(), excluded, false);
     }
 
-    private static Question withVersion(Question question, String version) {
-        return copyWith(question, Optional.of(WeightVersion.of(version)), question.excluded(), false);
+    private static Query withVersion(Query query, String version) {
+        return copyWith(query, Optional.of(WeightVersion.of(version)), query.excluded(), false);
     }
 
-    private static Question exclusive(Question question) {
-        return copyWith(question, question.version(), question.excluded(), true);
+    private static Query exclusive(Query query) {
+        return copyWith(query, query.version(), query.excluded(), true);
     }
 
-    private static Question copyWith(
-            Question question, Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean exclusive) {
-        return new Question(
-                question.request(),
-                question.workspace(),
-                question.service(),
-                question.className(),
+    private static Query copyWith(
+            Query query, Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean exclusive) {
+        return new Query(
+                query.request(),
+                query.workspace(),
+                query.service(),
+                query.className(),
                 version,
-                question.blocks(),
-                question.promptTokens(),
-                question.answerTokens(),
+                query.blocks(),
+                query.promptTokens(),
+                query.answerTokens(),
                 excluded,
                 exclusive);
     }
