--- a/src/main/java/org/yuccagw/core/routing/Placement.java
+++ b/src/main/java/org/yuccagw/core/routing/Placement.java
@@ -31,7 +31,7 @@
     /** The blocks of a stored prefix up to a depth in the prompt. */
     record Fetch(StoredPrefix prefix, int depth) {
         List<StoredBlock> blocks() {
-            return prefix.upTo(depth);
+            return prefix.blocksUpTo(depth);
         }
     }
 
--- a/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
+++ b/src/main/java/org/yuccagw/core/routing/PredictedFirstToken.java
@@ -135,7 +135,7 @@
 
     private static void addImportTargets(RoutingView view, Set<EndpointStatus> chosen) {
         BlockKey affinityKey = PromptTree.affinityKey(view.query().blocks());
-        for (ImportsInProgress.Import runningImport : view.cache().imports().bringing(affinityKey)) {
+        for (ImportsInProgress.Import runningImport : view.cache().imports().findAll(affinityKey)) {
             view.candidates().find(runningImport.endpoint()).ifPresent(chosen::add);
         }
     }
@@ -153,7 +153,7 @@
                 view.cache().imports().find(endpoint.id(), blocks.get(cachedBlocks));
         if (runningImport.isPresent()) {
             int depth = importedDepth(runningImport.get(), blocks, cachedBlocks);
-            double remainingMillis = runningImport.get().leftMillis(view.nowNanos());
+            double remainingMillis = runningImport.get().remainingMillis(view.nowNanos());
             return lowerScore(
                     best,
                     option(view, endpoint, Optional.empty(), runningImport, depth, remainingMillis, penaltyMillis));
@@ -162,7 +162,7 @@
                 view.cache(), blocks, view.path(), fetchStartDepth(view, endpoint, cachedBlocks), view.nowNanos());
         if (stored.isPresent()) {
             double deadlineMillis = view.cache().settings().importDeadline().toMillis();
-            for (StoredPrefix.End end : stored.get().ends()) {
+            for (StoredPrefix.CutPoint end : stored.get().cutPoints()) {
                 double fetchMillis = stored.get().fetchMillis(end);
                 if (fetchMillis < deadlineMillis) {
                     Placement.Fetch partialFetch = new Placement.Fetch(stored.get(), end.depth());
@@ -185,23 +185,23 @@
     private static int cachedPrefixBlocks(RoutingView view, EndpointStatus endpoint) {
         List<BlockKey> blocks = view.query().blocks();
         ReplicaIndex replicas = view.cache().replicas();
-        int cachedBlocks = replicas.prefix(endpoint.id(), blocks);
-        boolean doubtful = cachedBlocks > 0 && replicas.isDoubtful(endpoint.id());
-        return doubtful ? (int) (cachedBlocks * ReplicaIndex.DOUBTFUL_SHARE) : cachedBlocks;
+        int cachedBlocks = replicas.prefixBlocks(endpoint.id(), blocks);
+        boolean stale = cachedBlocks > 0 && replicas.isStale(endpoint.id());
+        return stale ? (int) (cachedBlocks * ReplicaIndex.STALE_PREFIX_SHARE) : cachedBlocks;
     }
 
     /**
-     * Returns the depth at which a fetch must start. The blocks attributed to a doubtful replica may have been evicted,
+     * Returns the depth at which a fetch must start. The blocks attributed to a stale replica may have been evicted,
      * and then all blocks fetched behind them would be useless. The same applies to a run of blocks that is cached only
      * in part: engines evict from the end, so the replica is about to evict the rest of the run, and its events arrive
      * late.
      */
     private static int fetchStartDepth(RoutingView view, EndpointStatus endpoint, int cachedBlocks) {
-        if (view.cache().replicas().isDoubtful(endpoint.id())) {
+        if (view.cache().replicas().isStale(endpoint.id())) {
             return 0;
         }
         for (PromptNode node : view.path()) {
-            if (node.startDepth() < cachedBlocks && cachedBlocks < node.startDepth() + node.blocks()) {
+            if (node.startDepth() < cachedBlocks && cachedBlocks < node.startDepth() + node.blockCount()) {
                 return node.startDepth();
             }
         }
@@ -210,7 +210,7 @@
 
     private static int importedDepth(ImportsInProgress.Import runningImport, List<BlockKey> blocks, int from) {
         int depth = from;
-        while (depth < blocks.size() && runningImport.brings(blocks.get(depth))) {
+        while (depth < blocks.size() && runningImport.includes(blocks.get(depth))) {
             depth++;
         }
         return depth;
--- a/src/main/java/org/yuccagw/core/routing/RouteComponent.java
+++ b/src/main/java/org/yuccagw/core/routing/RouteComponent.java
@@ -156,10 +156,10 @@
             return List.of();
         }
         if (!query.excluded().isEmpty()) {
-            return cache.prompts().walk(query.blocks());
+            return cache.prompts().findPath(query.blocks());
         }
-        double nowSeconds = CacheState.seconds(context.nowNanos());
-        return cache.prompts().arrive(query.blocks(), scope(query, service), nowSeconds, context.random());
+        double nowSeconds = CacheState.toSeconds(context.nowNanos());
+        return cache.prompts().recordRequest(query.blocks(), scope(query, service), nowSeconds, context.random());
     }
 
     private void decide(RouteRequested request, ControlContext context) {
@@ -228,7 +228,7 @@
                 candidates(new CandidateSetKey(service.pool(), version, onOtherVersion)),
                 service.model(),
                 cache.catalogue().requestClass(query.className()).orElse(UNKNOWN_CLASS),
-                cache.prompts().walk(query.blocks()),
+                cache.prompts().findPath(query.blocks()),
                 loads,
                 cache,
                 context.self().domain(),
@@ -277,7 +277,7 @@
     private Optional<ImportPlan> importPlan(Placement placement, ControlContext context) {
         if (placement.joinedImport().isPresent()) {
             ImportsInProgress.Import joinedImport = placement.joinedImport().get();
-            Duration importDeadline = importDeadline(joinedImport.leftMillis(context.nowNanos()));
+            Duration importDeadline = importDeadline(joinedImport.remainingMillis(context.nowNanos()));
             ImmutableList<StoredBlock> blocks = joinedImport.blocks();
             return Optional.of(new ImportPlan(
                     joinedImport.store().id(), joinedImport.store().address(), blocks, importDeadline, true));
@@ -333,7 +333,7 @@
         }
         int requestedBlocks = attempt.placement.fetch().orElseThrow().blocks().size();
         if (imported.blocks() >= requestedBlocks) {
-            cache.imports().endWhole(attempt.startedImport.get(), (double) imported.millis());
+            cache.imports().complete(attempt.startedImport.get(), (double) imported.millis());
         } else {
             cache.imports().end(attempt.startedImport.get());
             int missingBlocks = requestedBlocks - imported.blocks();
@@ -348,7 +348,7 @@
         }
         if (attempt.prefillTokens >= MIN_TOKENS_TO_LEARN_SPEED) {
             load.learnSpeed(attempt.prefillTokens, (double) millis);
-            cache.learnPrefillSpeed(loads.overallTokensPerMilli());
+            cache.setPrefillTokensPerMilli(loads.overallTokensPerMilli());
         } else if (attempt.prefillTokens <= MAX_TOKENS_TO_LEARN_BASE_LATENCY) {
             load.learnBaseLatency((double) millis);
         }
--- a/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
+++ b/src/main/java/org/yuccagw/core/routing/RoutePolicies.java
@@ -95,7 +95,7 @@
     private static Optional<Placement> byAffinityWithImport(RoutingView view) {
         return affinityEndpoint(view).map(chosen -> {
             Query query = view.query();
-            int cachedBlocks = view.cache().replicas().prefix(chosen.id(), query.blocks());
+            int cachedBlocks = view.cache().replicas().prefixBlocks(chosen.id(), query.blocks());
             Optional<StoredPrefix> stored =
                     StoredPrefix.find(view.cache(), query.blocks(), view.path(), cachedBlocks, view.nowNanos());
             int depth =
@@ -156,7 +156,7 @@
 
     private static long uncachedTokens(RoutingView view, EndpointStatus endpoint) {
         ReplicaIndex replicas = view.cache().replicas();
-        int cachedBlocks = replicas.prefix(endpoint.id(), view.query().blocks());
+        int cachedBlocks = replicas.prefixBlocks(endpoint.id(), view.query().blocks());
         return Math.max(0, view.query().promptTokens() - (long) cachedBlocks * view.blockTokens());
     }
 }
--- a/src/main/java/org/yuccagw/core/routing/StoreLookups.java
+++ b/src/main/java/org/yuccagw/core/routing/StoreLookups.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import org.yuccagw.core.cache.BlockKey;
-import org.yuccagw.core.cache.CacheOrder;
+import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.CacheState;
 import org.yuccagw.core.cache.PromptNode;
 import org.yuccagw.core.cache.StoreTable;
@@ -51,7 +51,7 @@
         }
         int storedBlocks = 0;
         for (PromptNode node : path) {
-            storedBlocks += node.storedBlocks();
+            storedBlocks += node.maxCopyBlocks();
         }
         if (blocks.size() - storedBlocks < MIN_UNKNOWN_BLOCKS) {
             return false;
@@ -61,7 +61,7 @@
                 .forEachHolder(
                         blocks,
                         id -> longestCachedPrefix[0] = Math.max(
-                                longestCachedPrefix[0], cache.replicas().prefix(id, blocks)));
+                                longestCachedPrefix[0], cache.replicas().prefixBlocks(id, blocks)));
         return blocks.size() - longestCachedPrefix[0] >= MIN_UNKNOWN_BLOCKS;
     }
 
@@ -77,8 +77,8 @@
         pendingLookups.put(number, lookup);
         lookup.timer = context.after(cache.settings().lookUpDeadline(), () -> finish(number));
         for (StoreTable.Store store : stores) {
-            context.perform(new CacheOrder.LookUpBlocks(
-                    number, new CacheOrder.StoreAddress(store.id(), store.address()), blocks));
+            context.perform(new CacheCommand.LookUpBlocks(
+                    number, new CacheCommand.StoreAddress(store.id(), store.address()), blocks));
         }
     }
 
--- a/src/test/java/org/yuccagw/core/routing/CacheCore.java
+++ b/src/test/java/org/yuccagw/core/routing/CacheCore.java
@@ -76,7 +76,7 @@
 
     /** Returns a core with the default policy, the given number of endpoints on version v1, and two stores. */
     public static CacheCore withDefaults(int endpointCount) {
-        CacheCore core = of(CacheSettings.usual(), RoutePolicies.PREDICTED_FIRST_TOKEN);
+        CacheCore core = of(CacheSettings.defaults(), RoutePolicies.PREDICTED_FIRST_TOKEN);
         core.setCatalogue("v1");
         core.addEndpoints(endpointCount, "v1");
         core.setStores(1);
@@ -230,7 +230,7 @@
 
     /** Reports each requested export as successful, with all blocks sealed. */
     public void finishExports() {
-        takeActions(org.yuccagw.core.cache.CacheOrder.ExportBlocks.class)
+        takeActions(org.yuccagw.core.cache.CacheCommand.ExportBlocks.class)
                 .forEach(order -> handle(new EngineCacheUpdate.ExportEnded(
                         order.number(), order.endpoint().id(), sealed(order.blocks(), 1), false, Optional.empty())));
     }
--- a/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
+++ b/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
@@ -31,7 +31,7 @@
 
     @Test(dataProvider = "policies")
     public void everyPolicyChoosesOnlyEndpointsThatAcceptNewRequests(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
         core.setCatalogue("v2");
         core.setEndpoint(0, "v1", false);
         core.setEndpoint(1, "v2", false);
@@ -47,7 +47,7 @@
     // swapped, and without block imports, since block keys belong to the new version.
     @Test(dataProvider = "policies")
     public void duringASwapEachVersionReceivesNewRequestsInProportionToItsReplicas(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
         core.setCatalogue("v2");
         core.addEndpoints(3, "v1");
         Answer.Chosen before = core.route(CacheCore.prompt("first", 10));
@@ -67,7 +67,7 @@
 
     @Test(dataProvider = "policies")
     public void everyPolicySkipsExcludedEndpoints(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
         core.setCatalogue("v1");
         core.addEndpoints(2, "v1");
         Query first = core.query(CacheCore.prompt("p", 10));
