--- a/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheFailureTest.java
@@ -25,15 +25,15 @@
     // so the entry that maintains the store must delete exactly these generations once no export can still be running.
     @Test
     public void unsealedBlocksOfAFailedWriterAreDeleted() {
-        CacheCore core = CacheCore.usual(3);
-        core.pass(Duration.ofSeconds(31));
-        assertTrue(core.actions(CacheCommand.ReadUnsealed.class).size() >= 2);
+        CacheCore core = CacheCore.withDefaults(3);
+        core.advance(Duration.ofSeconds(31));
+        assertTrue(core.takeActions(CacheCommand.ReadUnsealed.class).size() >= 2);
         core.handle(new StoreUpdate.UnsealedRead(
                 CacheCore.store(0),
                 List.of(
                         new StoreUpdate.Unsealed(PREAMBLE.get(0), 5, "entry-1-1-1", 3_600_000),
                         new StoreUpdate.Unsealed(PREAMBLE.get(1), 6, "entry-1-1-2", 1_000))));
-        List<CacheCommand.DeleteBlocks> deletions = core.actions(CacheCommand.DeleteBlocks.class);
+        List<CacheCommand.DeleteBlocks> deletions = core.takeActions(CacheCommand.DeleteBlocks.class);
         assertEquals(deletions.size(), 1);
         assertEquals(deletions.get(0).blocks(), List.of(new CacheCommand.Generation(PREAMBLE.get(0), 5)));
     }
@@ -45,12 +45,12 @@
     public void aStoreThatFailsDuringAnImportIsNotUsedDuringItsBackOff() {
         CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         core.handle(importFailed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.STORE));
         core.handle(new AttemptReport.Imported(chosen.attempt(), 0, 0, 40));
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
-        core.pass(Duration.ofSeconds(2));
-        assertTrue(core.route(PREAMBLE).importFirst().isPresent(), "the store must be used again after the back-off");
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
+        core.advance(Duration.ofSeconds(2));
+        assertTrue(core.route(PREAMBLE).importPlan().isPresent(), "the store must be used again after the back-off");
     }
 
     // A store deletes a block while an engine reads it. The read in progress completes, but a later one fails and the
@@ -60,7 +60,7 @@
     public void aBlockThatTheStoreLostIsNotRequestedAgain() {
         CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         assertEquals(plan.blocks().size(), PREAMBLE.size());
         BlockKey lostKey = plan.blocks().get(20).key();
         core.handle(new EngineCacheUpdate.ImportEnded(
@@ -73,7 +73,7 @@
                 List.of(new EngineCacheUpdate.FailedBlock(lostKey, EngineCacheUpdate.ImportFailure.GONE))));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         core.evictAll(chosen.endpoint().id());
-        assertEquals(core.route(PREAMBLE).importFirst().orElseThrow().blocks().size(), 20);
+        assertEquals(core.route(PREAMBLE).importPlan().orElseThrow().blocks().size(), 20);
     }
 
     // A memory fault of the store damages the bytes of a stored block. The engine rejects the block because of its
@@ -82,7 +82,7 @@
     public void aDamagedCopyIsNotUsedAgain() {
         CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         core.handle(new EngineCacheUpdate.ImportEnded(
                 chosen.endpoint().id(),
                 plan.store(),
@@ -94,7 +94,7 @@
                         plan.blocks().get(0).key(), EngineCacheUpdate.ImportFailure.DAMAGED))));
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
         core.evictAll(chosen.endpoint().id());
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
     }
 
     // Other writers fill the store during an export: half of the blocks are sealed and the others are refused. The
@@ -102,18 +102,18 @@
     // evicted.
     @Test
     public void aStoreThatFillsUpDuringAnExportKeepsTheSealedBlocks() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         EndpointId first = core.serve(PREAMBLE).endpoint().id();
-        core.pass(Duration.ofSeconds(5));
+        core.advance(Duration.ofSeconds(5));
         CacheCommand.ExportBlocks export =
-                core.actions(CacheCommand.ExportBlocks.class).get(0);
+                core.takeActions(CacheCommand.ExportBlocks.class).get(0);
         List<StoredBlock> half = CacheCore.sealed(export.blocks().subList(0, 30), 1);
         core.handle(new EngineCacheUpdate.ExportEnded(export.number(), first, half, true, Optional.empty()));
-        assertFalse(core.actions(CacheCommand.MoveBlocks.class).isEmpty()
-                && core.actions(CacheCommand.DeleteBlocks.class).isEmpty());
+        assertFalse(core.takeActions(CacheCommand.MoveBlocks.class).isEmpty()
+                && core.takeActions(CacheCommand.DeleteBlocks.class).isEmpty());
         core.serve(CacheCore.prompt("other", 60));
-        core.pass(Duration.ofMillis(900));
-        assertTrue(core.actions(CacheCommand.ExportBlocks.class).stream()
+        core.advance(Duration.ofMillis(900));
+        assertTrue(core.takeActions(CacheCommand.ExportBlocks.class).stream()
                 .noneMatch(command -> command.store().id().equals(export.store().id())));
     }
 
@@ -123,14 +123,14 @@
     // the state.
     @Test
     public void aGapThatHidesAnEvictionMakesTheReplicaStateStaleUntilASnapshot() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         EndpointId warm = core.serve(PREAMBLE).endpoint().id();
         core.handle(new EngineCacheUpdate.EventsRead(warm, 1, List.of(new ReplicaIndex.Event(1, true, PREAMBLE))));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 0);
-        core.actions(CacheCommand.ReadCacheSnapshot.class);
+        core.takeActions(CacheCommand.ReadCacheSnapshot.class);
         core.handle(new EngineCacheUpdate.EventsRead(
                 warm, 3, List.of(new ReplicaIndex.Event(3, true, CacheCore.prompt("other", 1)))));
-        assertEquals(core.actions(CacheCommand.ReadCacheSnapshot.class).size(), 1);
+        assertEquals(core.takeActions(CacheCommand.ReadCacheSnapshot.class).size(), 1);
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 30);
         core.handle(new EngineCacheUpdate.SnapshotRead(warm, 3, Optional.empty(), CacheCore.prompt("other", 1)));
         assertEquals(recomputedBlocks(core.route(PREAMBLE)), 60);
@@ -160,14 +160,14 @@
     public void aWeightSwapBetweenImportAndPrefillRemovesTheBlocksOfTheOldVersion() {
         CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         core.handle(importFailed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.FULL));
-        core.catalogue("v2");
-        core.endpoints(3, "v2");
+        core.setCatalogue("v2");
+        core.addEndpoints(3, "v2");
         assertEquals(core.state().replicas().prefixBlocks(chosen.endpoint().id(), PREAMBLE), 0);
         List<BlockKey> newVersionPrompt = CacheCore.prompt("notebook under v2", 60);
         Answer.Chosen afterSwap = core.route(newVersionPrompt);
-        assertFalse(afterSwap.importFirst().isPresent());
+        assertFalse(afterSwap.importPlan().isPresent());
         assertEquals(recomputedBlocks(afterSwap), 60);
     }
 
@@ -178,13 +178,13 @@
     public void aSilentLinkDelaysOneRequestUntilABoundedDeadline() {
         CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        ImportPlan plan = chosen.importFirst().orElseThrow();
+        ImportPlan plan = chosen.importPlan().orElseThrow();
         double predictedMillis = chosen.explanation().candidates().get(0).fetchMillis();
         assertTrue(plan.deadline().toMillis() <= 2 * predictedMillis + 400);
         core.handle(importFailed(chosen.endpoint().id(), plan, EngineCacheUpdate.ImportFailure.LATE));
         core.handle(new AttemptReport.Imported(
                 chosen.attempt(), 0, 0, plan.deadline().toMillis()));
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
     }
 
     // Two requests for the same preamble arrive within a second. With two fetches of the same bytes the link would be
@@ -194,8 +194,8 @@
         CacheCore core = coreWithStoredPreamble();
         Answer.Chosen first = core.route(CacheCore.extended(PREAMBLE, "first", 1));
         Answer.Chosen second = core.route(CacheCore.extended(PREAMBLE, "second", 1));
-        assertFalse(first.importFirst().orElseThrow().joins());
-        assertTrue(second.importFirst().orElseThrow().joins());
+        assertFalse(first.importPlan().orElseThrow().joinsRunningImport());
+        assertTrue(second.importPlan().orElseThrow().joinsRunningImport());
         assertEquals(second.endpoint().id(), first.endpoint().id());
         long bytes = core.state().stores().all().stream()
                 .mapToLong(StoreTable.Store::foregroundBytes)
@@ -209,10 +209,10 @@
     public void aReplacedStoreIsTreatedAsEmpty() {
         CacheCore core = coreWithStoredPreamble();
         Answer.Chosen chosen = core.route(PREAMBLE);
-        assertTrue(chosen.importFirst().isPresent());
+        assertTrue(chosen.importPlan().isPresent());
         core.handle(new AttemptReport.Ended(chosen.attempt(), false, 0, 0));
-        core.stores(2);
-        assertFalse(core.route(PREAMBLE).importFirst().isPresent());
+        core.setStores(2);
+        assertFalse(core.route(PREAMBLE).importPlan().isPresent());
     }
 
     // All entries are replaced while the stores are full. No entry has a record of the stored blocks, all exports are
@@ -220,28 +220,32 @@
     // blocks and delete the blocks of that page.
     @Test
     public void aStoreFullOfUntrackedBlocksIsFreedPageByPage() {
-        CacheCore core = CacheCore.usual(2);
+        CacheCore core = CacheCore.withDefaults(2);
         core.handle(new StoreUpdate.StatusRead(
                 CacheCore.store(0),
                 new StoreUpdate.Usage(0, 100_000),
                 new StoreUpdate.Usage(1_000_000, 1_000_000),
                 1_000));
-        assertEquals(core.actions(CacheCommand.ReadStorePage.class).size(), 1);
+        assertEquals(core.takeActions(CacheCommand.ReadStorePage.class).size(), 1);
         List<StoreUpdate.Found> page = CacheCore.sealed(PREAMBLE, 4).stream()
                 .map(block -> new StoreUpdate.Found(block, StoreTier.DISK))
                 .toList();
         core.handle(new StoreUpdate.PageRead(CacheCore.store(0), page));
         assertEquals(
-                core.actions(CacheCommand.DeleteBlocks.class).get(0).blocks().size(), 1);
+                core.takeActions(CacheCommand.DeleteBlocks.class)
+                        .get(0)
+                        .blocks()
+                        .size(),
+                1);
     }
 
     /** Returns a core in whose state the preamble is stored and all replicas are empty. */
     private static CacheCore coreWithStoredPreamble() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         core.serve(PREAMBLE);
-        core.pass(Duration.ofSeconds(5));
+        core.advance(Duration.ofSeconds(5));
         core.finishExports();
-        core.pass(LONG_ABSENCE);
+        core.advance(LONG_ABSENCE);
         core.finishExports();
         for (int i = 0; i < 3; i++) {
             core.evictAll(CacheCore.endpointId(i));
--- a/src/test/java/org/yuccagw/core/routing/CacheCore.java
+++ b/src/test/java/org/yuccagw/core/routing/CacheCore.java
@@ -41,7 +41,7 @@
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.id.WorkspaceId;
 
-/** A control core with the cache and the route part in virtual time; its effects are kept for a test to look at. */
+/** A control core with the cache component and the route component in virtual time. Records its actions for tests. */
 public final class CacheCore {
     public static final ServiceName SERVICE = ServiceName.of("assistant");
     public static final WorkspaceId WORKSPACE = WorkspaceId.of("statistics");
@@ -67,20 +67,20 @@
                 NetworkAddress.of("127.0.0.1", 3));
         core = ControlCore.of(
                 self, new SplittableRandom(7), List.of(CacheComponent.of(state), RouteComponent.of(policy, state)));
-        take(core.start(0, 0));
+        applyEffects(core.start(0, 0));
     }
 
     public static CacheCore of(CacheSettings settings, String policy) {
         return new CacheCore(settings, RoutePolicies.byName(policy));
     }
 
-    /** The product's policy, so many endpoints on version v1, and two stores. */
-    public static CacheCore usual(int endpointCount) {
-        CacheCore made = of(CacheSettings.defaults(), RoutePolicies.PREDICTED_FIRST_TOKEN);
-        made.catalogue("v1");
-        made.endpoints(endpointCount, "v1");
-        made.stores(1);
-        return made;
+    /** Returns a core with the default policy, the given number of endpoints on version v1, and two stores. */
+    public static CacheCore withDefaults(int endpointCount) {
+        CacheCore core = of(CacheSettings.defaults(), RoutePolicies.PREDICTED_FIRST_TOKEN);
+        core.setCatalogue("v1");
+        core.addEndpoints(endpointCount, "v1");
+        core.setStores(1);
+        return core;
     }
 
     public CacheState state() {
@@ -92,11 +92,11 @@
     }
 
     public void handle(ControlEvent event) {
-        take(core.handle(event, nowNanos, 0));
+        applyEffects(core.handle(event, nowNanos, 0));
     }
 
-    /** Lets time pass, with every timer at its own time. */
-    public void pass(Duration duration) {
+    /** Advances the virtual time and runs each timer at its own time. */
+    public void advance(Duration duration) {
         long end = nowNanos + duration.toNanos();
         while (core.nextTimerNanos() <= end) {
             nowNanos = Math.max(nowNanos, core.nextTimerNanos());
@@ -106,7 +106,7 @@
         handle(new ControlCore.Tick());
     }
 
-    public void catalogue(String version) {
+    public void setCatalogue(String version) {
         RequestClass notebook = new RequestClass(
                 CLASS, 0, 1, Duration.ofSeconds(30), Duration.ofMinutes(5), Duration.ofSeconds(20), 1, 0.5);
         Service service = new Service(
@@ -123,13 +123,13 @@
                 1, SystemLimits.usual(), Map.of(CLASS, notebook), Map.of(), Map.of(SERVICE, service), List.of())));
     }
 
-    public void endpoints(int count, String version) {
+    public void addEndpoints(int count, String version) {
         for (int i = 0; i < count; i++) {
-            endpoint(i, version, true);
+            setEndpoint(i, version, true);
         }
     }
 
-    public void endpoint(int number, String version, boolean takesNewWork) {
+    public void setEndpoint(int number, String version, boolean takesNewWork) {
         EndpointId id = endpointId(number);
         endpoints.put(
                 id,
@@ -145,7 +145,7 @@
         handle(new EndpointsChanged(new EndpointsSnapshot(ImmutableMap.copyOf(endpoints))));
     }
 
-    public void stores(long incarnation) {
+    public void setStores(long incarnation) {
         List<PlatformListed.ListedVm> vms = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             vms.add(new PlatformListed.ListedVm(
@@ -165,7 +165,7 @@
         return EndpointId.of(String.format("assistant-%04d", number));
     }
 
-    /** Keys of a prompt: the same name and length give the same keys. */
+    /** Returns the block keys of a prompt. The same name and length give the same keys. */
     public static ImmutableList<BlockKey> prompt(String name, int blocks) {
         ImmutableList.Builder<BlockKey> keys = ImmutableList.builder();
         for (int i = 0; i < blocks; i++) {
@@ -175,7 +175,7 @@
         return keys.build();
     }
 
-    /** A preamble followed by blocks of its own. */
+    /** Returns a preamble followed by blocks that are specific to the prompt. */
     public static ImmutableList<BlockKey> extended(List<BlockKey> preamble, String name, int blocks) {
         return ImmutableList.<BlockKey>builder()
                 .addAll(preamble)
@@ -183,9 +183,9 @@
                 .build();
     }
 
-    public RouteRequested.Question question(List<BlockKey> blocks) {
+    public RouteRequested.Query query(List<BlockKey> blocks) {
         requests++;
-        return new RouteRequested.Question(
+        return new RouteRequested.Query(
                 RequestId.of("request-" + requests),
                 WORKSPACE,
                 SERVICE,
@@ -198,9 +198,9 @@
                 false);
     }
 
-    public RouteRequested.Answer ask(RouteRequested.Question question) {
+    public RouteRequested.Answer request(RouteRequested.Query query) {
         List<RouteRequested.Answer> answers = new ArrayList<>();
-        handle(new RouteRequested(question, answers::add));
+        handle(new RouteRequested(query, answers::add));
         if (answers.size() != 1) {
             throw new AssertionError("expected one answer, got " + answers);
         }
@@ -208,10 +208,10 @@
     }
 
     public RouteRequested.Answer.Chosen route(List<BlockKey> blocks) {
-        return (RouteRequested.Answer.Chosen) ask(question(blocks));
+        return (RouteRequested.Answer.Chosen) request(query(blocks));
     }
 
-    /** The whole life of a request that goes well. */
+    /** Routes a request and reports that it was sent and answered successfully. */
     public RouteRequested.Answer.Chosen serve(List<BlockKey> blocks) {
         RouteRequested.Answer.Chosen chosen = route(blocks);
         handle(new AttemptReport.Sent(chosen.attempt()));
@@ -220,17 +220,17 @@
         return chosen;
     }
 
-    /** The actions of one kind since this was last asked for it, oldest first. */
-    public <T extends ControlAction> List<T> actions(Class<T> kind) {
+    /** Removes and returns the recorded actions of one type, oldest first. */
+    public <T extends ControlAction> List<T> takeActions(Class<T> kind) {
         List<T> found =
                 actions.stream().filter(kind::isInstance).map(kind::cast).toList();
         actions.removeAll(found);
         return found;
     }
 
-    /** Answers every export that was ordered, as if all blocks were sealed. */
+    /** Reports each requested export as successful, with all blocks sealed. */
     public void finishExports() {
-        actions(org.yuccagw.core.cache.CacheCommand.ExportBlocks.class)
+        takeActions(org.yuccagw.core.cache.CacheCommand.ExportBlocks.class)
                 .forEach(order -> handle(new EngineCacheUpdate.ExportEnded(
                         order.number(), order.endpoint().id(), sealed(order.blocks(), 1), false, Optional.empty())));
     }
@@ -241,7 +241,7 @@
                 .toList();
     }
 
-    /** The endpoint lost all its blocks, as a snapshot shows. */
+    /** Reports by a snapshot that the endpoint has lost all its blocks. */
     public void evictAll(EndpointId endpoint) {
         handle(new EngineCacheUpdate.SnapshotRead(endpoint, 1, Optional.empty(), List.of()));
     }
@@ -250,7 +250,7 @@
         return StoreId.of("store-" + number);
     }
 
-    private void take(List<ControlCore.Effect> effects) {
+    private void applyEffects(List<ControlCore.Effect> effects) {
         for (ControlCore.Effect effect : effects) {
             if (effect instanceof ControlCore.Effect.Perform perform) {
                 actions.add(perform.action());
