--- a/src/main/java/org/yuccagw/core/claim/ClaimPeerMessage.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimPeerMessage.java
@@ -13,6 +13,7 @@
  * Messages between an entry and the owner of a shard about claims. Each message may be lost, delayed or duplicated.
  */
 public interface ClaimPeerMessage extends PeerMessage {
+    /** Returns the shard of the key. */
     ShardNumber shard();
 
     /** Requests a claim from the owner; sent again under the same attempt until it is decided. */
@@ -28,7 +29,7 @@
     /** Notifies the entry that the end is committed, so that it may discard the attempt. */
     record EndRecorded(ShardNumber shard, ClaimAttempt attempt) implements ClaimPeerMessage {}
 
-    /** Query of the owner whether an attempt that the log records as running still is. */
+    /** Queries whether an attempt that the log records as running is still running. Sent by the owner. */
     record StatusQuery(ShardNumber shard, ClaimKey key, ClaimAttempt attempt) implements ClaimPeerMessage {}
 
     /** The decision of the owner in the form that is sent to the entry. */
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantinePeerMessage.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantinePeerMessage.java
@@ -25,7 +25,7 @@
     record Death(PromptFingerprint fingerprint, EndpointId endpoint, long incarnation, Duration age) {}
 
     /**
-     * Requests the permit to run a prompt isolated from the owner of its shard, or renews the permit.
+     * Requests the permit to run a prompt isolated, or renews it. Sent to the owner of the prompt's shard.
      *
      * @param number identifies the permit; the same in the request and in its renewals
      * @param renewal whether this renews a granted permit
