--- a/src/main/java/org/yuccagw/adapters/admin/AdminCall.java
+++ b/src/main/java/org/yuccagw/adapters/admin/AdminCall.java
@@ -10,7 +10,7 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 
-/** One call at the admin address, answered exactly once from any thread. */
+/** One call of an operator at the admin address. It is answered exactly once, on any thread. */
 final class AdminCall {
     private final HttpServerExchange exchange;
     private final byte[] body;
@@ -34,12 +34,18 @@
         return operator;
     }
 
+    /** Returns the first value of a query parameter or path parameter. */
     Optional<String> parameter(String name) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         return values == null ? Optional.empty() : Optional.of(values.getFirst());
     }
 
-    long number(String name, String text) throws YuccagwException {
+    /**
+     * Parses the value of a parameter as a whole number.
+     *
+     * @param name name of the parameter, for the error
+     */
+    long parseNumber(String name, String text) throws YuccagwException {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
@@ -58,7 +64,8 @@
         });
     }
 
-    void refuse(YuccagwException error) {
+    /** Answers with an error. */
+    void replyError(YuccagwException error) {
         exchange.getIoThread().execute(() -> ErrorAnswers.send(exchange, error));
     }
 }
--- a/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
+++ b/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
@@ -28,20 +28,21 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * Serves the admin address: operators under {@code /admin/}, who show a bearer key, and {@code /healthz},
- * {@code /readyz} and {@code /metrics}, which anybody may read who reaches the address.
+ * Serves the HTTP API of the admin address: calls of authenticator under {@code /admin/}, which need a bearer key, and
+ * {@code /healthz}, {@code /readyz} and {@code /metrics}, which need no authentication.
  *
- * <p>It holds no state: views come from the present snapshot, wishes go to the control core as events.
+ * <p>The server is stateless: queries are answered from the current snapshot, and changes are sent to the control core
+ * as events.
  */
 public final class AdminServer {
     private static final Logger log = LogManager.getLogger(AdminServer.class);
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
-    private static final int MOST_BODY_BYTES = 2 * 1024 * 1024;
-    private static final int MOST_HEADER_BYTES = 16 * 1024;
-    private static final int SLOW_SENDER_MILLIS = 10_000;
-    private static final int IDLE_MILLIS = 60_000;
-    private static final int UNAVAILABLE = 503;
+    private static final String METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
+    private static final int MAX_BODY_BYTES = 2 * 1024 * 1024;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    private static final int HEADER_TIMEOUT_MILLIS = 10_000;
+    private static final int IDLE_TIMEOUT_MILLIS = 60_000;
+    private static final int STATUS_UNAVAILABLE = 503;
 
     private final Supplier<ControlSnapshot> snapshots;
     private final ControlInput input;
@@ -49,7 +50,7 @@
     private final Traces traces;
     private final Runnable drain;
     private final SnapshotViews views;
-    private final OperatorCheck operators;
+    private final OperatorAuthenticator authenticator;
     private final Undertow server;
 
     private AdminServer(
@@ -66,16 +67,16 @@
         this.metrics = metrics;
         this.traces = traces;
         this.views = SnapshotViews.of(settings.entry());
-        this.operators = OperatorCheck.of(settings.bootstrapOperatorKeyHash());
-        this.server = makeServer(settings, tls);
+        this.authenticator = OperatorAuthenticator.of(settings.bootstrapOperatorKeyHash());
+        this.server = buildServer(settings, tls);
     }
 
     /**
-     * Listens on the admin address.
+     * Starts a server that listens on the admin address.
      *
-     * @param tls certificates of the address, empty for plain text
-     * @param snapshots gives the present control state
-     * @param drain begins a graceful stop of this entry and returns at once
+     * @param tls TLS context of the address, empty for plain text
+     * @param snapshots returns the current snapshot of the control core
+     * @param drain starts a graceful stop of this entry and returns immediately
      */
     public static AdminServer start(
             EntrySettings settings,
@@ -94,15 +95,15 @@
         server.stop();
     }
 
-    private Undertow makeServer(EntrySettings settings, Optional<SSLContext> tls) {
+    private Undertow buildServer(EntrySettings settings, Optional<SSLContext> tls) {
         Undertow.Builder builder = Undertow.builder()
                 .setIoThreads(1)
                 .setWorkerThreads(1)
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) MOST_BODY_BYTES)
-                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MOST_HEADER_BYTES)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, SLOW_SENDER_MILLIS)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MILLIS)
-                .setSocketOption(org.xnio.Options.READ_TIMEOUT, IDLE_MILLIS)
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) MAX_BODY_BYTES)
+                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEADER_TIMEOUT_MILLIS)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
+                .setSocketOption(org.xnio.Options.READ_TIMEOUT, IDLE_TIMEOUT_MILLIS)
                 .setHandler(routes());
         String host = settings.admin().host();
         int port = settings.admin().port();
@@ -115,20 +116,20 @@
     }
 
     private HttpHandler routes() {
-        CatalogueCalls catalogue = CatalogueCalls.of(snapshots, input);
+        CatalogueHandlers catalogue = CatalogueHandlers.of(snapshots, input);
         RoutingHandler routes = Handlers.routing();
         routes.get("/healthz", exchange -> exchange.getResponseSender().send("ok\n"));
         routes.get("/readyz", this::readiness);
         routes.get("/metrics", this::exposition);
-        routes.get("/admin/catalogue", forOperators(catalogue::get));
-        routes.put("/admin/catalogue", forOperators(catalogue::put));
-        routes.get("/admin/history", forOperators(catalogue::history));
-        routes.get("/admin/status", forOperators(view(views::status)));
-        routes.get("/admin/endpoints", forOperators(view(views::endpoints)));
-        routes.get("/admin/stores", forOperators(this::stores));
-        routes.get("/admin/shards", forOperators(view(views::shards)));
-        routes.post("/admin/drain", forOperators(this::drain));
-        routes.get("/admin/trace/{request}", forOperators(this::trace));
+        routes.get("/admin/catalogue", authenticated(catalogue::get));
+        routes.put("/admin/catalogue", authenticated(catalogue::put));
+        routes.get("/admin/history", authenticated(catalogue::history));
+        routes.get("/admin/status", authenticated(view(views::status)));
+        routes.get("/admin/endpoints", authenticated(view(views::endpoints)));
+        routes.get("/admin/stores", authenticated(this::stores));
+        routes.get("/admin/shards", authenticated(view(views::shards)));
+        routes.post("/admin/drain", authenticated(this::drain));
+        routes.get("/admin/trace/{request}", authenticated(this::trace));
         routes.setFallbackHandler(
                 exchange -> ErrorAnswers.send(exchange, ErrorKind.UNKNOWN_PATH.raise(exchange.getRequestPath())));
         routes.setInvalidMethodHandler(exchange -> ErrorAnswers.send(
@@ -137,44 +138,44 @@
         return routes;
     }
 
-    /** A call of an operator. */
+    /** Handles a call of an authenticated operator. */
     @FunctionalInterface
-    private interface OperatorCall {
+    private interface OperatorHandler {
         void handle(AdminCall call) throws YuccagwException;
     }
 
-    private OperatorCall view(Function<ControlSnapshot, ObjectNode> view) {
+    private OperatorHandler view(Function<ControlSnapshot, ObjectNode> view) {
         return call -> call.reply(view.apply(snapshots.get()));
     }
 
-    private HttpHandler forOperators(OperatorCall operatorCall) {
+    private HttpHandler authenticated(OperatorHandler handler) {
         return exchange -> {
             try {
-                String operator =
-                        operators.operator(exchange.getRequestHeaders(), SnapshotViews.catalogue(snapshots.get()));
+                String operator = authenticator.authenticate(
+                        exchange.getRequestHeaders(), SnapshotViews.catalogue(snapshots.get()));
                 exchange.getRequestReceiver()
                         .receiveFullBytes(
-                                (received, body) ->
-                                        handle(AdminCall.of(received, body, operator), received, operatorCall),
+                                (received, body) -> handle(AdminCall.of(received, body, operator), received, handler),
                                 (failed, cause) -> ErrorAnswers.send(
-                                        failed, ErrorKind.BODY_TOO_LARGE.raise(Integer.toString(MOST_BODY_BYTES))));
-            } catch (YuccagwException refusal) {
-                ErrorAnswers.send(exchange, refusal);
+                                        failed, ErrorKind.BODY_TOO_LARGE.raise(Integer.toString(MAX_BODY_BYTES))));
+            } catch (YuccagwException error) {
+                ErrorAnswers.send(exchange, error);
             }
         };
     }
 
-    /** Dispatched, so that the exchange stays open until the control core replies. */
-    private static void handle(AdminCall call, HttpServerExchange exchange, OperatorCall operatorCall) {
+    /** Dispatches the call, so that the exchange stays open until the control core replies. */
+    private static void handle(AdminCall call, HttpServerExchange exchange, OperatorHandler handler) {
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
             try {
-                operatorCall.handle(call);
-            } catch (YuccagwException refusal) {
-                call.refuse(refusal);
+                handler.handle(call);
+            } catch (YuccagwException error) {
+                call.replyError(error);
             } catch (RuntimeException e) {
-                // A fault of ours in one call must cost this call only, and the operator must see an answer.
+                // A bug in the handler of one call must not affect other calls, and the operator must receive an
+                // answer.
                 log.error("admin call {} failed", exchange.getRequestPath(), e);
-                call.refuse(ErrorKind.INTERNAL.raise(e.getClass().getSimpleName()));
+                call.replyError(ErrorKind.INTERNAL.raise(e.getClass().getSimpleName()));
             }
         });
     }
@@ -182,14 +183,14 @@
     private void readiness(HttpServerExchange exchange) {
         ControlSnapshot snapshot = snapshots.get();
         if (!SnapshotViews.isReady(snapshot)) {
-            exchange.setStatusCode(UNAVAILABLE);
+            exchange.setStatusCode(STATUS_UNAVAILABLE);
         }
         exchange.getResponseHeaders().put(io.undertow.util.Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseSender().send(views.readiness(snapshot) + "\n");
     }
 
     private void exposition(HttpServerExchange exchange) {
-        exchange.getResponseHeaders().put(io.undertow.util.Headers.CONTENT_TYPE, METRICS_TYPE);
+        exchange.getResponseHeaders().put(io.undertow.util.Headers.CONTENT_TYPE, METRICS_CONTENT_TYPE);
         exchange.getResponseSender().send(java.nio.ByteBuffer.wrap(metrics.exposition()));
     }
 
@@ -198,7 +199,7 @@
     }
 
     private void drain(AdminCall call) {
-        log.info("operator {} asked for a graceful stop", call.operator());
+        log.info("operator {} requested a graceful stop", call.operator());
         drain.run();
         call.reply(MAPPER.createObjectNode().put("draining", true));
     }
--- a/src/main/java/org/yuccagw/adapters/admin/CatalogueCalls.java
+++ b/src/main/java/org/yuccagw/adapters/admin/CatalogueHandlers.java
@@ -18,12 +18,13 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * Reading and editing the catalogue.
+ * Handlers of the calls that read and edit the catalogue.
  *
- * <p>The document that an operator sends carries the revision that the edit began from, as {@code GET} wrote it there.
- * So get, change, put is safe by itself: if somebody else was faster, the edit is a conflict and nothing changes.
+ * <p>The document that an operator sends contains the revision on which the edit is based, as returned by {@code GET}.
+ * Reading, changing and writing the document is therefore safe without a lock: if another edit was accepted in between,
+ * the edit is rejected as a conflict and nothing changes.
  */
-final class CatalogueCalls {
+final class CatalogueHandlers {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String JSON = "application/json";
 
@@ -31,32 +32,32 @@
     private final ControlInput input;
     private final CatalogueJson json = CatalogueJson.create();
 
-    private CatalogueCalls(Supplier<ControlSnapshot> snapshots, ControlInput input) {
+    private CatalogueHandlers(Supplier<ControlSnapshot> snapshots, ControlInput input) {
         this.snapshots = snapshots;
         this.input = input;
     }
 
-    static CatalogueCalls of(Supplier<ControlSnapshot> snapshots, ControlInput input) {
-        return new CatalogueCalls(snapshots, input);
+    static CatalogueHandlers of(Supplier<ControlSnapshot> snapshots, ControlInput input) {
+        return new CatalogueHandlers(snapshots, input);
     }
 
-    /** The catalogue in force, or the one of {@code ?revision=N}. */
+    /** Answers with the current catalogue, or with that of {@code ?revision=N}. */
     void get(AdminCall call) throws YuccagwException {
         Optional<String> revision = call.parameter("revision");
         if (revision.isEmpty()) {
-            answer(call, SnapshotViews.catalogue(snapshots.get()));
+            replyCatalogue(call, SnapshotViews.catalogue(snapshots.get()));
             return;
         }
-        input.offer(new CatalogueRevisionRequested(call.number("revision", revision.get()), result -> {
+        input.offer(new CatalogueRevisionRequested(call.parseNumber("revision", revision.get()), result -> {
             if (result instanceof CatalogueRevisionRequested.Result.Found found) {
-                answer(call, found.catalogue());
+                replyCatalogue(call, found.catalogue());
             } else if (result instanceof CatalogueRevisionRequested.Result.Refused refused) {
-                call.refuse(refused.error());
+                call.replyError(refused.error());
             }
         }));
     }
 
-    /** Asks for the sent catalogue under the id {@code ?edit=ID}, which makes asking again harmless. */
+    /** Requests an edit to the catalogue in the body. Its id {@code ?edit=ID} makes the call idempotent. */
     void put(AdminCall call) throws YuccagwException {
         String editId = call.parameter("edit")
                 .filter(id -> !id.isBlank())
@@ -66,22 +67,23 @@
             if (result instanceof CatalogueEditRequested.Result.Accepted accepted) {
                 call.reply(MAPPER.createObjectNode().put("revision", accepted.revision()));
             } else if (result instanceof CatalogueEditRequested.Result.Refused refused) {
-                call.refuse(refused.error());
+                call.replyError(refused.error());
             }
         }));
     }
 
+    /** Answers with the accepted edits. */
     void history(AdminCall call) {
         input.offer(new CatalogueHistoryRequested(result -> {
             if (result instanceof CatalogueHistoryRequested.Result.History history) {
                 call.reply(write(history));
             } else if (result instanceof CatalogueHistoryRequested.Result.Refused refused) {
-                call.refuse(refused.error());
+                call.replyError(refused.error());
             }
         }));
     }
 
-    private void answer(AdminCall call, Catalogue catalogue) {
+    private void replyCatalogue(AdminCall call, Catalogue catalogue) {
         call.reply(JSON, json.encodeReadable(catalogue).getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/org/yuccagw/adapters/admin/OperatorCheck.java
+++ b/src/main/java/org/yuccagw/adapters/admin/OperatorAuthenticator.java
@@ -13,33 +13,38 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * Says which operator a bearer key belongs to.
+ * Authenticates operators by their bearer keys.
  *
- * <p>Only hashes are kept. A hash is compared with all of the list, each in constant time, so that the time of a
- * refusal tells nothing about how near a guess was. The bootstrap key counts only while there is no catalogue.
+ * <p>Only hashes of the keys are stored. The hash of a received key is compared with all hashes of the list, each in
+ * constant time, so that the response time doesn't reveal how much of a guessed key is correct. The bootstrap key is
+ * valid only while there is no catalogue.
  */
-final class OperatorCheck {
-    private static final String BEARER = "Bearer ";
-    private static final String BOOTSTRAP = "bootstrap";
+final class OperatorAuthenticator {
+    private static final String BEARER_PREFIX = "Bearer ";
+    private static final String BOOTSTRAP_OPERATOR = "bootstrap";
 
     private final Optional<String> bootstrapKeyHash;
 
-    private OperatorCheck(Optional<String> bootstrapKeyHash) {
+    private OperatorAuthenticator(Optional<String> bootstrapKeyHash) {
         this.bootstrapKeyHash = bootstrapKeyHash;
     }
 
-    static OperatorCheck of(Optional<String> bootstrapKeyHash) {
-        return new OperatorCheck(bootstrapKeyHash);
+    static OperatorAuthenticator of(Optional<String> bootstrapKeyHash) {
+        return new OperatorAuthenticator(bootstrapKeyHash);
     }
 
-    /** The operator's name; throws MISSING_KEY or FORBIDDEN. */
-    String operator(HeaderMap headers, Catalogue catalogue) throws YuccagwException {
+    /**
+     * Returns the name of the operator that the key belongs to.
+     *
+     * @throws YuccagwException of kind MISSING_KEY without a bearer key, of kind FORBIDDEN when the key is unknown
+     */
+    String authenticate(HeaderMap headers, Catalogue catalogue) throws YuccagwException {
         String header = headers.getFirst(Headers.AUTHORIZATION);
-        if (header == null || !header.startsWith(BEARER)) {
+        if (header == null || !header.startsWith(BEARER_PREFIX)) {
             throw ErrorKind.MISSING_KEY.raise();
         }
         byte[] hash = Hashing.sha256()
-                .hashString(header.substring(BEARER.length()), StandardCharsets.UTF_8)
+                .hashString(header.substring(BEARER_PREFIX.length()), StandardCharsets.UTF_8)
                 .toString()
                 .getBytes(StandardCharsets.US_ASCII);
         String found = "";
@@ -59,7 +64,7 @@
             return catalogue.operators();
         }
         return bootstrapKeyHash
-                .map(hash -> List.of(new OperatorKey(BOOTSTRAP, hash)))
+                .map(hash -> List.of(new OperatorKey(BOOTSTRAP_OPERATOR, hash)))
                 .orElse(List.of());
     }
 }
--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -18,9 +18,10 @@
 import org.yuccagw.core.quarantine.QuarantineSnapshot;
 import org.yuccagw.core.shard.ShardsSnapshot;
 
-/** The parts of a snapshot as JSON for operators. Pure: a snapshot in, a document out. */
+/** Converts the contents of a snapshot to JSON documents for operators, without side effects. */
 final class SnapshotViews {
     private static final ObjectMapper MAPPER = new ObjectMapper();
+    /** The reason before the membership component has contributed to a snapshot. */
     private static final String NOT_STARTED = "has not joined the other entries yet";
 
     private final EntryId self;
@@ -49,7 +50,9 @@
                 .orElse(NOT_STARTED);
     }
 
-    /** What anybody may know: whether it takes work, and which catalogue is in force. */
+    /**
+     * Returns the readiness of this entry and the revision of its catalogue, which need no authentication to be read.
+     */
     ObjectNode readiness(ControlSnapshot snapshot) {
         return MAPPER.createObjectNode()
                 .put("entry", self.value())
@@ -67,7 +70,7 @@
         return root;
     }
 
-    /** What this entry's requests hold and wait for. */
+    /** Writes the counts of this entry's running and waiting requests, claims, suspected prompts and permits. */
     private static void writeRequests(ControlSnapshot snapshot, ObjectNode node) {
         snapshot.part(AdmissionSnapshot.class)
                 .ifPresent(admission -> node.put("running", admission.running())
--- a/src/main/java/org/yuccagw/adapters/admin/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The admin address: operators' HTTP API, health and metrics. */
+/** The admin address: the HTTP API for operators, health checks and metrics. */
 package org.yuccagw.adapters.admin;
--- a/src/main/java/org/yuccagw/adapters/control/ControlRunner.java
+++ b/src/main/java/org/yuccagw/adapters/control/ControlRunner.java
@@ -20,24 +20,26 @@
 import org.yuccagw.core.control.ControlSnapshot;
 
 /**
- * The control thread: one Disruptor ring with one handler that feeds the control core and carries out its effects.
+ * Runs the control thread: a Disruptor ring with one handler, which passes events to the control core and executes the
+ * resulting effects.
  *
- * <p>Any thread offers events; only the control thread touches the core. After each batch of events the new snapshot
- * is published through one volatile field, which is all that traffic threads read. While no event comes, the ring's
- * wait ends when the next timer is due.
+ * <p>Events may be offered on any thread, but only the control thread accesses the core. After each batch of events the
+ * new snapshot is published through one volatile field, which is the only state that traffic threads read. While there
+ * are no events, the wait for the ring ends when the next timer is due.
  *
- * <p>An event that the control thread offers to itself, such as the outcome of an action that ended at once, goes to a
- * list of its own: waiting for a free slot of the ring it alone empties would never end.
+ * <p>An event that is offered on the control thread itself, such as the outcome of an action that completed
+ * immediately, goes to a separate queue. Waiting for a free slot of the ring would be a deadlock, because only this
+ * thread empties the ring.
  *
- * <p>A part that throws loses the effects of that event only: the failure is logged and counted, and the thread goes
- * on.
+ * <p>If a component throws, only the effects of that event are lost: the failure is logged and counted, and the thread
+ * continues with the next event.
  */
 public final class ControlRunner implements ControlInput {
-    /** Found when first used: loading the logging library would delay every start. */
+    /** Resolved on first use, because loading the logging library would delay every start. */
     private static final Supplier<Logger> log = Suppliers.memoize(() -> LogManager.getLogger(ControlRunner.class));
 
     private static final int RING_SLOTS = 16 * 1024;
-    private static final long STOP_SECONDS = 10;
+    private static final long STOP_TIMEOUT_SECONDS = 10;
     private static final ControlCore.Tick TICK = new ControlCore.Tick();
 
     private final ControlCore core;
@@ -45,7 +47,7 @@
     private final PeerPort peers;
     private final List<ActionHandler> handlers;
     private final Disruptor<Slot> disruptor;
-    private final ArrayDeque<ControlEvent> ownEvents = new ArrayDeque<>();
+    private final ArrayDeque<ControlEvent> selfOfferedEvents = new ArrayDeque<>();
     private final LongAdder events = new LongAdder();
     private final LongAdder failures = new LongAdder();
 
@@ -58,11 +60,15 @@
         this.peers = peers;
         this.handlers = List.copyOf(handlers);
         this.disruptor = new Disruptor<>(
-                Slot::new, RING_SLOTS, this::makeThread, ProducerType.MULTI, TimerWait.until(core::nextTimerNanos));
-        disruptor.handleEventsWith(new Handler());
+                Slot::new,
+                RING_SLOTS,
+                this::createControlThread,
+                ProducerType.MULTI,
+                TimerWaitStrategy.of(core::nextTimerNanos));
+        disruptor.handleEventsWith(new CoreEventHandler());
     }
 
-    /** Makes the runner; events wait in the ring until {@link #start}. */
+    /** Creates the runner; events that are offered before {@link #start} wait in the ring. */
     public static ControlRunner of(
             ControlCore core, KeyValuePort keyValue, PeerPort peers, List<ActionHandler> handlers) {
         return new ControlRunner(core, keyValue, peers, handlers);
@@ -72,12 +78,12 @@
         disruptor.start();
     }
 
-    /** Handles what was offered before, then ends the thread. */
+    /** Handles the events offered so far, then ends the control thread; gives up waiting after 10 s. */
     public void stop() {
         try {
-            disruptor.shutdown(STOP_SECONDS, TimeUnit.SECONDS);
+            disruptor.shutdown(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (com.lmax.disruptor.TimeoutException e) {
-            log.get().warn("control events were still waiting after {} s", STOP_SECONDS);
+            log.get().warn("discarding the control events that are still queued after {} s", STOP_TIMEOUT_SECONDS);
             disruptor.halt();
         }
     }
@@ -85,51 +91,55 @@
     @Override
     public void offer(ControlEvent event) {
         if (Thread.currentThread() == controlThread) {
-            ownEvents.add(event);
+            selfOfferedEvents.add(event);
         } else {
             disruptor.publishEvent((slot, sequence, offered) -> slot.event = offered, event);
         }
     }
 
-    /** The present state; a new object after each batch that changed something. */
+    /** Returns the snapshot after the last batch of events; a batch that changed the state gives a new object. */
     public ControlSnapshot snapshot() {
         return snapshot;
     }
 
-    /** Events handled since the start. */
+    /** Returns the number of events handled since the start. */
     public long eventCount() {
         return events.sum();
     }
 
-    /** Events whose handling threw since the start. */
+    /** Returns the number of events since the start whose handling threw an exception. */
     public long failureCount() {
         return failures.sum();
     }
 
-    private Thread makeThread(Runnable work) {
+    private Thread createControlThread(Runnable work) {
         Thread thread = new Thread(work, "control");
         thread.setDaemon(true);
         controlThread = thread;
         return thread;
     }
 
-    private void handleGuarded(ControlEvent event) {
+    private void handleSafely(ControlEvent event) {
         events.increment();
         try {
-            carryOut(core.handle(event, System.nanoTime(), System.currentTimeMillis()));
+            execute(core.handle(event, System.nanoTime(), System.currentTimeMillis()));
         } catch (RuntimeException e) {
             failures.increment();
-            log.get().error("control event {} failed", event.getClass().getSimpleName(), e);
+            log.get()
+                    .error(
+                            "handling of the control event {} failed",
+                            event.getClass().getSimpleName(),
+                            e);
         }
     }
 
-    private void drainOwnEvents() {
-        for (ControlEvent own = ownEvents.poll(); own != null; own = ownEvents.poll()) {
-            handleGuarded(own);
+    private void drainSelfOfferedEvents() {
+        for (ControlEvent event = selfOfferedEvents.poll(); event != null; event = selfOfferedEvents.poll()) {
+            handleSafely(event);
         }
     }
 
-    private void carryOut(List<Effect> effects) {
+    private void execute(List<Effect> effects) {
         for (Effect effect : effects) {
             if (effect instanceof Effect.Call call) {
                 keyValue.submit(call.call(), answer -> offer(new ControlCore.CallAnswered(call.number(), answer)));
@@ -149,14 +159,15 @@
                 return;
             }
         }
-        throw new IllegalStateException("no handler for " + action.getClass().getName());
+        throw new IllegalStateException(
+                "no handler performs the action " + action.getClass().getName());
     }
 
-    private final class Handler implements EventHandler<Slot> {
+    private final class CoreEventHandler implements EventHandler<Slot> {
         @Override
         public void onStart() {
-            carryOut(core.start(System.nanoTime(), System.currentTimeMillis()));
-            drainOwnEvents();
+            execute(core.start(System.nanoTime(), System.currentTimeMillis()));
+            drainSelfOfferedEvents();
             snapshot = core.snapshot();
         }
 
@@ -164,8 +175,8 @@
         public void onEvent(Slot slot, long sequence, boolean endOfBatch) {
             ControlEvent event = slot.event;
             slot.event = null;
-            handleGuarded(event);
-            drainOwnEvents();
+            handleSafely(event);
+            drainSelfOfferedEvents();
             if (endOfBatch) {
                 snapshot = core.snapshot();
             }
@@ -174,8 +185,8 @@
         @Override
         public void onTimeout(long sequence) {
             if (core.nextTimerNanos() <= System.nanoTime()) {
-                handleGuarded(TICK);
-                drainOwnEvents();
+                handleSafely(TICK);
+                drainSelfOfferedEvents();
                 snapshot = core.snapshot();
             }
         }
--- a/src/main/java/org/yuccagw/adapters/control/PeerPort.java
+++ b/src/main/java/org/yuccagw/adapters/control/PeerPort.java
@@ -3,8 +3,9 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.port.PeerMessage;
 
-/** Sends to other entries. Never blocks; a message may be lost. */
+/** Sends messages to other entries. */
 @FunctionalInterface
 public interface PeerPort {
+    /** Sends a message, which may be lost. Never blocks. */
     void send(EntryId to, PeerMessage message);
 }
--- a/src/main/java/org/yuccagw/adapters/control/TimerWait.java
+++ b/src/main/java/org/yuccagw/adapters/control/TimerWaitStrategy.java
@@ -10,29 +10,29 @@
 import java.util.function.LongSupplier;
 
 /**
- * Lets the one consumer of a ring sleep until an event comes or its next timer is due, whichever is first.
+ * A wait strategy that blocks the only consumer of a ring until an event is published or the next timer is due.
  *
- * <p>The library's own strategy with a time limit has a fixed one, so timers that are exact to 10 ms take 100 wake-ups
- * a second on every VM, also where nothing happens; a VM has down to a third of a core.
+ * <p>The timeout of the strategy in the Disruptor library is fixed. A timer resolution of 10 ms would therefore take
+ * 100 wake-ups a second on every VM, even without events, and some VMs have only a third of a core.
  *
- * <p>The time of the next timer is read on the consumer's thread only, which is the one that sets timers.
+ * <p>The time of the next timer is read on the consumer thread only, which is also the thread that sets timers.
  */
-final class TimerWait implements WaitStrategy {
+final class TimerWaitStrategy implements WaitStrategy {
     private final LongSupplier nextTimerNanos;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition published = lock.newCondition();
 
-    private TimerWait(LongSupplier nextTimerNanos) {
+    private TimerWaitStrategy(LongSupplier nextTimerNanos) {
         this.nextTimerNanos = nextTimerNanos;
     }
 
     /**
-     * A wait of the consumer's.
+     * Creates the wait strategy of one consumer.
      *
-     * @param nextTimerNanos monotonic time of the next timer, {@link Long#MAX_VALUE} if none is set
+     * @param nextTimerNanos returns the monotonic time of the next timer, {@link Long#MAX_VALUE} if none is set
      */
-    static TimerWait until(LongSupplier nextTimerNanos) {
-        return new TimerWait(nextTimerNanos);
+    static TimerWaitStrategy of(LongSupplier nextTimerNanos) {
+        return new TimerWaitStrategy(nextTimerNanos);
     }
 
     @Override
@@ -56,8 +56,8 @@
         try {
             while (cursor.get() < sequence) {
                 barrier.checkAlert();
-                long left = leftNanos();
-                if (left <= 0 || published.awaitNanos(left) <= 0) {
+                long remainingNanos = nanosUntilTimer();
+                if (remainingNanos <= 0 || published.awaitNanos(remainingNanos) <= 0) {
                     throw TimeoutException.INSTANCE;
                 }
             }
@@ -66,9 +66,9 @@
         }
     }
 
-    private long leftNanos() {
-        long due = nextTimerNanos.getAsLong();
-        return due == Long.MAX_VALUE ? Long.MAX_VALUE : due - System.nanoTime();
+    private long nanosUntilTimer() {
+        long timerNanos = nextTimerNanos.getAsLong();
+        return timerNanos == Long.MAX_VALUE ? Long.MAX_VALUE : timerNanos - System.nanoTime();
     }
 
     @Override
--- a/src/main/java/org/yuccagw/adapters/control/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/control/package-info.java
@@ -1,2 +1,2 @@
-/** The control thread: one Disruptor ring that feeds the control core and carries out what it asks. */
+/** The control thread: a Disruptor ring that passes events to the control core and executes the resulting effects. */
 package org.yuccagw.adapters.control;
--- a/src/main/java/org/yuccagw/adapters/decisions/DecisionLine.java
+++ b/src/main/java/org/yuccagw/adapters/decisions/DecisionLine.java
@@ -10,13 +10,15 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of the decision log, read back.
+ * One parsed line of the decision log.
  *
- * <p>Example: {@code 2026-06-25T18:41:09,138+0000 INFO decisions event="placed" endpoint="i-1" request="9c41"}.
- * Whatever collects the output of several entries may write the entry's name, and more, before the time.
+ * <p>Example: {@code 2026-06-25T18:41:09,138+0000 INFO decisions event="placed" endpoint="i-1" request="9c41"}. A log
+ * collector of several entries may insert further text before the time, which ends with the name of the entry.
  *
- * @param time of the decision; the line itself may have been written later
- * @param entry who wrote it: the last word before the time, or the name that the reader gave
+ * @param time the time of the decision; the line itself may have been written later
+ * @param entry the entry that wrote the line: the last word before the time, or else the source given by the reader
+ * @param event the name of the event
+ * @param fields the values of the fields by name, including the event
  */
 public record DecisionLine(Instant time, String entry, String event, ImmutableMap<String, String> fields) {
     private static final Pattern LINE = Pattern.compile("^(?<before>.*?)"
@@ -29,10 +31,10 @@
     private static final String DELAYED = "delayed_ms";
 
     /**
-     * Reads one line of output.
+     * Parses one line of output.
      *
-     * @param source names the entry where the line doesn't
-     * @return empty if the line is no decision
+     * @param source name of the entry for lines without one
+     * @return empty if the line isn't from the decision log
      */
     public static Optional<DecisionLine> parse(String line, String source) {
         Matcher matcher = LINE.matcher(line);
@@ -48,18 +50,18 @@
             Instant time = written.minusMillis(delayMillis(fields));
             String entry = lastWord(matcher.group("before")).orElse(source);
             return Optional.of(new DecisionLine(time, entry, fields.get(EVENT), fields));
-        } catch (DateTimeParseException notATime) {
-            // Looks like a time and isn't one, so something else wrote the line.
+        } catch (DateTimeParseException invalid) {
+            // Matches the pattern of a time but isn't a valid one, so the line isn't from the decision log.
             return Optional.empty();
         }
     }
 
-    /** How long the line waited before it was written; most lines don't tell, since it is little. */
+    /** Returns the delay between the decision and the writing of the line; 0 if there is no such field, as for most. */
     private static long delayMillis(ImmutableMap<String, String> fields) {
         try {
             return Long.parseLong(fields.getOrDefault(DELAYED, "0"));
-        } catch (NumberFormatException foreign) {
-            // Written by another program; its time is as good as it gets.
+        } catch (NumberFormatException invalid) {
+            // Written by another program; the time of writing is the best estimate of the time of the decision.
             return 0;
         }
     }
@@ -79,12 +81,12 @@
         return word.isEmpty() ? Optional.empty() : Optional.of(word);
     }
 
-    /** The value of a field; empty if the line has none of that name. */
+    /** Returns the value of a field, or an empty string if the line has no such field. */
     public String field(String name) {
         return fields.getOrDefault(name, "");
     }
 
-    /** The fields as they were written, the event first. */
+    /** Returns the event, followed by the other fields that aren't empty in the order in which they were written. */
     public String text() {
         StringBuilder text = new StringBuilder(event);
         fields.forEach((name, value) -> {
--- a/src/main/java/org/yuccagw/adapters/decisions/LogSummary.java
+++ b/src/main/java/org/yuccagw/adapters/decisions/LogSummary.java
@@ -7,12 +7,14 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 
-/** Counts what the logs of entries tell: how requests ended, why they were refused, when answers began. */
+/**
+ * Statistics of requests from the decision logs of entries: outcomes, reasons of refusals, and times to the first byte.
+ */
 public final class LogSummary {
-    private static final long LONGEST_MILLIS = 600_000;
-    private static final int DIGITS = 3;
-    private static final int MEDIAN = 50;
-    private static final int LATE = 99;
+    private static final long MAX_RECORDED_MILLIS = 600_000;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final int MEDIAN_PERCENTILE = 50;
+    private static final int TAIL_PERCENTILE = 99;
 
     private final Map<String, Long> outcomes;
     private final Map<String, Long> refusals;
@@ -30,8 +32,10 @@
             long millis = firstByteMillis(line);
             if (millis >= 0) {
                 firstBytes
-                        .computeIfAbsent(line.time().getEpochSecond(), second -> new Histogram(LONGEST_MILLIS, DIGITS))
-                        .recordValue(Math.min(millis, LONGEST_MILLIS));
+                        .computeIfAbsent(
+                                line.time().getEpochSecond(),
+                                second -> new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS))
+                        .recordValue(Math.min(millis, MAX_RECORDED_MILLIS));
             }
         }
         return new LogSummary(
@@ -41,44 +45,54 @@
     }
 
     private static Map<String, Long> count(
-            List<DecisionLine> lines, String event, Function<DecisionLine, String> cause) {
+            List<DecisionLine> lines, String event, Function<DecisionLine, String> groupedBy) {
         return lines.stream()
                 .filter(line -> line.event().equals(event))
-                .collect(Collectors.groupingBy(cause, TreeMap::new, Collectors.counting()));
+                .collect(Collectors.groupingBy(groupedBy, TreeMap::new, Collectors.counting()));
     }
 
-    /** Milliseconds until the answer of an ended request began, -1 if none did or the line tells none. */
+    /**
+     * Returns the milliseconds until the first byte of an ended request's answer, -1 if there was none or it is
+     * unknown.
+     */
     private static long firstByteMillis(DecisionLine line) {
         try {
             return line.event().equals("ended") ? Long.parseLong(line.field("first_byte_ms")) : -1;
-        } catch (NumberFormatException foreign) {
-            // Written by another version of the program; the request counts among the outcomes all the same.
+        } catch (NumberFormatException invalid) {
+            // Written by another version of the program; the request is counted in the outcomes nevertheless.
             return -1;
         }
     }
 
-    /** How requests ended, by outcome. */
+    /** Returns the number of ended requests by outcome. */
     public Map<String, Long> outcomes() {
         return outcomes;
     }
 
-    /** Why requests were refused, by reason. */
+    /** Returns the number of refusals by reason. */
     public Map<String, Long> refusals() {
         return refusals;
     }
 
-    /** The answers that began in one second. */
-    public record Second(long secondsSinceFirst, long answers, long medianMillis, long lateMillis) {}
+    /**
+     * The answers of the requests that ended in one second.
+     *
+     * @param secondsSinceFirst seconds since the first such second
+     * @param answers number of answers that had begun
+     * @param medianMillis median of the time to the first byte
+     * @param p99Millis 99th percentile of the time to the first byte
+     */
+    public record Second(long secondsSinceFirst, long answers, long medianMillis, long p99Millis) {}
 
-    /** One element for each second in which requests ended whose answers had begun. */
+    /** Returns one element for each second in which at least one request ended whose answer had begun. */
     public List<Second> seconds() {
         long first = firstBytes.keySet().stream().findFirst().orElse(0L);
         return firstBytes.entrySet().stream()
-                .map(each -> new Second(
-                        each.getKey() - first,
-                        each.getValue().getTotalCount(),
-                        each.getValue().getValueAtPercentile(MEDIAN),
-                        each.getValue().getValueAtPercentile(LATE)))
+                .map(second -> new Second(
+                        second.getKey() - first,
+                        second.getValue().getTotalCount(),
+                        second.getValue().getValueAtPercentile(MEDIAN_PERCENTILE),
+                        second.getValue().getValueAtPercentile(TAIL_PERCENTILE)))
                 .toList();
     }
 }
--- a/src/main/java/org/yuccagw/adapters/decisions/PromptSummary.java
+++ b/src/main/java/org/yuccagw/adapters/decisions/PromptSummary.java
@@ -8,66 +8,70 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of prompts, from the logs of entries: how long they waited at their entry, when their answers were
- * expected to begin and when they did, and whether their shared tokens were held by the engine, fetched or read.
+ * Statistics of prompts from the decision logs of entries: the time that they waited at their entry, the predicted and
+ * the actual time to the first byte of the answer, and the shares of the shared tokens that the engine had in its
+ * cache, that were fetched from a store, and that were prefilled.
  *
- * <p>The placing of a prompt and its end are lines of the same request, so they are put together by its id. Prompts
- * whose answer never began count with their waiting and their tokens only.
+ * <p>The lines of the placement and of the end of a prompt have the same request id, by which they are joined. A prompt
+ * whose answer never began contributes its waiting time, its predicted time and its tokens only.
  *
- * <p>Example: a group with held 0.2, fetched 0.5 and read 0.3, of which answers were expected after 80 ms and began
- * after 900 ms, waited behind something that its entry didn't know of.
+ * <p>Example: in a group with the shares held 0.2, fetched 0.5 and prefilled 0.3, a predicted time to the first byte of
+ * 80 ms and an actual time of 900 ms indicate that the prompts waited at the engine for work unknown to their entries.
  */
 public final class PromptSummary {
-    /** Seconds that one group by time spans. */
-    public static final long SPAN_SECONDS = 2;
+    /** Length in seconds of the intervals by which prompts are grouped. */
+    public static final long INTERVAL_SECONDS = 2;
 
-    private static final long LONGEST_MILLIS = 600_000;
-    private static final int DIGITS = 3;
+    private static final long MAX_RECORDED_MILLIS = 600_000;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final Map<String, Group> byRoute = new TreeMap<>();
-    private final Map<Long, Group> bySpan = new TreeMap<>();
+    private final Map<Long, Group> byInterval = new TreeMap<>();
 
     private PromptSummary() {}
 
-    /** Prompts of one route, or placed in one span of time. */
+    /** The prompts of one route, or those placed in one interval. */
     public static final class Group {
-        private final Histogram waited = new Histogram(LONGEST_MILLIS, DIGITS);
-        private final Histogram predicted = new Histogram(LONGEST_MILLIS, DIGITS);
-        private final Histogram begun = new Histogram(LONGEST_MILLIS, DIGITS);
+        private final Histogram waited = new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS);
+        private final Histogram predicted = new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS);
+        private final Histogram firstByte = new Histogram(MAX_RECORDED_MILLIS, SIGNIFICANT_DIGITS);
         private long sharedTokens;
         private long fetchedTokens;
-        private long sharedReadTokens;
+        private long sharedPrefilledTokens;
 
+        /** Returns the number of prompts. */
         public long prompts() {
             return waited.getTotalCount();
         }
 
-        /** Milliseconds at the entry before the prompt was placed, at a percentile. */
+        /** Returns a percentile of the milliseconds that prompts waited at the entry before they were placed. */
         public long waitedMillis(double percentile) {
             return waited.getValueAtPercentile(percentile);
         }
 
-        /** Milliseconds from placing to the first byte as they were predicted, at a percentile. */
+        /** Returns a percentile of the predicted milliseconds from the placement to the first byte. */
         public long predictedMillis(double percentile) {
             return predicted.getValueAtPercentile(percentile);
         }
 
-        /** Milliseconds from placing to the first byte, of answers that began, at a percentile. */
-        public long begunMillis(double percentile) {
-            return begun.getValueAtPercentile(percentile);
+        /** Returns a percentile of the milliseconds from the placement to the first byte, of answers that began. */
+        public long firstByteMillis(double percentile) {
+            return firstByte.getValueAtPercentile(percentile);
         }
 
-        /** Part of the shared tokens that the engine was taken to hold. */
+        /** Returns the share of the shared tokens that the engine had in its cache, according to its entry. */
         public double heldShare() {
-            return share(sharedTokens - fetchedTokens - sharedReadTokens);
+            return share(sharedTokens - fetchedTokens - sharedPrefilledTokens);
         }
 
+        /** Returns the share of the shared tokens that were fetched from a store. */
         public double fetchedShare() {
             return share(fetchedTokens);
         }
 
-        public double readShare() {
-            return share(sharedReadTokens);
+        /** Returns the share of the shared tokens that were prefilled. */
+        public double prefilledShare() {
+            return share(sharedPrefilledTokens);
         }
 
         private double share(long tokens) {
@@ -79,13 +83,13 @@
             waited.recordValue(bounded(waitedMillis));
             predicted.recordValue(bounded(number(placed, "predicted_ms")));
             long shared = number(placed, "shared_tokens");
-            long own = number(placed, "prompt_tokens") - shared;
+            long unsharedTokens = number(placed, "prompt_tokens") - shared;
             sharedTokens += shared;
             fetchedTokens += number(placed, "fetch_tokens");
-            sharedReadTokens += Math.max(0, number(placed, "read_tokens") - own);
-            long firstByte = ended == null ? -1 : number(ended, "first_byte_ms");
-            if (firstByte >= 0) {
-                begun.recordValue(bounded(firstByte - waitedMillis));
+            sharedPrefilledTokens += Math.max(0, number(placed, "read_tokens") - unsharedTokens);
+            long firstByteMillis = ended == null ? -1 : number(ended, "first_byte_ms");
+            if (firstByteMillis >= 0) {
+                firstByte.recordValue(bounded(firstByteMillis - waitedMillis));
             }
         }
     }
@@ -100,9 +104,9 @@
         for (DecisionLine line : lines) {
             if (line.event().equals("placed") && number(line, "prompt_tokens") > 0) {
                 DecisionLine end = ended.get(line.field("request"));
-                long span = (line.time().getEpochSecond() - first) / SPAN_SECONDS;
+                long interval = (line.time().getEpochSecond() - first) / INTERVAL_SECONDS;
                 group(summary.byRoute, line.field("route")).add(line, end);
-                group(summary.bySpan, span * SPAN_SECONDS).add(line, end);
+                group(summary.byInterval, interval * INTERVAL_SECONDS).add(line, end);
             }
         }
         return summary;
@@ -117,31 +121,31 @@
     }
 
     private static <K> Group group(Map<K, Group> groups, K key) {
-        Function<K, Group> fresh = unknown -> new Group();
-        return groups.computeIfAbsent(key, fresh);
+        Function<K, Group> newGroup = newKey -> new Group();
+        return groups.computeIfAbsent(key, newGroup);
     }
 
     private static long bounded(long millis) {
-        return Math.max(0, Math.min(LONGEST_MILLIS, millis));
+        return Math.max(0, Math.min(MAX_RECORDED_MILLIS, millis));
     }
 
-    /** The value of a field as a number; -1 if the line, written by another version of the program, has none. */
+    /** Returns the value of a field as a number, -1 if the line is from another version of the program and has none. */
     private static long number(DecisionLine line, String field) {
         try {
             return Long.parseLong(line.field(field));
-        } catch (NumberFormatException foreign) {
-            // Counts as not told, which every use of it allows for.
+        } catch (NumberFormatException invalid) {
+            // Handled like a missing field, which every use of this method allows for.
             return -1;
         }
     }
 
-    /** Groups by route, in the order of their names. */
+    /** Returns the groups by route, in the order of the routes' names. */
     public Map<String, Group> byRoute() {
         return byRoute;
     }
 
-    /** Groups by the second, since the first line, at which their span begins. */
-    public Map<Long, Group> bySpan() {
-        return bySpan;
+    /** Returns the groups by the start of their interval, in seconds since the first line. */
+    public Map<Long, Group> byInterval() {
+        return byInterval;
     }
 }
--- a/src/main/java/org/yuccagw/adapters/decisions/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/decisions/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the decision log that entries write, for whoever has to explain a request afterwards. */
+/** Parses the decision logs of entries and summarizes them, to analyse what happened to a request. */
 package org.yuccagw.adapters.decisions;
--- a/src/main/java/org/yuccagw/adapters/peer/BodyCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/BodyCodec.java
@@ -5,15 +5,15 @@
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
-/** Turns the messages of one part of the control core into a body of the envelope and back. */
+/** Encodes the peer messages of one component of the control core as a body of the envelope, and decodes them. */
 public interface BodyCodec {
-    /** Sets the body if the message is one of this codec's; false if not. */
+    /** Sets the envelope's body; returns false, without a change, if the message is of another codec's type. */
     boolean encode(PeerMessage message, Envelope.Builder envelope);
 
     /**
-     * Reads the body if it is one of this codec's.
+     * Decodes the body; returns empty if the envelope has a body of another codec's type.
      *
-     * @throws YuccagwException of kind PEER_MESSAGE_INVALID when a field makes no sense
+     * @throws YuccagwException of kind PEER_MESSAGE_INVALID when a field has an invalid value
      */
     Optional<PeerMessage> decode(Envelope envelope) throws YuccagwException;
 }
--- a/src/main/java/org/yuccagw/adapters/peer/CacheCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/CacheCodec.java
@@ -20,7 +20,7 @@
 import org.yuccagw.wire.PeerProtocol.CachePlacement;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
-/** The cache part's messages on the wire. All blocks of one message are in one store. */
+/** Encodes the messages of the cache component in protobuf. All blocks of one message are in one store. */
 public final class CacheCodec implements BodyCodec {
     private CacheCodec() {}
 
@@ -60,7 +60,7 @@
         }
         CacheMessage body = envelope.getCache();
         if (body.getPlacementsCount() == 0) {
-            throw ErrorKind.PEER_MESSAGE_INVALID.raise(envelope.getFrom(), "no cache block is named");
+            throw ErrorKind.PEER_MESSAGE_INVALID.raise(envelope.getFrom(), "cache message without blocks");
         }
         try {
             PromptScope scope = new PromptScope(
@@ -69,17 +69,18 @@
                     ServiceName.of(body.getService()),
                     WeightVersion.of(body.getVersion()));
             StoreId store = StoreId.of(body.getPlacements(0).getStore());
-            return Optional.of(new BlocksPlaced(scope, body.getStartDepth(), store, found(body)));
+            return Optional.of(new BlocksPlaced(scope, body.getStartDepth(), store, foundBlocks(body)));
         } catch (IllegalArgumentException e) {
             throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(e, envelope.getFrom(), e.getMessage());
         }
     }
 
-    private static List<StoreUpdate.Found> found(CacheMessage body) {
+    private static List<StoreUpdate.Found> foundBlocks(CacheMessage body) {
         List<StoreUpdate.Found> blocks = new ArrayList<>();
         for (CachePlacement placement : body.getPlacementsList()) {
             if (placement.getLength() <= 0 || body.getStartDepth() < 0) {
-                throw new IllegalArgumentException("a cache block needs a length above 0 and a depth of at least 0");
+                throw new IllegalArgumentException(
+                        "expected a cache block of a length above 0 at a depth of at least 0");
             }
             StoredBlock block = new StoredBlock(
                     BlockKey.of(placement.getKeyHigh(), placement.getKeyLow()),
--- a/src/main/java/org/yuccagw/adapters/peer/CatalogueUpdateCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/CatalogueUpdateCodec.java
@@ -9,10 +9,10 @@
 import org.yuccagw.wire.PeerProtocol.CatalogueMessage;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
-/** Messages of the catalogue part. */
+/** Encodes the messages of the catalogue component in protobuf. */
 public final class CatalogueUpdateCodec implements BodyCodec {
     private static final int WHOLE = 0;
-    private static final int ASK = 1;
+    private static final int REQUEST = 1;
     private static final int DELTA = 2;
 
     private CatalogueUpdateCodec() {}
@@ -26,8 +26,8 @@
         CatalogueMessage.Builder body = CatalogueMessage.newBuilder();
         if (message instanceof CatalogueUpdate.Whole whole) {
             body.setKind(WHOLE).setRevision(whole.revision()).setDocument(ByteString.copyFrom(whole.document()));
-        } else if (message instanceof CatalogueUpdate.Ask ask) {
-            body.setKind(ASK).setRevision(ask.revision());
+        } else if (message instanceof CatalogueUpdate.Ask request) {
+            body.setKind(REQUEST).setRevision(request.revision());
         } else if (message instanceof CatalogueUpdate.Delta delta) {
             body.setKind(DELTA)
                     .setRevision(delta.revision())
@@ -50,11 +50,11 @@
         return Optional.of(
                 switch (body.getKind()) {
                     case WHOLE -> new CatalogueUpdate.Whole(body.getRevision(), document);
-                    case ASK -> new CatalogueUpdate.Ask(body.getRevision());
+                    case REQUEST -> new CatalogueUpdate.Ask(body.getRevision());
                     case DELTA -> new CatalogueUpdate.Delta(body.getRevision(), body.getBaseRevision(), document);
                     default ->
                         throw ErrorKind.PEER_MESSAGE_INVALID.raise(
-                                envelope.getFrom(), "catalogue: unknown kind " + body.getKind());
+                                envelope.getFrom(), "catalogue message of unknown kind " + body.getKind());
                 });
     }
 }
--- a/src/main/java/org/yuccagw/adapters/peer/ClaimCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ClaimCodec.java
@@ -20,10 +20,10 @@
 import org.yuccagw.wire.PeerProtocol.ClaimMessage;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
-/** Messages about claims in protobuf. */
+/** Encodes the messages about claims in protobuf. */
 public final class ClaimCodec implements BodyCodec {
-    private static final int ASK = 0;
-    private static final int DECIDED = 1;
+    private static final int REQUEST = 0;
+    private static final int DECISION = 1;
     private static final int ENDED = 2;
     private static final int END_RECORDED = 3;
     private static final int STILL_RUNNING = 4;
@@ -33,7 +33,7 @@
     private static final int ANSWERED = 2;
     private static final int REFUSED = 3;
 
-    /** In the order of their numbers on the wire. */
+    /** The index of an outcome is its number on the wire. */
     private static final List<Outcome> OUTCOMES = List.of(Outcome.NOT_SENT, Outcome.ANSWERED, Outcome.UNKNOWN);
 
     private ClaimCodec() {}
@@ -49,26 +49,26 @@
         }
         ClaimMessage.Builder wire =
                 ClaimMessage.newBuilder().setShard(claimMessage.shard().value());
-        if (message instanceof Ask ask) {
-            wire.setKind(ASK).setRecord(ClaimRecords.toWire(ask.wanted()));
+        if (message instanceof Ask request) {
+            wire.setKind(REQUEST).setRecord(ClaimRecords.toWire(request.wanted()));
         } else if (message instanceof Decided decided) {
-            wire.setKind(DECIDED);
-            putVerdict(decided, wire);
+            wire.setKind(DECISION);
+            writeDecision(decided, wire);
         } else if (message instanceof Ended ended) {
             wire.setKind(ENDED).setOutcome(OUTCOMES.indexOf(ended.outcome()));
             PeerProtocol.ClaimRecord.Builder record = ClaimRecords.toWire(ended.key(), ended.attempt());
-            ended.answer().ifPresent(answer -> ClaimRecords.putAnswer(answer, record));
+            ended.answer().ifPresent(answer -> ClaimRecords.writeAnswer(answer, record));
             wire.setRecord(record);
         } else if (message instanceof EndRecorded recorded) {
             wire.setKind(END_RECORDED).setRecord(ClaimRecords.toWire(recorded.attempt()));
-        } else if (message instanceof StillRunning question) {
-            wire.setKind(STILL_RUNNING).setRecord(ClaimRecords.toWire(question.key(), question.attempt()));
+        } else if (message instanceof StillRunning query) {
+            wire.setKind(STILL_RUNNING).setRecord(ClaimRecords.toWire(query.key(), query.attempt()));
         }
         envelope.setClaim(wire);
         return true;
     }
 
-    private static void putVerdict(Decided decided, ClaimMessage.Builder wire) {
+    private static void writeDecision(Decided decided, ClaimMessage.Builder wire) {
         PeerProtocol.ClaimRecord.Builder record = ClaimRecords.toWire(decided.attempt());
         Verdict verdict = decided.verdict();
         if (verdict instanceof Verdict.Granted) {
@@ -79,7 +79,7 @@
                     .setRunningRequest(running.request().value());
         } else if (verdict instanceof Verdict.Answered answered) {
             wire.setDecision(ANSWERED);
-            ClaimRecords.putAnswer(answered.answer(), record);
+            ClaimRecords.writeAnswer(answered.answer(), record);
         } else if (verdict instanceof Verdict.Refused refused) {
             wire.setDecision(REFUSED).setErrorKind(refused.kind().name()).setErrorMessage(refused.detail());
         }
@@ -93,8 +93,8 @@
         }
         try {
             return Optional.of(read(envelope.getClaim()));
-        } catch (IllegalArgumentException wrong) {
-            throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(wrong, envelope.getFrom(), wrong.getMessage());
+        } catch (IllegalArgumentException invalid) {
+            throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(invalid, envelope.getFrom(), invalid.getMessage());
         }
     }
 
@@ -102,14 +102,14 @@
         ShardNumber shard = ShardNumber.of(wire.getShard());
         PeerProtocol.ClaimRecord record = wire.getRecord();
         return switch (wire.getKind()) {
-            case ASK -> new Ask(shard, ClaimRecords.fromWire(record));
-            case DECIDED -> new Decided(shard, ClaimRecords.attempt(record), verdict(wire));
+            case REQUEST -> new Ask(shard, ClaimRecords.fromWire(record));
+            case DECISION -> new Decided(shard, ClaimRecords.attempt(record), decision(wire));
             case ENDED ->
                 new Ended(
                         shard,
                         ClaimRecords.key(record),
                         ClaimRecords.attempt(record),
-                        ClaimRecords.oneOf(OUTCOMES, wire.getOutcome()),
+                        ClaimRecords.valueAt(OUTCOMES, wire.getOutcome()),
                         ClaimRecords.answer(record));
             case END_RECORDED -> new EndRecorded(shard, ClaimRecords.attempt(record));
             case STILL_RUNNING -> new StillRunning(shard, ClaimRecords.key(record), ClaimRecords.attempt(record));
@@ -117,14 +117,15 @@
         };
     }
 
-    private static Verdict verdict(ClaimMessage wire) {
+    private static Verdict decision(ClaimMessage wire) {
         return switch (wire.getDecision()) {
             case GRANTED -> new Verdict.Granted();
             case RUNNING ->
                 new Verdict.Running(EntryId.of(wire.getRunningEntry()), RequestId.of(wire.getRunningRequest()));
             case ANSWERED ->
                 new Verdict.Answered(ClaimRecords.answer(wire.getRecord())
-                        .orElseThrow(() -> new IllegalArgumentException("an answered claim without an answer")));
+                        .orElseThrow(
+                                () -> new IllegalArgumentException("claim decision 'answered' without an answer")));
             case REFUSED -> new Verdict.Refused(ErrorKind.valueOf(wire.getErrorKind()), wire.getErrorMessage());
             default -> throw new IllegalArgumentException("claim decision of unknown kind " + wire.getDecision());
         };
--- a/src/main/java/org/yuccagw/adapters/peer/ClaimLogProtobuf.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ClaimLogProtobuf.java
@@ -10,7 +10,7 @@
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.wire.PeerProtocol;
 
-/** The documents of a shard's log of claims in protobuf. */
+/** Encodes the documents of a shard's claim log, its head and its segments, in protobuf. */
 public final class ClaimLogProtobuf implements ClaimLogCodec {
     private ClaimLogProtobuf() {}
 
--- a/src/main/java/org/yuccagw/adapters/peer/ClaimRecords.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ClaimRecords.java
@@ -14,9 +14,9 @@
 import org.yuccagw.core.id.WorkspaceId;
 import org.yuccagw.wire.PeerProtocol;
 
-/** The one mapping of a claim's record to protobuf, for messages and for the documents of the log. */
+/** Maps claim records to protobuf and back; shared by the peer messages and the documents of the claim log. */
 final class ClaimRecords {
-    /** In the order of their numbers on the wire. */
+    /** The index of a state is its number on the wire. */
     private static final List<State> STATES = List.of(State.RUNNING, State.ANSWERED, State.UNKNOWN);
 
     private ClaimRecords() {}
@@ -27,7 +27,7 @@
                 .setRequest(record.request().value())
                 .setState(STATES.indexOf(record.state()))
                 .setWallMillis(record.wallMillis());
-        record.answer().ifPresent(answer -> putAnswer(answer, wire));
+        record.answer().ifPresent(answer -> writeAnswer(answer, wire));
         return wire.build();
     }
 
@@ -44,20 +44,24 @@
                 .setAttempt(attempt.number());
     }
 
-    static void putAnswer(KeptAnswer answer, PeerProtocol.ClaimRecord.Builder wire) {
+    static void writeAnswer(KeptAnswer answer, PeerProtocol.ClaimRecord.Builder wire) {
         wire.setAnswerStatus(answer.status())
                 .setAnswerType(answer.contentType())
                 .setAnswerBody(ByteString.copyFrom(answer.body()));
     }
 
-    /** Reads a record; an id or state that makes no sense ends in IllegalArgumentException. */
+    /**
+     * Decodes a record.
+     *
+     * @throws IllegalArgumentException when an id or the state is invalid
+     */
     static ClaimRecord fromWire(PeerProtocol.ClaimRecord wire) {
         return new ClaimRecord(
                 key(wire),
                 wire.getBodyHash(),
                 RequestId.of(wire.getRequest()),
                 attempt(wire),
-                oneOf(STATES, wire.getState()),
+                valueAt(STATES, wire.getState()),
                 wire.getWallMillis(),
                 answer(wire));
     }
@@ -80,10 +84,14 @@
                 wire.getAnswerBody().toByteArray()));
     }
 
-    /** The value at an index that came over the wire. */
-    static <T> T oneOf(List<T> values, int index) {
+    /**
+     * Returns the value at an index received from a peer or read from a document.
+     *
+     * @throws IllegalArgumentException when the index is out of range
+     */
+    static <T> T valueAt(List<T> values, int index) {
         if (index < 0 || index >= values.size()) {
-            throw new IllegalArgumentException("there is no value " + index);
+            throw new IllegalArgumentException("no value has the number " + index);
         }
         return values.get(index);
     }
--- a/src/main/java/org/yuccagw/adapters/peer/EndpointSightingsCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/EndpointSightingsCodec.java
@@ -11,7 +11,7 @@
 import org.yuccagw.wire.PeerProtocol.EndpointSighting;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
-/** Messages of the endpoints part. */
+/** Encodes the messages of the endpoints component in protobuf. */
 public final class EndpointSightingsCodec implements BodyCodec {
     private EndpointSightingsCodec() {}
 
@@ -43,7 +43,8 @@
         ImmutableList.Builder<EndpointSightings.Leaving> leaving = ImmutableList.builder();
         for (EndpointSighting sighting : envelope.getEndpoint().getSightingsList()) {
             if (sighting.getEndpoint().isBlank()) {
-                throw ErrorKind.PEER_MESSAGE_INVALID.raise(envelope.getFrom(), "a sighting without endpoint");
+                throw ErrorKind.PEER_MESSAGE_INVALID.raise(
+                        envelope.getFrom(), "endpoint sighting without an endpoint id");
             }
             if (sighting.getLeaving()) {
                 leaving.add(new EndpointSightings.Leaving(
--- a/src/main/java/org/yuccagw/adapters/peer/EndpointStarts.java
+++ b/src/main/java/org/yuccagw/adapters/peer/EndpointStarts.java
@@ -4,7 +4,7 @@
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.wire.PeerProtocol.EndpointStart;
 
-/** Incarnations of endpoints in protobuf. */
+/** Maps incarnations of endpoints to protobuf and back. */
 final class EndpointStarts {
     private EndpointStarts() {}
 
--- a/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
@@ -12,10 +12,13 @@
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.KeyItem;
 
-/** What entries tell each other of followed keys and of endpoints that broke off, in protobuf. */
+/**
+ * Encodes the messages about followed keys of the key-value service, and the reports of endpoints that broke the
+ * connection while they ran a request, in protobuf.
+ */
 public final class FollowCodec implements BodyCodec {
-    private static final int ASK = 0;
-    private static final int TELL = 1;
+    private static final int REQUEST = 0;
+    private static final int REPLY = 1;
 
     private FollowCodec() {}
 
@@ -25,13 +28,13 @@
 
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
-        if (message instanceof FollowMessage.Ask ask) {
+        if (message instanceof FollowMessage.Ask request) {
             envelope.setFollow(
-                    PeerProtocol.FollowMessage.newBuilder().setKind(ASK).setRevision(ask.afterRevision()));
+                    PeerProtocol.FollowMessage.newBuilder().setKind(REQUEST).setRevision(request.afterRevision()));
             return true;
         }
-        if (message instanceof FollowMessage.Tell tell) {
-            envelope.setFollow(encode(tell));
+        if (message instanceof FollowMessage.Tell reply) {
+            envelope.setFollow(encode(reply));
             return true;
         }
         if (message instanceof BreakReported reported) {
@@ -43,15 +46,15 @@
         return false;
     }
 
-    private static PeerProtocol.FollowMessage.Builder encode(FollowMessage.Tell tell) {
+    private static PeerProtocol.FollowMessage.Builder encode(FollowMessage.Tell reply) {
         PeerProtocol.FollowMessage.Builder wire = PeerProtocol.FollowMessage.newBuilder()
-                .setKind(TELL)
-                .setAfterRevision(tell.afterRevision())
-                .setRevision(tell.revision())
-                .setWhole(tell.whole())
-                .setConfirmedAgeMillis(tell.confirmedAgeMillis())
-                .setAfterOutage(tell.afterOutage());
-        for (Item item : tell.items()) {
+                .setKind(REPLY)
+                .setAfterRevision(reply.afterRevision())
+                .setRevision(reply.revision())
+                .setWhole(reply.whole())
+                .setConfirmedAgeMillis(reply.confirmedAgeMillis())
+                .setAfterOutage(reply.afterOutage());
+        for (Item item : reply.items()) {
             wire.addItems(KeyItem.newBuilder()
                     .setKey(item.key())
                     .setValue(ByteString.copyFrom(item.value()))
@@ -71,7 +74,7 @@
             return Optional.empty();
         }
         PeerProtocol.FollowMessage wire = envelope.getFollow();
-        if (wire.getKind() == ASK) {
+        if (wire.getKind() == REQUEST) {
             return Optional.of(new FollowMessage.Ask(wire.getRevision()));
         }
         return Optional.of(new FollowMessage.Tell(
--- a/src/main/java/org/yuccagw/adapters/peer/GossipCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/GossipCodec.java
@@ -16,11 +16,12 @@
 import org.yuccagw.wire.PeerProtocol.GossipMessage;
 import org.yuccagw.wire.PeerProtocol.Member;
 
-/** Messages of the membership part. */
+/** Encodes the messages of the membership component in protobuf. */
 public final class GossipCodec implements BodyCodec {
-    /** The places in these lists are the numbers on the wire. */
+    /** The index of a kind is its number on the wire. */
     private static final ImmutableList<Gossip.Kind> KINDS = ImmutableList.copyOf(Gossip.Kind.values());
 
+    /** The index of a state is its number on the wire. */
     private static final ImmutableList<State> STATES = ImmutableList.copyOf(State.values());
 
     private GossipCodec() {}
@@ -37,7 +38,7 @@
         GossipMessage.Builder body =
                 GossipMessage.newBuilder().setKind(KINDS.indexOf(gossip.kind())).setSequence(gossip.sequence());
         gossip.target().ifPresent(target -> body.setTarget(target.value()));
-        gossip.members().forEach(known -> body.addMembers(encode(known)));
+        gossip.members().forEach(record -> body.addMembers(encode(record)));
         envelope.setGossip(body);
         return true;
     }
@@ -61,15 +62,15 @@
         }
     }
 
-    private static Member encode(MemberRecord known) {
+    private static Member encode(MemberRecord record) {
         Member.Builder member = Member.newBuilder()
-                .setEntry(known.entry().value())
-                .setIncarnation(known.incarnation())
-                .setRefutation(known.version())
-                .setState(STATES.indexOf(known.state()))
-                .setLoad(known.load())
-                .setCatalogueRevision(known.catalogueRevision());
-        known.contact()
+                .setEntry(record.entry().value())
+                .setIncarnation(record.incarnation())
+                .setRefutation(record.version())
+                .setState(STATES.indexOf(record.state()))
+                .setLoad(record.load())
+                .setCatalogueRevision(record.catalogueRevision());
+        record.contact()
                 .ifPresent(contact -> member.setDomain(contact.domain().value())
                         .setCallerAddress(contact.callerAddress().toString())
                         .setPeerAddress(contact.peerAddress().toString())
--- a/src/main/java/org/yuccagw/adapters/peer/NoticeCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/NoticeCodec.java
@@ -7,7 +7,7 @@
 import org.yuccagw.wire.PeerProtocol.EndpointNewsMessage;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
-/** What entries tell each other of what endpoints said of themselves, in protobuf. */
+/** Encodes the states that endpoints reported in their answers, as entries broadcast them, in protobuf. */
 public final class NoticeCodec implements BodyCodec {
     private NoticeCodec() {}
 
--- a/src/main/java/org/yuccagw/adapters/peer/PeerCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/PeerCodec.java
@@ -11,34 +11,39 @@
 import org.yuccagw.core.port.PeerMessage;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 
-/** Turns messages between entries into bytes and back, by asking the codec of each part in turn. */
+/** Encodes and decodes the messages between entries with the first codec that supports the message. */
 public final class PeerCodec {
-    private final List<BodyCodec> bodies;
+    private final List<BodyCodec> codecs;
 
-    private PeerCodec(List<BodyCodec> bodies) {
-        this.bodies = List.copyOf(bodies);
+    private PeerCodec(List<BodyCodec> codecs) {
+        this.codecs = List.copyOf(codecs);
     }
 
-    public static PeerCodec of(List<BodyCodec> bodies) {
-        return new PeerCodec(bodies);
+    public static PeerCodec of(List<BodyCodec> codecs) {
+        return new PeerCodec(codecs);
     }
 
-    /** The bytes of a message from this entry. */
+    /**
+     * Encodes a message from this entry.
+     *
+     * @throws IllegalArgumentException when no codec supports the message
+     */
     public byte[] encode(EntryIdentity self, PeerMessage message) {
         Envelope.Builder envelope =
                 Envelope.newBuilder().setFrom(self.entry().value()).setIncarnation(self.incarnation());
-        for (BodyCodec body : bodies) {
-            if (body.encode(message, envelope)) {
+        for (BodyCodec codec : codecs) {
+            if (codec.encode(message, envelope)) {
                 return envelope.build().toByteArray();
             }
         }
-        throw new IllegalArgumentException("no codec for " + message.getClass().getName());
+        throw new IllegalArgumentException(
+                "no codec supports " + message.getClass().getName());
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws YuccagwException of kind PEER_MESSAGE_INVALID
+     * @throws YuccagwException of kind PEER_MESSAGE_INVALID when the bytes are no valid message or the body is unknown
      */
     public PeerReceived decode(byte[] bytes) throws YuccagwException {
         Envelope envelope = parse(bytes);
@@ -46,8 +51,8 @@
             throw ErrorKind.PEER_MESSAGE_INVALID.raise("unknown", "field 'from' is empty");
         }
         try {
-            for (BodyCodec body : bodies) {
-                Optional<PeerMessage> message = body.decode(envelope);
+            for (BodyCodec codec : codecs) {
+                Optional<PeerMessage> message = codec.decode(envelope);
                 if (message.isPresent()) {
                     return new PeerReceived(EntryId.of(envelope.getFrom()), message.get());
                 }
@@ -55,7 +60,7 @@
         } catch (RuntimeException e) {
             throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(e, envelope.getFrom(), e.getMessage());
         }
-        throw ErrorKind.PEER_MESSAGE_INVALID.raise(envelope.getFrom(), "no body that this version knows");
+        throw ErrorKind.PEER_MESSAGE_INVALID.raise(envelope.getFrom(), "no message body known to this version");
     }
 
     private static Envelope parse(byte[] bytes) throws YuccagwException {
--- a/src/main/java/org/yuccagw/adapters/peer/PeerLink.java
+++ b/src/main/java/org/yuccagw/adapters/peer/PeerLink.java
@@ -6,32 +6,34 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * The connection that this entry opened to one other entry, and what is known of its health.
+ * The outgoing connection from this entry to one other entry, with its acknowledgement state.
  *
- * <p>States: none, connecting, open. A send while connecting waits in a short queue, so that the first message of a
- * conversation isn't lost; a send to a full connection is dropped. The address may change between two sends when a VM
- * was replaced: the old connection is then closed.
+ * <p>States: none, connecting, open. While connecting, frames wait in a short queue, so that the first message of an
+ * exchange isn't lost. When the write buffer of an open connection is full, frames are dropped. The address may change
+ * between two sends when a VM is replaced; the old connection is then closed.
  */
 final class PeerLink {
-    static final long LONGEST_SILENCE_NANOS = 2_000_000_000L;
-    private static final int LONGEST_QUEUE = 64;
-    private static final int NOT_WAITING = -1;
+    /** The connection is replaced if a frame stays unacknowledged for longer. */
+    static final long ACKNOWLEDGEMENT_TIMEOUT_NANOS = 2_000_000_000L;
+
+    private static final int MAX_QUEUED_FRAMES = 64;
+    private static final int NONE_UNACKNOWLEDGED = -1;
 
     private final BiConsumer<PeerLink, NetworkAddress> connector;
-    private final java.util.ArrayDeque<byte[]> queue = new java.util.ArrayDeque<>();
+    private final java.util.ArrayDeque<byte[]> pendingFrames = new java.util.ArrayDeque<>();
     private NetworkAddress address;
     private Channel channel;
     private boolean connecting;
-    private long sent;
-    private long waitingSinceNanos = NOT_WAITING;
+    private long sentFrames;
+    private long unacknowledgedSinceNanos = NONE_UNACKNOWLEDGED;
 
     PeerLink(BiConsumer<PeerLink, NetworkAddress> connector) {
         this.connector = connector;
     }
 
-    /** Sends or queues the frame; false when it was dropped. */
+    /** Sends or queues the frame; returns false if the frame was dropped. */
     synchronized boolean send(NetworkAddress to, byte[] frame) {
-        closeIfUseless(to);
+        closeIfUnusable(to);
         if (channel != null) {
             if (!channel.isWritable()) {
                 return false;
@@ -39,53 +41,59 @@
             write(frame);
             return true;
         }
-        boolean kept = queue.size() < LONGEST_QUEUE;
-        if (kept) {
-            queue.add(frame);
+        boolean queued = pendingFrames.size() < MAX_QUEUED_FRAMES;
+        if (queued) {
+            pendingFrames.add(frame);
         }
         if (!connecting) {
             connecting = true;
             address = to;
             connector.accept(this, to);
         }
-        return kept;
+        return queued;
     }
 
-    synchronized void connected(Channel opened) {
+    /**
+     * Called when the attempt to connect has ended; sends the queued frames, or drops them if it failed.
+     *
+     * @param newChannel null if the attempt failed
+     */
+    synchronized void onConnected(Channel newChannel) {
         connecting = false;
-        channel = opened;
-        sent = 0;
-        waitingSinceNanos = NOT_WAITING;
-        if (opened == null) {
-            queue.clear();
+        channel = newChannel;
+        sentFrames = 0;
+        unacknowledgedSinceNanos = NONE_UNACKNOWLEDGED;
+        if (newChannel == null) {
+            pendingFrames.clear();
             return;
         }
-        for (byte[] frame = queue.poll(); frame != null; frame = queue.poll()) {
+        for (byte[] frame = pendingFrames.poll(); frame != null; frame = pendingFrames.poll()) {
             write(frame);
         }
     }
 
-    synchronized void counted(Channel on, long count) {
-        if (on == channel) {
-            waitingSinceNanos = count >= sent ? NOT_WAITING : System.nanoTime();
+    /** Called with the number of frames that the peer has received on a connection. */
+    synchronized void onAcknowledged(Channel acknowledgedChannel, long receivedFrames) {
+        if (acknowledgedChannel == channel) {
+            unacknowledgedSinceNanos = receivedFrames >= sentFrames ? NONE_UNACKNOWLEDGED : System.nanoTime();
         }
     }
 
     private void write(byte[] frame) {
-        sent++;
-        if (waitingSinceNanos == NOT_WAITING) {
-            waitingSinceNanos = System.nanoTime();
+        sentFrames++;
+        if (unacknowledgedSinceNanos == NONE_UNACKNOWLEDGED) {
+            unacknowledgedSinceNanos = System.nanoTime();
         }
         channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
     }
 
-    private void closeIfUseless(NetworkAddress to) {
+    private void closeIfUnusable(NetworkAddress to) {
         if (channel == null) {
             return;
         }
-        boolean silent =
-                waitingSinceNanos != NOT_WAITING && System.nanoTime() - waitingSinceNanos > LONGEST_SILENCE_NANOS;
-        if (silent || !channel.isActive() || !to.equals(address)) {
+        boolean timedOut = unacknowledgedSinceNanos != NONE_UNACKNOWLEDGED
+                && System.nanoTime() - unacknowledgedSinceNanos > ACKNOWLEDGEMENT_TIMEOUT_NANOS;
+        if (timedOut || !channel.isActive() || !to.equals(address)) {
             channel.close();
             channel = null;
         }
--- a/src/main/java/org/yuccagw/adapters/peer/PeerTransport.java
+++ b/src/main/java/org/yuccagw/adapters/peer/PeerTransport.java
@@ -41,53 +41,54 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /**
- * Messages between entries over TCP: length, then one envelope. Each pair of entries has one connection in each
- * direction; the reader answers with the count of frames that it has read.
+ * Sends and receives messages between entries over TCP. A frame is a length of four bytes, then one envelope. Each pair
+ * of entries has one connection in each direction; the receiver acknowledges frames by their total count.
  *
- * <p>Invariant: a message is delivered at most once and whole, or lost. Nothing waits for a peer: while a connection is
- * being made or is full, messages to that peer are dropped, which gossip and its users must bear anyway.
+ * <p>Invariant: a message is delivered completely and at most once, or it is lost. Sending never blocks: messages are
+ * dropped while the queue of a connection that is being opened, or the write buffer of an open one, is full. The
+ * protocols above, such as gossip, tolerate lost messages anyway.
  *
- * <p>The counts guard against a connection that something between the two ends has lost track of. It shows no error:
- * writes succeed and go nowhere. A frame whose count hasn't come back for {@link PeerLink#LONGEST_SILENCE_NANOS} makes
- * the next send close the connection and open a new one, which works.
+ * <p>The acknowledgements guard against a connection whose state was lost by a device between the two ends. Such a
+ * connection reports no error: writes succeed, but no data arrives. If a frame stays unacknowledged for {@link
+ * PeerLink#ACKNOWLEDGEMENT_TIMEOUT_NANOS}, the next send closes the connection and opens a new one.
  */
 public final class PeerTransport implements PeerPort {
-    /** Found when first used: loading the logging library would delay every start. */
+    /** Resolved on first use, because loading the logging library would delay every start. */
     private static final Supplier<Logger> log = Suppliers.memoize(() -> LogManager.getLogger(PeerTransport.class));
 
-    private static final long ANSWER_DELAY_MILLIS = 900;
-    private static final int LENGTH_BYTES = 4;
-    private static final int LARGEST_FRAME = 4 * 1024 * 1024;
-    private static final int CONNECT_MILLIS = 1_000;
+    private static final long ACKNOWLEDGEMENT_DELAY_MILLIS = 900;
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     private final EntryIdentity self;
     private final PeerCodec codec;
     private final Function<EntryId, Optional<NetworkAddress>> addresses;
-    private final Consumer<PeerReceived> received;
+    private final Consumer<PeerReceived> receiver;
     private final PeerSecurity security;
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("peer", true), NioIoHandler.newFactory());
     private final Map<EntryId, PeerLink> links = new ConcurrentHashMap<>();
     private final LongAdder sentBytes = new LongAdder();
     private final LongAdder receivedBytes = new LongAdder();
-    private final LongAdder dropped = new LongAdder();
-    private volatile Encoded lastEncoded;
-    private Channel server;
+    private final LongAdder droppedMessages = new LongAdder();
+    private volatile EncodedMessage lastEncoded;
+    private Channel serverChannel;
 
     private PeerTransport(
             EntryIdentity self,
             PeerCodec codec,
             Function<EntryId, Optional<NetworkAddress>> addresses,
-            Consumer<PeerReceived> received,
+            Consumer<PeerReceived> receiver,
             PeerSecurity security) {
         this.self = self;
         this.codec = codec;
         this.addresses = addresses;
-        this.received = received;
+        this.receiver = receiver;
         this.security = security;
     }
 
-    /** How peers prove themselves; both absent for plain text. */
+    /** The sources of TLS engines for incoming and outgoing connections; both are absent for plain text. */
     public record PeerSecurity(Optional<Supplier<SSLEngine>> server, Optional<Supplier<SSLEngine>> client) {
         public static PeerSecurity none() {
             return new PeerSecurity(Optional.empty(), Optional.empty());
@@ -95,39 +96,43 @@
     }
 
     /**
-     * Makes the transport of one entry.
+     * Creates the transport of one entry.
      *
-     * @param addresses where an entry listens for peers, if known
-     * @param received called on the transport's thread with each message
+     * @param addresses returns the peer address of an entry, if it is known
+     * @param receiver called with each message, on the transport's thread
      */
     public static PeerTransport of(
             EntryIdentity self,
             PeerCodec codec,
             Function<EntryId, Optional<NetworkAddress>> addresses,
-            Consumer<PeerReceived> received,
+            Consumer<PeerReceived> receiver,
             PeerSecurity security) {
-        return new PeerTransport(self, codec, addresses, received, security);
+        return new PeerTransport(self, codec, addresses, receiver, security);
     }
 
-    /** Listens on the peer address of this entry. */
+    /**
+     * Listens on the peer address of this entry.
+     *
+     * @throws IOException when the address can't be bound
+     */
     public void start() throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(initializer(security.server(), ReaderSide::new));
+                .childHandler(initializer(security.server(), FrameReceiver::new));
         InetSocketAddress address = new InetSocketAddress(
                 self.peerAddress().host(), self.peerAddress().port());
         try {
-            server = bootstrap.bind(address).syncUninterruptibly().channel();
+            serverChannel = bootstrap.bind(address).syncUninterruptibly().channel();
         } catch (RuntimeException e) {
-            throw new IOException("can't listen on peer address " + self.peerAddress(), e);
+            throw new IOException("can't listen on the peer address " + self.peerAddress(), e);
         }
     }
 
     public void stop() {
-        if (server != null) {
-            server.close().awaitUninterruptibly();
+        if (serverChannel != null) {
+            serverChannel.close().awaitUninterruptibly();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
@@ -136,44 +141,47 @@
     public void send(EntryId to, PeerMessage message) {
         Optional<NetworkAddress> address = addresses.apply(to);
         if (address.isEmpty()) {
-            dropped.increment();
+            droppedMessages.increment();
             return;
         }
-        byte[] bytes = encoded(message);
+        byte[] bytes = encode(message);
         PeerLink link = links.computeIfAbsent(to, entry -> new PeerLink(this::connect));
         if (link.send(address.get(), bytes)) {
-            sentBytes.add(bytes.length + LENGTH_BYTES);
+            sentBytes.add(bytes.length + LENGTH_FIELD_BYTES);
         } else {
-            dropped.increment();
+            droppedMessages.increment();
         }
     }
 
-    /** What goes to all entries is encoded once: one heartbeat in three to seventy others. */
-    private byte[] encoded(PeerMessage message) {
-        Encoded last = lastEncoded;
+    /**
+     * Encodes a message, or returns the bytes of the last one if it is the same object: a message to all entries, such
+     * as a heartbeat that goes to three to seventy of them, is encoded once.
+     */
+    private byte[] encode(PeerMessage message) {
+        EncodedMessage last = lastEncoded;
         if (last == null || last.message() != message) {
-            last = new Encoded(message, codec.encode(self, message));
+            last = new EncodedMessage(message, codec.encode(self, message));
             lastEncoded = last;
         }
         return last.bytes();
     }
 
-    /** A message, compared by identity, and its bytes. */
-    private record Encoded(PeerMessage message, byte[] bytes) {}
+    /** A message, which is compared by identity, and its encoded bytes. */
+    private record EncodedMessage(PeerMessage message, byte[] bytes) {}
 
-    /** Bytes of frames sent since the start. */
+    /** Returns the bytes of frames sent since the start. */
     public long sentBytes() {
         return sentBytes.sum();
     }
 
-    /** Bytes of frames received since the start. */
+    /** Returns the bytes of frames received since the start. */
     public long receivedBytes() {
         return receivedBytes.sum();
     }
 
-    /** Messages dropped for want of an address or a free connection. */
+    /** Returns the number of messages dropped since the start because no address was known or a queue was full. */
     public long droppedMessages() {
-        return dropped.sum();
+        return droppedMessages.sum();
     }
 
     private void connect(PeerLink link, NetworkAddress address) {
@@ -181,10 +189,10 @@
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
-                .handler(initializer(security.client(), () -> new CountSide(link)))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+                .handler(initializer(security.client(), () -> new AcknowledgementReceiver(link)))
                 .connect(address.host(), address.port())
-                .addListener(future -> link.connected(
+                .addListener(future -> link.onConnected(
                         future.isSuccess() ? ((io.netty.channel.ChannelFuture) future).channel() : null));
     }
 
@@ -195,70 +203,77 @@
             protected void initChannel(SocketChannel channel) {
                 engine.ifPresent(supplier -> channel.pipeline().addLast(new SslHandler(supplier.get())));
                 channel.pipeline()
-                        .addLast(new LengthFieldBasedFrameDecoder(LARGEST_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-                        .addLast(new LengthFieldPrepender(LENGTH_BYTES))
+                        .addLast(new LengthFieldBasedFrameDecoder(
+                                MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
+                        .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
                         .addLast(handler.get());
             }
         };
     }
 
     /**
-     * Reads frames of another entry and answers with how many it has read.
+     * Receives the frames of another entry and acknowledges them with their total count.
      *
-     * <p>An answer to each would double what entries send. The sender takes a connection for silent after {@link
-     * PeerLink#LONGEST_SILENCE_NANOS}, so one answer for all frames of less than half of that is soon enough.
+     * <p>Acknowledging each frame by itself would double the number of frames. The sender replaces a connection after
+     * {@link PeerLink#ACKNOWLEDGEMENT_TIMEOUT_NANOS} without acknowledgement, so one acknowledgement for all frames
+     * received in less than half of that time is sufficient.
      */
-    private final class ReaderSide extends SimpleChannelInboundHandler<ByteBuf> {
-        private long count;
-        private boolean answerDue;
+    private final class FrameReceiver extends SimpleChannelInboundHandler<ByteBuf> {
+        private long receivedFrames;
+        private boolean acknowledgementScheduled;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-            count++;
+            receivedFrames++;
             byte[] bytes = new byte[frame.readableBytes()];
             frame.readBytes(bytes);
-            receivedBytes.add(bytes.length + LENGTH_BYTES);
+            receivedBytes.add(bytes.length + LENGTH_FIELD_BYTES);
             try {
-                received.accept(codec.decode(bytes));
+                receiver.accept(codec.decode(bytes));
             } catch (YuccagwException e) {
-                log.get().warn("dropped a message: {}", e.getMessage());
+                log.get().warn("dropped a message from a peer: {}", e.getMessage());
             }
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (!answerDue) {
-                answerDue = true;
-                context.executor().schedule(() -> answer(context), ANSWER_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+            if (!acknowledgementScheduled) {
+                acknowledgementScheduled = true;
+                context.executor()
+                        .schedule(() -> acknowledge(context), ACKNOWLEDGEMENT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
 
-        private void answer(ChannelHandlerContext context) {
-            answerDue = false;
+        private void acknowledge(ChannelHandlerContext context) {
+            acknowledgementScheduled = false;
             if (context.channel().isActive()) {
-                context.writeAndFlush(context.alloc().buffer(Long.BYTES).writeLong(count));
+                context.writeAndFlush(context.alloc().buffer(Long.BYTES).writeLong(receivedFrames));
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            log.get().debug("peer connection from {} ended", context.channel().remoteAddress(), cause);
+            log.get()
+                    .debug(
+                            "closing the peer connection from {} after an error",
+                            context.channel().remoteAddress(),
+                            cause);
             context.close();
         }
     }
 
-    /** Reads the counts that come back on a connection that this entry opened. */
-    private static final class CountSide extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Receives the acknowledgements on a connection that this entry opened. */
+    private static final class AcknowledgementReceiver extends SimpleChannelInboundHandler<ByteBuf> {
         private final PeerLink link;
 
-        private CountSide(PeerLink link) {
+        private AcknowledgementReceiver(PeerLink link) {
             this.link = link;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
             if (frame.readableBytes() == Long.BYTES) {
-                link.counted(context.channel(), frame.readLong());
+                link.onAcknowledged(context.channel(), frame.readLong());
             }
         }
 
--- a/src/main/java/org/yuccagw/adapters/peer/PlacementCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/PlacementCodec.java
@@ -29,9 +29,10 @@
 import org.yuccagw.wire.PeerProtocol.PromptMessage;
 import org.yuccagw.wire.PeerProtocol.PromptPartMessage;
 
-/** What an entry and its lead say to each other of one attempt, in protobuf. */
+/** Encodes the messages between an entry and its lead about the placement of one attempt in protobuf. */
 public final class PlacementCodec implements BodyCodec {
-    private static final int NO_STORE_TOKENS = 0;
+    /** Tokens in the element of a prompt part that isn't fetched from a store. */
+    private static final int NOT_FETCHED_TOKENS = 0;
 
     private PlacementCodec() {}
 
@@ -46,8 +47,8 @@
         }
         PeerProtocol.PlacementMessage.Builder wire =
                 PeerProtocol.PlacementMessage.newBuilder().setNumber(placement.number());
-        if (placement instanceof PlacementMessage.Ask ask) {
-            wire.setAsk(encode(ask));
+        if (placement instanceof PlacementMessage.Ask request) {
+            wire.setAsk(encode(request));
         } else if (placement instanceof PlacementMessage.Placed placed) {
             wire.setPlaced(encode(placed));
         } else if (placement instanceof PlacementMessage.Refused refused) {
@@ -71,18 +72,18 @@
         return true;
     }
 
-    private static PlacementAskMessage encode(PlacementMessage.Ask ask) {
+    private static PlacementAskMessage encode(PlacementMessage.Ask request) {
         PlacementAskMessage.Builder wire = PlacementAskMessage.newBuilder()
-                .setRequest(ask.request().value())
-                .setRoute(ask.route())
-                .setService(ask.service().value())
-                .setWorkspace(ask.workspace().map(WorkspaceId::value).orElse(""))
-                .setFingerprint(ask.fingerprint())
-                .setKind(ask.kind().name())
-                .setPinned(ask.pinned().orElse(0))
-                .setLeftMillis(ask.leftMillis());
-        ask.prompt().ifPresent(prompt -> wire.setPrompt(encode(prompt)));
-        ask.excluded().forEach(endpoint -> wire.addExcluded(endpoint.value()));
+                .setRequest(request.request().value())
+                .setRoute(request.route())
+                .setService(request.service().value())
+                .setWorkspace(request.workspace().map(WorkspaceId::value).orElse(""))
+                .setFingerprint(request.fingerprint())
+                .setKind(request.kind().name())
+                .setPinned(request.pinned().orElse(0))
+                .setLeftMillis(request.leftMillis());
+        request.prompt().ifPresent(prompt -> wire.setPrompt(encode(prompt)));
+        request.excluded().forEach(endpoint -> wire.addExcluded(endpoint.value()));
         return wire.build();
     }
 
@@ -118,7 +119,7 @@
         for (Optional<CachePlan.Source> fetch : plan.fetches()) {
             wire.addFetches(CacheSourceMessage.newBuilder()
                     .setStore(fetch.map(source -> source.store().toString()).orElse(""))
-                    .setTokens(fetch.map(CachePlan.Source::tokens).orElse(NO_STORE_TOKENS)));
+                    .setTokens(fetch.map(CachePlan.Source::tokens).orElse(NOT_FETCHED_TOKENS)));
         }
         plan.saves()
                 .forEach(
--- a/src/main/java/org/yuccagw/adapters/peer/QuarantineCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/QuarantineCodec.java
@@ -17,12 +17,12 @@
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.QuarantineMessage;
 
-/** Messages about prompts that end endpoints in protobuf. */
+/** Encodes the messages about prompts that terminate endpoints in protobuf. */
 public final class QuarantineCodec implements BodyCodec {
-    private static final int DEATHS = 0;
-    private static final int PERMIT_ASKED = 1;
-    private static final int PERMIT_DECIDED = 2;
-    private static final int PERMIT_GIVEN_BACK = 3;
+    private static final int TERMINATIONS = 0;
+    private static final int PERMIT_REQUEST = 1;
+    private static final int PERMIT_DECISION = 2;
+    private static final int PERMIT_RELEASED = 3;
 
     private QuarantineCodec() {}
 
@@ -37,20 +37,22 @@
         }
         QuarantineMessage.Builder wire = QuarantineMessage.newBuilder();
         if (message instanceof Deaths deaths) {
-            wire.setKind(DEATHS);
+            wire.setKind(TERMINATIONS);
             deaths.deaths().forEach(death -> wire.addDeaths(toWire(death)));
-        } else if (message instanceof PermitAsked asked) {
-            put(wire, PERMIT_ASKED, asked.fingerprint(), asked.number()).setGranted(asked.held());
+        } else if (message instanceof PermitAsked request) {
+            writePermit(wire, PERMIT_REQUEST, request.fingerprint(), request.number())
+                    .setGranted(request.held());
         } else if (message instanceof PermitDecided decided) {
-            put(wire, PERMIT_DECIDED, decided.fingerprint(), decided.number()).setGranted(decided.granted());
-        } else if (message instanceof PermitGivenBack back) {
-            put(wire, PERMIT_GIVEN_BACK, back.fingerprint(), back.number());
+            writePermit(wire, PERMIT_DECISION, decided.fingerprint(), decided.number())
+                    .setGranted(decided.granted());
+        } else if (message instanceof PermitGivenBack released) {
+            writePermit(wire, PERMIT_RELEASED, released.fingerprint(), released.number());
         }
         envelope.setQuarantine(wire);
         return true;
     }
 
-    private static QuarantineMessage.Builder put(
+    private static QuarantineMessage.Builder writePermit(
             QuarantineMessage.Builder wire, int kind, PromptFingerprint fingerprint, long number) {
         return wire.setKind(kind).setFingerprint(fingerprint.value()).setPermit(number);
     }
@@ -71,28 +73,28 @@
         }
         try {
             return Optional.of(read(envelope.getQuarantine()));
-        } catch (IllegalArgumentException wrong) {
-            throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(wrong, envelope.getFrom(), wrong.getMessage());
+        } catch (IllegalArgumentException invalid) {
+            throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(invalid, envelope.getFrom(), invalid.getMessage());
         }
     }
 
     private static PeerMessage read(QuarantineMessage wire) {
         PromptFingerprint fingerprint = new PromptFingerprint(wire.getFingerprint());
         return switch (wire.getKind()) {
-            case DEATHS ->
+            case TERMINATIONS ->
                 new Deaths(wire.getDeathsList().stream()
                         .map(QuarantineCodec::fromWire)
                         .toList());
-            case PERMIT_ASKED -> new PermitAsked(fingerprint, wire.getPermit(), wire.getGranted());
-            case PERMIT_DECIDED -> new PermitDecided(fingerprint, wire.getPermit(), wire.getGranted());
-            case PERMIT_GIVEN_BACK -> new PermitGivenBack(fingerprint, wire.getPermit());
+            case PERMIT_REQUEST -> new PermitAsked(fingerprint, wire.getPermit(), wire.getGranted());
+            case PERMIT_DECISION -> new PermitDecided(fingerprint, wire.getPermit(), wire.getGranted());
+            case PERMIT_RELEASED -> new PermitGivenBack(fingerprint, wire.getPermit());
             default -> throw new IllegalArgumentException("quarantine message of unknown kind " + wire.getKind());
         };
     }
 
     private static Death fromWire(PeerProtocol.Death wire) {
         if (wire.getAgeMillis() < 0) {
-            throw new IllegalArgumentException("a death lies in the future");
+            throw new IllegalArgumentException("the age of an endpoint termination is negative");
         }
         return new Death(
                 new PromptFingerprint(wire.getFingerprint()),
--- a/src/main/java/org/yuccagw/adapters/peer/RateLimitCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/RateLimitCodec.java
@@ -7,7 +7,7 @@
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.RateLimitMessage;
 
-/** What entries tell each other of rate limits of endpoints, in protobuf. */
+/** Encodes the rate limits of endpoints, as entries broadcast them, in protobuf. */
 public final class RateLimitCodec implements BodyCodec {
     private RateLimitCodec() {}
 
--- a/src/main/java/org/yuccagw/adapters/peer/ShardCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ShardCodec.java
@@ -10,7 +10,7 @@
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.ShardMessage;
 
-/** Messages of the shards part. */
+/** Encodes the messages of the shards component in protobuf. */
 public final class ShardCodec implements BodyCodec {
     private ShardCodec() {}
 
@@ -38,7 +38,7 @@
         }
         ShardMessage body = envelope.getShard();
         if (body.getShard() < 0) {
-            throw ErrorKind.PEER_MESSAGE_INVALID.raise(envelope.getFrom(), "shard " + body.getShard());
+            throw ErrorKind.PEER_MESSAGE_INVALID.raise(envelope.getFrom(), "negative shard number " + body.getShard());
         }
         ShardNumber shard = ShardNumber.of(body.getShard());
         return Optional.of(
--- a/src/main/java/org/yuccagw/adapters/peer/ShareCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ShareCodec.java
@@ -15,11 +15,11 @@
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.ShareMessage;
 
-/** Messages about shares of limits in protobuf. */
+/** Encodes the messages about shares of limits in protobuf. */
 public final class ShareCodec implements BodyCodec {
-    private static final int ASK = 0;
+    private static final int REQUEST = 0;
     private static final int GRANT = 1;
-    private static final int PRESENT = 2;
+    private static final int PRESENCE = 2;
 
     private ShareCodec() {}
 
@@ -34,25 +34,25 @@
         }
         ShareMessage.Builder wire =
                 ShareMessage.newBuilder().setShard(shareMessage.shard().value());
-        if (message instanceof Ask ask) {
-            put(wire.setKind(ASK), ask.limit(), ask.held())
-                    .setEpoch(ask.epoch())
-                    .setSequence(ask.sequence())
-                    .setRunning(ask.running())
-                    .setDemand(ask.demand());
+        if (message instanceof Ask request) {
+            writeShare(wire.setKind(REQUEST), request.limit(), request.held())
+                    .setEpoch(request.epoch())
+                    .setSequence(request.sequence())
+                    .setRunning(request.running())
+                    .setDemand(request.demand());
         } else if (message instanceof Grant grant) {
-            put(wire.setKind(GRANT), grant.limit(), grant.share())
+            writeShare(wire.setKind(GRANT), grant.limit(), grant.share())
                     .setEpoch(grant.epoch())
                     .setSequence(grant.sequence())
                     .setValidMillis(grant.life().toMillis());
         } else if (message instanceof Present) {
-            wire.setKind(PRESENT);
+            wire.setKind(PRESENCE);
         }
         envelope.setShare(wire);
         return true;
     }
 
-    private static ShareMessage.Builder put(ShareMessage.Builder wire, LimitName limit, Share share) {
+    private static ShareMessage.Builder writeShare(ShareMessage.Builder wire, LimitName limit, Share share) {
         return wire.setLimit(limit.text()).setConcurrent(share.concurrent()).setFraction(share.fraction());
     }
 
@@ -63,15 +63,15 @@
         }
         try {
             return Optional.of(read(envelope.getShare()));
-        } catch (IllegalArgumentException wrong) {
-            throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(wrong, envelope.getFrom(), wrong.getMessage());
+        } catch (IllegalArgumentException invalid) {
+            throw ErrorKind.PEER_MESSAGE_INVALID.raiseFrom(invalid, envelope.getFrom(), invalid.getMessage());
         }
     }
 
     private static PeerMessage read(ShareMessage wire) {
         ShardNumber shard = ShardNumber.of(wire.getShard());
         return switch (wire.getKind()) {
-            case ASK ->
+            case REQUEST ->
                 new Ask(
                         shard,
                         new LimitName(wire.getLimit()),
@@ -79,7 +79,7 @@
                         wire.getEpoch(),
                         wire.getSequence(),
                         wire.getRunning(),
-                        notNegative(wire.getDemand()));
+                        requireNonNegative(wire.getDemand()));
             case GRANT ->
                 new Grant(
                         shard,
@@ -88,21 +88,21 @@
                         share(wire),
                         wire.getSequence(),
                         Duration.ofMillis(wire.getValidMillis()));
-            case PRESENT -> new Present(shard);
+            case PRESENCE -> new Present(shard);
             default -> throw new IllegalArgumentException("share message of unknown kind " + wire.getKind());
         };
     }
 
     private static Share share(ShareMessage wire) {
         if (wire.getConcurrent() < 0) {
-            throw new IllegalArgumentException("a share of " + wire.getConcurrent() + " requests at once");
+            throw new IllegalArgumentException("a share of " + wire.getConcurrent() + " concurrent requests");
         }
-        return new Share(wire.getConcurrent(), notNegative(wire.getFraction()));
+        return new Share(wire.getConcurrent(), requireNonNegative(wire.getFraction()));
     }
 
-    private static double notNegative(double value) {
+    private static double requireNonNegative(double value) {
         if (!(value >= 0) || Double.isInfinite(value)) {
-            throw new IllegalArgumentException("expected a number of at least 0, found " + value);
+            throw new IllegalArgumentException("expected a finite number of at least 0, found " + value);
         }
         return value;
     }
--- a/src/main/java/org/yuccagw/adapters/peer/StatusCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/StatusCodec.java
@@ -24,7 +24,7 @@
 import org.yuccagw.wire.PeerProtocol.RosterMessage;
 import org.yuccagw.wire.PeerProtocol.StatusMessage;
 
-/** Heartbeats, and loads told between them, in protobuf. */
+/** Encodes heartbeats, the load updates between them, and the rosters and digests of the mesh in protobuf. */
 public final class StatusCodec implements BodyCodec {
     private StatusCodec() {}
 
--- a/src/main/java/org/yuccagw/adapters/peer/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Transport between entries: Netty with protobuf, one codec for each part of the control core. */
+/** Transport between entries: protobuf over Netty, with one codec for each component of the control core. */
 package org.yuccagw.adapters.peer;
--- a/src/main/java/org/yuccagw/adapters/settings/CatalogueJson.java
+++ b/src/main/java/org/yuccagw/adapters/settings/CatalogueJson.java
@@ -14,8 +14,8 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * The catalogue as JSON. Input may hold comments; output is canonical: the same catalogue always gives the same bytes,
- * with names in alphabetical order and every field written out.
+ * Reads and writes the catalogue as JSON. The input may contain comments. The output is canonical: equal catalogues
+ * give equal bytes, with names in alphabetical order and without omitted fields.
  */
 public final class CatalogueJson implements CatalogueCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -34,7 +34,7 @@
         return write(compact, catalogue).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The canonical form with line breaks and indentation, for people and for line-wise comparison. */
+    /** Returns the canonical form with line breaks and indentation, for readers and for comparison by lines. */
     public String encodeReadable(Catalogue catalogue) {
         return write(readable, catalogue) + "\n";
     }
@@ -44,8 +44,12 @@
         return CatalogueReader.read(document);
     }
 
-    /** Whether a document is meant as a catalogue and not as settings of an entry. */
-    public static boolean looksLikeCatalogue(byte[] document) throws YuccagwException {
+    /**
+     * Returns whether a document is a catalogue rather than the settings of an entry, judged by its top-level fields.
+     *
+     * @throws YuccagwException of kind CATALOGUE_INVALID when the document can't be parsed
+     */
+    public static boolean isCatalogue(byte[] document) throws YuccagwException {
         PositionedValue root = PositionedParser.parse(document, ErrorKind.CATALOGUE_INVALID);
         return root instanceof PositionedValue.ObjectValue object
                 && (object.fields().containsKey("services") || object.fields().containsKey("workspaces"));
@@ -57,7 +61,7 @@
         try {
             return writer.writeValueAsString(root);
         } catch (JsonProcessingException e) {
-            // A tree of plain values made above always has a JSON form.
+            // Can't happen: the tree built above contains plain values only, which always have a JSON form.
             throw new UncheckedIOException(e);
         }
     }
--- a/src/main/java/org/yuccagw/adapters/settings/CatalogueReader.java
+++ b/src/main/java/org/yuccagw/adapters/settings/CatalogueReader.java
@@ -24,15 +24,17 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * Reads one catalogue document and checks what no single field shows: classes that are named exist, and no key is given
- * to two workspaces, which would leave open whose request it is.
+ * Reads one catalogue document and checks the constraints between its fields: every class that is referenced is
+ * defined, and no key belongs to two workspaces, because the workspace of a request would be ambiguous.
  *
- * <p>{@code system} may be left out for the usual limits, {@code limits} for none, {@code class} of a service for the
- * class of the calling workspace, {@code model} for a plain service.
+ * <p>Optional fields: without {@code system} the default limits apply, without {@code limits} there are none, without
+ * {@code class} a service uses the class of the calling workspace, and without {@code model} a service is a plain one.
  */
 final class CatalogueReader {
-    private static final int MOST = 1_000_000;
-    private static final int LEAST_SECRET_LENGTH = 16;
+    /** Upper bound of counts, and of priorities by their absolute value. */
+    private static final int MAX_COUNT = 1_000_000;
+
+    private static final int MIN_SECRET_CHARACTERS = 16;
     private static final List<String> METHODS = List.of("*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE");
 
     private final Map<String, String> workspaceByKeyHash = new HashMap<>();
@@ -74,14 +76,14 @@
                 system.integer("shards", 1, 4096),
                 system.duration("claim_retention_ms"),
                 system.duration("quarantine_ms"),
-                system.integer("retry_budget", 0, MOST),
+                system.integer("retry_budget", 0, MAX_COUNT),
                 system.decimal("retry_earn"),
                 system.duration("freshness_limit_ms"),
                 system.duration("resume_grace_ms"));
     }
 
     private static Map<String, RequestClass> readClasses(StrictObject root) throws YuccagwException {
-        Map<String, StrictObject> named = root.named(
+        Map<String, StrictObject> objects = root.namedObjects(
                 "classes",
                 "priority",
                 "weight",
@@ -91,11 +93,11 @@
                 "first_token_weight",
                 "recompute_weight");
         Map<String, RequestClass> classes = new LinkedHashMap<>();
-        for (Map.Entry<String, StrictObject> entry : named.entrySet()) {
+        for (Map.Entry<String, StrictObject> entry : objects.entrySet()) {
             StrictObject object = entry.getValue();
             RequestClass requestClass = new RequestClass(
                     entry.getKey(),
-                    object.integer("priority", -MOST, MOST),
+                    object.integer("priority", -MAX_COUNT, MAX_COUNT),
                     object.positiveDecimal("weight"),
                     object.duration("first_token_deadline_ms"),
                     object.duration("answer_deadline_ms"),
@@ -111,17 +113,17 @@
     }
 
     private Map<WorkspaceId, Workspace> readWorkspaces(StrictObject root) throws YuccagwException {
-        Map<String, StrictObject> named =
-                root.named("workspaces", "owner", "class", "limits", "weight", "key_hashes", "cache_secret");
+        Map<String, StrictObject> objects =
+                root.namedObjects("workspaces", "owner", "class", "limits", "weight", "key_hashes", "cache_secret");
         Map<WorkspaceId, Workspace> workspaces = new LinkedHashMap<>();
-        for (Map.Entry<String, StrictObject> entry : named.entrySet()) {
+        for (Map.Entry<String, StrictObject> entry : objects.entrySet()) {
             StrictObject object = entry.getValue();
             WorkspaceId id = WorkspaceId.of(entry.getKey());
             workspaces.put(
                     id,
                     new Workspace(
                             id,
-                            object.presentText("owner"),
+                            object.nonBlankText("owner"),
                             readClassName(object),
                             readLimits(object),
                             object.positiveDecimal("weight"),
@@ -144,25 +146,25 @@
 
     private static String readSecret(StrictObject object) throws YuccagwException {
         String secret = object.text("cache_secret");
-        if (secret.length() < LEAST_SECRET_LENGTH) {
+        if (secret.length() < MIN_SECRET_CHARACTERS) {
             throw object.error(
-                    "cache_secret", "expected at least " + LEAST_SECRET_LENGTH + " characters, chosen at random");
+                    "cache_secret", "expected at least " + MIN_SECRET_CHARACTERS + " characters, chosen at random");
         }
         return secret;
     }
 
     private Map<ServiceName, Service> readServices(StrictObject root) throws YuccagwException {
-        Map<String, StrictObject> named = root.named(
+        Map<String, StrictObject> objects = root.namedObjects(
                 "services", "owner", "class", "limits", "pool", "checks_fencing", "model", "non_idempotent_operations");
         Map<ServiceName, Service> services = new LinkedHashMap<>();
-        for (Map.Entry<String, StrictObject> entry : named.entrySet()) {
+        for (Map.Entry<String, StrictObject> entry : objects.entrySet()) {
             StrictObject object = entry.getValue();
             ServiceName name = ServiceName.of(entry.getKey());
             services.put(
                     name,
                     new Service(
                             name,
-                            object.presentText("owner"),
+                            object.nonBlankText("owner"),
                             object.has("class") ? readClassName(object) : "",
                             readLimits(object),
                             object.name("pool"),
@@ -179,9 +181,9 @@
         return new ModelSettings(
                 WeightVersion.of(model.name("version")),
                 model.optionalText("adapter").orElse(""),
-                model.integer("swaps_at_once", 1, MOST),
-                model.integer("replica_floor", 0, MOST),
-                model.integer("block_tokens", 1, MOST),
+                model.integer("swaps_at_once", 1, MAX_COUNT),
+                model.integer("replica_floor", 0, MAX_COUNT),
+                model.integer("block_tokens", 1, MAX_COUNT),
                 model.integer("bytes_per_token", 1, Integer.MAX_VALUE));
     }
 
@@ -238,7 +240,7 @@
         StrictObject limits =
                 object.object("limits", "concurrent_requests", "requests_per_second", "tokens_per_second");
         return new Limits(
-                limits.has("concurrent_requests") ? limits.integer("concurrent_requests", 0, MOST) : 0,
+                limits.has("concurrent_requests") ? limits.integer("concurrent_requests", 0, MAX_COUNT) : 0,
                 limits.has("requests_per_second") ? limits.decimal("requests_per_second") : 0,
                 limits.has("tokens_per_second") ? limits.decimal("tokens_per_second") : 0);
     }
--- a/src/main/java/org/yuccagw/adapters/settings/CatalogueWriter.java
+++ b/src/main/java/org/yuccagw/adapters/settings/CatalogueWriter.java
@@ -10,7 +10,7 @@
 import org.yuccagw.core.catalogue.SystemLimits;
 import org.yuccagw.core.catalogue.Workspace;
 
-/** Writes a catalogue in the form that {@link CatalogueReader} reads. */
+/** Writes a catalogue as the JSON tree of the documents that {@link CatalogueReader} reads. */
 final class CatalogueWriter {
     private CatalogueWriter() {}
 
--- a/src/main/java/org/yuccagw/adapters/settings/EntrySettings.java
+++ b/src/main/java/org/yuccagw/adapters/settings/EntrySettings.java
@@ -7,24 +7,24 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * The settings of one entry daemon, from its file.
+ * The settings of one entry daemon, as read from its settings file.
  *
- * @param entry its name
- * @param domain its failure domain
- * @param caller where callers connect
- * @param admin where operators and metrics connect
- * @param peer where other entries connect
- * @param keyValueService the platform's key-value service
- * @param vmList the platform's list of VMs
- * @param tokenKeys hexadecimal keys that sign resume tokens, the first one signs, all verify
- * @param bodyLimitBytes largest body of a caller
- * @param bodyTimeoutMillis longest time for a body to arrive
- * @param traces where spans go: {@code log}, {@code off}, or the URL of an OTLP receiver
- * @param log how log lines look
- * @param bootstrapOperatorKeyHash hash of the key that may apply the first catalogue, while there is none
- * @param callerTls certificates of the caller address, absent for plain text
- * @param adminTls certificates of the admin address
- * @param peerTls certificates of the peer address; both sides are checked
+ * @param entry the name of the entry
+ * @param domain the failure domain of the entry
+ * @param caller the address on which the entry listens for callers
+ * @param admin the address on which the entry listens for operators and for the collection of metrics
+ * @param peer the address on which the entry listens for other entries
+ * @param keyValueService the address of the platform's key-value service
+ * @param vmList the address of the platform's list of VMs
+ * @param tokenKeys keys of resume tokens in hexadecimal; the first one signs new tokens, all of them verify tokens
+ * @param bodyLimitBytes maximum size of a request body
+ * @param bodyTimeoutMillis maximum time for a request body to arrive
+ * @param traces the destination of spans: {@code log}, {@code off}, or the URL of an OTLP receiver
+ * @param log the format of log lines
+ * @param bootstrapOperatorKeyHash SHA-256 hash of the key that may apply the first catalogue, while there is none
+ * @param callerTls the PEM files of the caller address, absent for plain text
+ * @param adminTls the PEM files of the admin address, absent for plain text
+ * @param peerTls the PEM files of the peer address, absent for plain text; both sides verify certificates
  */
 public record EntrySettings(
         EntryId entry,
@@ -47,18 +47,18 @@
         tokenKeys = List.copyOf(tokenKeys);
     }
 
-    /** The form of log lines on standard output. */
+    /** The format of log lines on standard output. */
     public enum LogStyle {
         READABLE,
         JSON
     }
 
     /**
-     * PEM files of one address; read again when they change.
+     * The PEM files of one address, which are reloaded when they change.
      *
-     * @param certificate chain of the process
-     * @param privateKey PKCS 8
-     * @param trusted certificates of those who may connect, for mutual checks
+     * @param certificate path of the certificate chain of the process
+     * @param privateKey path of the private key in PKCS 8
+     * @param trusted path of the certificates that authenticate peers, for mutual TLS
      */
     public record TlsFiles(String certificate, String privateKey, Optional<String> trusted) {}
 }
--- a/src/main/java/org/yuccagw/adapters/settings/EntrySettingsReader.java
+++ b/src/main/java/org/yuccagw/adapters/settings/EntrySettingsReader.java
@@ -17,12 +17,12 @@
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
 
-/** Reads the settings of an entry daemon from JSON with comments. */
+/** Reads the settings of an entry daemon from JSON, which may contain comments. */
 public final class EntrySettingsReader {
     private static final Pattern TOKEN_KEY = Pattern.compile("([0-9a-f]{2}){16,}");
-    private static final long USUAL_BODY_LIMIT = 8L * 1024 * 1024;
-    private static final long MOST_BODY_LIMIT = 1024L * 1024 * 1024;
-    private static final long USUAL_BODY_TIMEOUT = 15_000;
+    private static final long DEFAULT_BODY_LIMIT_BYTES = 8L * 1024 * 1024;
+    private static final long MAX_BODY_LIMIT_BYTES = 1024L * 1024 * 1024;
+    private static final long DEFAULT_BODY_TIMEOUT_MILLIS = 15_000;
     private static final String[] FIELDS = {
         "entry",
         "domain",
@@ -47,7 +47,7 @@
     /**
      * Reads a settings file.
      *
-     * @throws YuccagwException of kind SETTINGS_INVALID, naming the file, the place and the fix
+     * @throws YuccagwException of kind SETTINGS_INVALID, which names the file, the position and a correction
      */
     public static EntrySettings read(Path file) throws YuccagwException {
         byte[] document;
@@ -63,7 +63,11 @@
         }
     }
 
-    /** Reads settings from the bytes of a file; errors name no file. */
+    /**
+     * Reads settings from the bytes of a file.
+     *
+     * @throws YuccagwException of kind SETTINGS_INVALID, which names the position and a correction, but no file
+     */
     public static EntrySettings parse(byte[] document) throws YuccagwException {
         StrictObject root = StrictObject.parse(document, ErrorKind.SETTINGS_INVALID, FIELDS);
         return new EntrySettings(
@@ -76,9 +80,9 @@
                 readAddress(root, "vm_list"),
                 readTokenKeys(root),
                 root.has("body_limit_bytes")
-                        ? root.wholeNumber("body_limit_bytes", 1, MOST_BODY_LIMIT)
-                        : USUAL_BODY_LIMIT,
-                root.has("body_timeout_ms") ? root.duration("body_timeout_ms").toMillis() : USUAL_BODY_TIMEOUT,
+                        ? root.wholeNumber("body_limit_bytes", 1, MAX_BODY_LIMIT_BYTES)
+                        : DEFAULT_BODY_LIMIT_BYTES,
+                root.has("body_timeout_ms") ? root.duration("body_timeout_ms").toMillis() : DEFAULT_BODY_TIMEOUT_MILLIS,
                 readTraces(root),
                 readLogStyle(root),
                 root.has("bootstrap_operator_key_hash")
@@ -128,7 +132,7 @@
                 return traces;
             }
         } catch (IllegalArgumentException ignored) {
-            // Not a URL: told below as any other wrong value.
+            // Not a URL; reported below like any other invalid value.
         }
         throw root.error(
                 "traces",
@@ -138,9 +142,9 @@
 
     private static LogStyle readLogStyle(StrictObject root) throws YuccagwException {
         String style = root.optionalText("log").orElse("readable");
-        for (LogStyle known : LogStyle.values()) {
-            if (known.name().toLowerCase(Locale.ROOT).equals(style)) {
-                return known;
+        for (LogStyle candidate : LogStyle.values()) {
+            if (candidate.name().toLowerCase(Locale.ROOT).equals(style)) {
+                return candidate;
             }
         }
         throw root.error("log", "expected \"readable\" or \"json\", found \"" + style + "\"");
@@ -158,6 +162,6 @@
                             + "add the file of the certificates that are trusted");
         }
         return Optional.of(new TlsFiles(
-                tls.presentText("certificate"), tls.presentText("private_key"), tls.optionalText("trusted")));
+                tls.nonBlankText("certificate"), tls.nonBlankText("private_key"), tls.optionalText("trusted")));
     }
 }
--- a/src/main/java/org/yuccagw/adapters/settings/GatewaySettings.java
+++ b/src/main/java/org/yuccagw/adapters/settings/GatewaySettings.java
@@ -11,16 +11,16 @@
 import org.yuccagw.core.placing.RetryBounds;
 
 /**
- * Settings of an entry on the users' platform.
+ * The settings of an entry on the users' platform.
  *
- * @param regions where failure domains lie
- * @param callers where requests arrive
- * @param readiness where the platform asks whether this entry takes requests
- * @param directory where callers ask which entries to use
- * @param peer where other entries connect
- * @param seeds where other entries may listen; may be stale
- * @param capacity what the VM can carry, in hundredths of a processor core
- * @param logLevel least level of decision lines
+ * @param regions the regions of the failure domains
+ * @param callers the address on which the entry listens for requests
+ * @param readiness the address on which the platform polls whether this entry accepts requests
+ * @param directory the address on which callers query the entries to use
+ * @param peer the address on which the entry listens for other entries
+ * @param seeds peer addresses of other entries, which may be out of date
+ * @param capacity the processor capacity of the VM in hundredths of a core
+ * @param logLevel the lowest level of decision lines that are written
  */
 public record GatewaySettings(
         EntryId entry,
@@ -40,14 +40,15 @@
     }
 
     /**
-     * What the platform promises and demands.
+     * The guarantees and requirements of the platform.
      *
-     * @param cold by how much requests may pass what cold endpoints bear
-     * @param stopGrace time between the request to stop and the end by force
-     * @param orderSeparation least time between the orders of two holders to one engine
-     * @param oldWeightsAllowed how long after newer weights were named requests may begin on older ones
-     * @param directoryTimeToLive how long callers may keep the directory
-     * @param keysUnconfirmed longest time that keys are honoured without confirmation, absent for any time
+     * @param retries limits of retries
+     * @param cold how far the requests of all entries may exceed the rate that cold endpoints sustain
+     * @param stopGrace time between the request to stop the process and its forced termination
+     * @param orderSeparation minimum time between orders to one engine from two successive holders of the duty
+     * @param oldWeightsAllowed time after newer weights are named during which requests may still start on older ones
+     * @param directoryTimeToLive time for which callers may cache the directory
+     * @param keysUnconfirmed maximum time for which keys are accepted without confirmation, absent for no limit
      */
     public record Bounds(
             RetryBounds retries,
--- a/src/main/java/org/yuccagw/adapters/settings/PositionedParser.java
+++ b/src/main/java/org/yuccagw/adapters/settings/PositionedParser.java
@@ -15,11 +15,11 @@
 import java.util.List;
 import java.util.Map;
 import org.yuccagw.adapters.settings.PositionedValue.Field;
-import org.yuccagw.adapters.settings.PositionedValue.Place;
+import org.yuccagw.adapters.settings.PositionedValue.Position;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 
-/** Reads JSON with comments into values that know their places. Refuses a field that stands twice in one object. */
+/** Parses JSON with comments into values with their positions. Rejects an object that contains a field twice. */
 final class PositionedParser {
     private static final JsonFactory FACTORY =
             JsonFactory.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
@@ -33,9 +33,10 @@
     }
 
     /**
-     * Reads a whole document.
+     * Parses a complete document.
      *
-     * @param kind of the errors, with one place in its template
+     * @param kind the kind of the errors, whose template has one parameter
+     * @throws YuccagwException of that kind, which names the position, when the document is malformed
      */
     static PositionedValue parse(byte[] document, ErrorKind kind) throws YuccagwException {
         String text = decode(document, kind);
@@ -67,50 +68,50 @@
         }
         PositionedValue value = readValue("");
         if (parser.nextToken() != null) {
-            throw kind.raise(placeOfToken("") + ": expected the end of the document, found more");
+            throw kind.raise(tokenPosition("") + ": expected the end of the document, found more");
         }
         return value;
     }
 
     private PositionedValue readValue(String path) throws IOException, YuccagwException {
-        Place place = placeOfToken(path);
+        Position position = tokenPosition(path);
         return switch (parser.currentToken()) {
-            case START_OBJECT -> readObject(place);
-            case START_ARRAY -> readList(place);
-            case VALUE_STRING -> new PositionedValue.TextValue(place, parser.getText());
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> new PositionedValue.NumberValue(place, parser.getText());
-            case VALUE_TRUE -> new PositionedValue.FlagValue(place, true);
-            case VALUE_FALSE -> new PositionedValue.FlagValue(place, false);
-            default -> new PositionedValue.NullValue(place);
+            case START_OBJECT -> readObject(position);
+            case START_ARRAY -> readList(position);
+            case VALUE_STRING -> new PositionedValue.TextValue(position, parser.getText());
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> new PositionedValue.NumberValue(position, parser.getText());
+            case VALUE_TRUE -> new PositionedValue.FlagValue(position, true);
+            case VALUE_FALSE -> new PositionedValue.FlagValue(position, false);
+            default -> new PositionedValue.NullValue(position);
         };
     }
 
-    private PositionedValue readObject(Place place) throws IOException, YuccagwException {
+    private PositionedValue readObject(Position position) throws IOException, YuccagwException {
         Map<String, Field> fields = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
-            Place namePlace = placeOfToken(place.under(name));
+            Position namePosition = tokenPosition(position.childPath(name));
             parser.nextToken();
-            Field field = new Field(namePlace, readValue(place.under(name)));
+            Field field = new Field(namePosition, readValue(position.childPath(name)));
             Field earlier = fields.putIfAbsent(name, field);
             if (earlier != null) {
-                throw kind.raise(namePlace + ": stands twice; the first is at line "
-                        + earlier.place().line() + ", remove one");
+                throw kind.raise(namePosition + ": stands twice; the first is at line "
+                        + earlier.position().line() + ", remove one");
             }
         }
-        return new PositionedValue.ObjectValue(place, fields);
+        return new PositionedValue.ObjectValue(position, fields);
     }
 
-    private PositionedValue readList(Place place) throws IOException, YuccagwException {
+    private PositionedValue readList(Position position) throws IOException, YuccagwException {
         List<PositionedValue> items = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            items.add(readValue(place.path() + "[" + items.size() + "]"));
+            items.add(readValue(position.path() + "[" + items.size() + "]"));
         }
-        return new PositionedValue.ListValue(place, items);
+        return new PositionedValue.ListValue(position, items);
     }
 
-    private Place placeOfToken(String path) {
+    private Position tokenPosition(String path) {
         JsonLocation location = parser.currentTokenLocation();
-        return new Place(location.getLineNr(), location.getColumnNr(), path);
+        return new Position(location.getLineNr(), location.getColumnNr(), path);
     }
 }
--- a/src/main/java/org/yuccagw/adapters/settings/PositionedValue.java
+++ b/src/main/java/org/yuccagw/adapters/settings/PositionedValue.java
@@ -4,75 +4,76 @@
 import java.util.Map;
 
 /**
- * A JSON value that knows where it stood in the file, so that an error can name the place.
+ * A JSON value with its position in the file, for error messages.
  *
  * <p>Example: in {@code {"classes": {"fast": {"weight": 0}}}} the number has the path {@code classes.fast.weight}.
  */
 sealed interface PositionedValue {
-    Place place();
+    Position position();
 
-    /** What an error message calls the value. */
+    /** Returns the description of the value in error messages. */
     String describe();
 
     /**
-     * Where a value begins.
+     * The start of a value in the file.
      *
-     * @param line from 1
-     * @param column in characters, from 1
-     * @param path names of fields and indices of lists from the root, empty for the root
+     * @param line line number, from 1
+     * @param column column in characters, from 1
+     * @param path names of fields and indices of lists, starting at the root; empty for the root
      */
-    record Place(int line, int column, String path) {
-        String under(String name) {
+    record Position(int line, int column, String path) {
+        /** Returns the path of a field of the value at this position. */
+        String childPath(String name) {
             return path.isEmpty() ? name : path + "." + name;
         }
 
         @Override
         public String toString() {
-            String position = "line " + line + ", column " + column;
-            return path.isEmpty() ? position : position + ", " + path;
+            String lineAndColumn = "line " + line + ", column " + column;
+            return path.isEmpty() ? lineAndColumn : lineAndColumn + ", " + path;
         }
     }
 
-    record ObjectValue(Place place, Map<String, Field> fields) implements PositionedValue {
+    record ObjectValue(Position position, Map<String, Field> fields) implements PositionedValue {
         @Override
         public String describe() {
             return "an object";
         }
     }
 
-    /** A field of an object with the place of its name. */
-    record Field(Place place, PositionedValue value) {}
+    /** A field of an object with the position of its name. */
+    record Field(Position position, PositionedValue value) {}
 
-    record ListValue(Place place, List<PositionedValue> items) implements PositionedValue {
+    record ListValue(Position position, List<PositionedValue> items) implements PositionedValue {
         @Override
         public String describe() {
             return "a list";
         }
     }
 
-    record TextValue(Place place, String text) implements PositionedValue {
-        /** Without the text itself: it may be a key that stands in the wrong place. */
+    record TextValue(Position position, String text) implements PositionedValue {
+        /** Omits the text itself, which may be a secret key in the wrong field. */
         @Override
         public String describe() {
             return "a text";
         }
     }
 
-    record NumberValue(Place place, String digits) implements PositionedValue {
+    record NumberValue(Position position, String digits) implements PositionedValue {
         @Override
         public String describe() {
             return "the number " + digits;
         }
     }
 
-    record FlagValue(Place place, boolean flag) implements PositionedValue {
+    record FlagValue(Position position, boolean flag) implements PositionedValue {
         @Override
         public String describe() {
             return Boolean.toString(flag);
         }
     }
 
-    record NullValue(Place place) implements PositionedValue {
+    record NullValue(Position position) implements PositionedValue {
         @Override
         public String describe() {
             return "null";
--- a/src/main/java/org/yuccagw/adapters/settings/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings and catalogue documents in JSON with comments, read with the place and the fix in every error. */
+/** Reads settings and catalogue documents in JSON with comments; every error names the position and a correction. */
 package org.yuccagw.adapters.settings;
--- a/src/main/java/org/yuccagw/adapters/telemetry/DecisionLog.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/DecisionLog.java
@@ -12,58 +12,59 @@
 import org.yuccagw.core.control.Decision;
 
 /**
- * Writes decisions as lines of named values: {@code event="placed" request="9c41" endpoint="e-7"}.
+ * Writes decisions as log lines of named values, for example {@code event="placed" request="9c41" endpoint="e-7"}.
  *
- * <p>The lines go through a bounded queue to a thread of their own; when the queue is full, lines are dropped, which a
- * later line counts, and never waited for.
+ * <p>A separate thread takes the lines from a bounded queue and writes them. Adding a line never blocks: if the queue
+ * is full, the line is dropped, and a later line reports the number of dropped lines.
  *
- * <p>That thread begins its work {@link #FIRST_LOOK} after the start. Guards against a start that the logging library
- * slows down: after a loss of all entries callers come back all at once, and whatever is loaded beside their first
- * requests makes these late. The lines of the first moments wait in the queue meanwhile, and say by how much they are
- * late.
+ * <p>The thread starts writing {@link #INITIAL_WRITE_DELAY} after its start, so that loading the logging library
+ * doesn't slow down the start of the entry: after a loss of all entries, all callers return at once, and everything
+ * that is loaded concurrently with their first requests delays these. Until then the lines wait in the queue. A line
+ * that is written late has a field with its delay.
  */
 public final class DecisionLog implements ActionHandler {
     private static final int QUEUE_LINES = 4_096;
-    /** When after the start the first lines are written. */
-    public static final Duration FIRST_LOOK = Duration.ofSeconds(3);
 
-    /** A line that is written later than this after its decision says so; the queue is looked at every 200 ms. */
-    private static final Duration USUAL_DELAY = Duration.ofMillis(500);
+    /** Time from the start of the log until the first lines are written. */
+    public static final Duration INITIAL_WRITE_DELAY = Duration.ofSeconds(3);
 
-    /** What is still in the queue at a stop is written within this; the library may have to be loaded first. */
-    private static final Duration LONGEST_STOP = Duration.ofSeconds(2);
+    /** A line whose delay exceeds this has a field with the delay; the writer polls the queue every 200 ms. */
+    private static final Duration MAX_UNREPORTED_DELAY = Duration.ofMillis(500);
 
-    private final BlockingQueue<Line> queue = LazyLogQueue.of(QUEUE_LINES);
+    /** Time to write the queued lines during a stop; the logging library may have to be loaded first. */
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(2);
+
+    private final BlockingQueue<Line> queue = PollingLogQueue.of(QUEUE_LINES);
     private final AtomicLong dropped = new AtomicLong();
     private final Thread writer = new Thread(this::writeAll, "decision-log");
     private volatile boolean stopping;
 
     /** A decision and the monotonic time at which it was made. */
-    private record Line(Decision decision, long atNanos) {}
+    private record Line(Decision decision, long decidedNanos) {}
 
     private DecisionLog() {
         writer.setDaemon(true);
     }
 
-    /** A log whose thread runs. */
+    /** Creates a log and starts its writer thread. */
     public static DecisionLog start() {
         DecisionLog log = new DecisionLog();
         log.writer.start();
         return log;
     }
 
-    /** Writes what waits and ends. */
+    /** Writes the queued lines, then ends the writer thread; returns after 2 s at the latest. */
     public void stop() {
         stopping = true;
         writer.interrupt();
         try {
-            writer.join(LONGEST_STOP.toMillis());
+            writer.join(STOP_TIMEOUT.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes one line. */
+    /** Queues one line; drops and counts it if the queue is full. Never blocks. */
     public void write(Decision decision) {
         if (!queue.offer(new Line(decision, System.nanoTime()))) {
             dropped.incrementAndGet();
@@ -80,31 +81,31 @@
     }
 
     private void writeAll() {
-        waitForFirstLook();
+        awaitInitialWriteDelay();
         Logger log = LogManager.getLogger("org.yuccagw.decisions");
         while (!stopping) {
             try {
                 write(log, queue.take());
             } catch (InterruptedException e) {
-                // Only a stop interrupts; the loop ends by its flag.
+                // Only stop() interrupts this thread, and it sets the flag that ends the loop.
             }
-            noteDropped(log);
+            reportDropped(log);
         }
-        for (Line rest = queue.poll(); rest != null; rest = queue.poll()) {
-            write(log, rest);
+        for (Line line = queue.poll(); line != null; line = queue.poll()) {
+            write(log, line);
         }
-        noteDropped(log);
+        reportDropped(log);
     }
 
-    private void waitForFirstLook() {
+    private void awaitInitialWriteDelay() {
         try {
-            Thread.sleep(FIRST_LOOK.toMillis());
+            Thread.sleep(INITIAL_WRITE_DELAY.toMillis());
         } catch (InterruptedException e) {
-            // A stop right after the start: what waits is written at once.
+            // Stopped right after the start; the queued lines are written without further delay.
         }
     }
 
-    private void noteDropped(Logger log) {
+    private void reportDropped(Logger log) {
         long lines = dropped.getAndSet(0);
         if (lines > 0) {
             write(log, new Line(Decision.of("lines-dropped").with("lines", lines), System.nanoTime()));
@@ -119,8 +120,8 @@
         StringMapMessage message = new StringMapMessage(decision.fields().size() + 1);
         message.put("event", decision.event());
         decision.fields().forEach(message::put);
-        long delayMillis = (System.nanoTime() - line.atNanos()) / 1_000_000;
-        if (delayMillis > USUAL_DELAY.toMillis()) {
+        long delayMillis = (System.nanoTime() - line.decidedNanos()) / 1_000_000;
+        if (delayMillis > MAX_UNREPORTED_DELAY.toMillis()) {
             message.put("delayed_ms", Long.toString(delayMillis));
         }
         log.info(message);
--- a/src/main/java/org/yuccagw/adapters/telemetry/LogSpanExporter.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/LogSpanExporter.java
@@ -9,7 +9,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Writes each span as one log line, with the ids as fields. */
+/** Writes each span as one log line, with its ids and attributes as fields. */
 final class LogSpanExporter implements SpanExporter {
     private static final Logger log = LogManager.getLogger("org.yuccagw.traces");
 
--- a/src/main/java/org/yuccagw/adapters/telemetry/Metrics.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/Metrics.java
@@ -17,12 +17,13 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.StoreId;
 
-/** The numbers of one entry, for Prometheus. Safe for any thread. */
+/** The metrics of one entry in the format of Prometheus. Thread-safe. */
 public final class Metrics {
-    /** The kind of end of a request that was answered; others are the codes of error kinds. */
+    /** Value of the label {@code end} for answered requests; the other values are the codes of error kinds. */
     public static final String ANSWERED = "answered";
 
-    private static final double[] FIRST_TOKEN_SECONDS = {
+    /** Upper bounds of the buckets of the time to the first token. */
+    private static final double[] FIRST_TOKEN_BOUNDS_SECONDS = {
         0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.3, 2, 3, 5, 8, 13, 21, 34
     };
 
@@ -37,7 +38,7 @@
             .help("Time from the arrival of a request to its first token")
             .unit(Unit.SECONDS)
             .labelNames("class")
-            .classicUpperBounds(FIRST_TOKEN_SECONDS)
+            .classicUpperBounds(FIRST_TOKEN_BOUNDS_SECONDS)
             .classicOnly()
             .register(registry);
     private final Counter promptTokens = Counter.builder()
@@ -61,8 +62,10 @@
             .labelNames("service", "failure")
             .register(registry);
 
-    /** The numbers of the virtual machine take a tenth of a start to set up, so they wait until somebody asks. */
-    private final AtomicBoolean processAdded = new AtomicBoolean();
+    /**
+     * The metrics of the Java virtual machine take a tenth of the start to set up, so the first scrape registers them.
+     */
+    private final AtomicBoolean jvmMetricsRegistered = new AtomicBoolean();
 
     private Metrics() {}
 
@@ -70,40 +73,52 @@
         return new Metrics();
     }
 
-    /** Counts the end of a request: {@link #ANSWERED} or the code of its error. */
-    public void requestEnded(ServiceName service, String className, String end) {
+    /**
+     * Counts the end of a request.
+     *
+     * @param end {@link #ANSWERED} or the code of the error
+     */
+    public void recordRequestEnd(ServiceName service, String className, String end) {
         requests.labelValues(service.value(), className, end).inc();
     }
 
-    public void firstToken(String className, Duration sinceArrival) {
+    /** Records the time from the arrival of a request to the first token of its answer. */
+    public void recordFirstToken(String className, Duration sinceArrival) {
         firstToken.labelValues(className).observe(sinceArrival.toNanos() / (double) TimeUnit.SECONDS.toNanos(1));
     }
 
-    /** Counts the prompt of an answered request in tokens. */
-    public void promptTokens(ServiceName service, long reused, long recomputed) {
+    /** Counts the prompt tokens of an answered request by whether the engine reused or recomputed them. */
+    public void recordPromptTokens(ServiceName service, long reused, long recomputed) {
         promptTokens.labelValues(service.value(), "reused").inc(reused);
         promptTokens.labelValues(service.value(), "recomputed").inc(recomputed);
     }
 
-    public void imported(StoreId store, long bytes) {
+    /** Counts the bytes that engines imported from a store on orders of this entry. */
+    public void recordImport(StoreId store, long bytes) {
         linkBytes.labelValues(store.value(), "import").inc(bytes);
     }
 
-    public void exported(StoreId store, long bytes) {
+    /** Counts the bytes that engines exported to a store on orders of this entry. */
+    public void recordExport(StoreId store, long bytes) {
         linkBytes.labelValues(store.value(), "export").inc(bytes);
     }
 
-    /** Counts a call to the key-value service by the simple names of its call and its answer. */
-    public void keyValueCall(String call, String outcome) {
+    /** Counts a call to the key-value service by the simple class names of the call and of its answer. */
+    public void recordKeyValueCall(String call, String outcome) {
         keyValueCalls.labelValues(call, outcome).inc();
     }
 
-    public void retried(ServiceName service, String failure) {
+    /**
+     * Counts a further attempt of a request.
+     *
+     * @param failure the class of the failure of the previous attempt
+     */
+    public void recordRetry(ServiceName service, String failure) {
         retries.labelValues(service.value(), failure).inc();
     }
 
-    /** A number that is read when asked for, such as the length of a queue. */
-    public void gauge(String name, String help, DoubleSupplier value) {
+    /** Registers a gauge whose value is read at each scrape, such as the length of a queue. */
+    public void registerGauge(String name, String help, DoubleSupplier value) {
         GaugeWithCallback.builder()
                 .name(name)
                 .help(help)
@@ -111,16 +126,16 @@
                 .register(registry);
     }
 
-    /** All metrics in the text format of Prometheus. */
+    /** Returns all metrics in the text format of Prometheus. */
     public byte[] exposition() {
-        if (processAdded.compareAndSet(false, true)) {
+        if (jvmMetricsRegistered.compareAndSet(false, true)) {
             JvmMetrics.builder().register(registry);
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try {
             PrometheusTextFormatWriter.create().write(out, registry.scrape());
         } catch (IOException e) {
-            // Writing into memory does not fail.
+            // Can't happen: writing to memory doesn't fail.
             throw new UncheckedIOException(e);
         }
         return out.toByteArray();
--- a/src/main/java/org/yuccagw/adapters/telemetry/RecentSpans.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/RecentSpans.java
@@ -21,10 +21,10 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps the last spans that ended, so that an operator can ask what happened to one request.
+ * Retains the spans that ended last, so that an operator can query the spans of one request.
  *
- * <p>A ring of fixed size: traffic threads only take a number and set one place, without a lock; the rare question
- * reads the whole ring. Memory is bounded by the ring's size whatever the load.
+ * <p>The spans are in a ring buffer of fixed size. Traffic threads increment a counter and set one slot without a lock;
+ * a query, which is rare, reads the whole ring. The size of the ring bounds the number of retained spans at any load.
  */
 final class RecentSpans implements SpanProcessor {
     private final AtomicReferenceArray<SpanData> ring;
@@ -48,8 +48,8 @@
 
     @Override
     public void onEnd(ReadableSpan span) {
-        int place = (int) (next.getAndIncrement() % ring.length());
-        ring.set(place, span.toSpanData());
+        int slot = (int) (next.getAndIncrement() % ring.length());
+        ring.set(slot, span.toSpanData());
     }
 
     @Override
@@ -58,8 +58,8 @@
     }
 
     /**
-     * The hops of one request in the order of their start. A hop belongs to it if it names the request, or if it names
-     * none and is part of a trace that does.
+     * Returns the hops of one request in the order of their start: the spans with the id of the request, and the spans
+     * without a request id that belong to the same trace as one of them.
      */
     List<TracedHop> find(String request) {
         Set<String> traces = new HashSet<>();
@@ -70,8 +70,9 @@
         });
         List<TracedHop> hops = new ArrayList<>();
         forEach(span -> {
-            String named = span.getAttributes().get(Traces.REQUEST);
-            boolean belongs = named == null ? traces.contains(span.getTraceId()) : named.equals(request);
+            String requestOfSpan = span.getAttributes().get(Traces.REQUEST);
+            boolean belongs =
+                    requestOfSpan == null ? traces.contains(span.getTraceId()) : requestOfSpan.equals(request);
             if (belongs) {
                 hops.add(toHop(span));
             }
--- a/src/main/java/org/yuccagw/adapters/telemetry/TraceParent.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/TraceParent.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The header {@code traceparent} of W3C Trace Context, in and out. */
+/** Reads and writes the header {@code traceparent} of W3C Trace Context. */
 public final class TraceParent {
     /** Name of the header. */
     public static final String HEADER = "traceparent";
 
-    private static final W3CTraceContextPropagator FORMAT = W3CTraceContextPropagator.getInstance();
-    private static final TextMapGetter<String> ONLY_HEADER = new TextMapGetter<>() {
+    private static final W3CTraceContextPropagator PROPAGATOR = W3CTraceContextPropagator.getInstance();
+    private static final TextMapGetter<String> HEADER_GETTER = new TextMapGetter<>() {
         @Override
         public Iterable<String> keys(String carrier) {
             return List.of(HEADER);
@@ -27,15 +27,15 @@
 
     private TraceParent() {}
 
-    /** The context that a caller's header names; the root context if it is null or makes no sense. */
+    /** Returns the context of a caller's header, or the root context if the header is null or malformed. */
     public static Context read(String header) {
-        return FORMAT.extract(Context.root(), header, ONLY_HEADER);
+        return PROPAGATOR.extract(Context.root(), header, HEADER_GETTER);
     }
 
-    /** The header's value for calls made on behalf of a span; empty if nothing is traced. */
+    /** Returns the value of the header for calls made within a span, empty if the span isn't traced. */
     public static Optional<String> write(Span span) {
         String[] value = new String[1];
-        FORMAT.inject(Context.root().with(span), value, (carrier, key, text) -> {
+        PROPAGATOR.inject(Context.root().with(span), value, (carrier, key, text) -> {
             if (HEADER.equals(key)) {
                 carrier[0] = text;
             }
--- a/src/main/java/org/yuccagw/adapters/telemetry/TracedHop.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/TracedHop.java
@@ -4,17 +4,18 @@
 import java.util.Map;
 
 /**
- * One finished span of a request, as {@code yuccagw trace} shows it.
+ * One finished span of a request, as the command {@code yuccagw trace} shows it. The admin API writes the components
+ * under their names.
  *
- * @param name of the hop, such as {@code route}
+ * @param name the name of the hop, such as {@code route}
  * @param trace the trace id, 32 hexadecimal digits
  * @param span the span id, 16 hexadecimal digits
- * @param parent the parent's span id, all zeros for a root
- * @param startMicros microseconds since 1970
- * @param durationMicros length
+ * @param parent the span id of the parent, all zeros for a root span
+ * @param startMicros the start in microseconds since the Unix epoch
+ * @param durationMicros the duration in microseconds
  * @param ok false if the hop ended in an error
- * @param attributes by name
- * @param events what happened during the hop, in order
+ * @param attributes the attributes by name
+ * @param events the events of the hop, in order
  */
 public record TracedHop(
         String name,
@@ -27,6 +28,10 @@
         Map<String, String> attributes,
         List<Event> events) {
 
-    /** Something that happened during a hop, {@code afterMicros} after its start. */
+    /**
+     * An event during a hop.
+     *
+     * @param afterMicros microseconds since the start of the hop
+     */
     public record Event(String name, long afterMicros, Map<String, String> attributes) {}
 }
--- a/src/main/java/org/yuccagw/adapters/telemetry/Traces.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/Traces.java
@@ -17,21 +17,22 @@
 import org.yuccagw.core.routing.RouteExplanation;
 
 /**
- * Spans for each hop of a request. They go to the log, to an OTLP receiver, or nowhere; in each case the last ones stay
- * in memory for {@code yuccagw trace}. Spans carry ids and counts, never a prompt, an answer or a key.
+ * Creates the spans for the hops of requests. Depending on the settings, spans are exported to the log, to an OTLP
+ * receiver, or not at all; in each case the last ones stay in memory for the command {@code yuccagw trace}. Spans
+ * contain ids and counts, but never a prompt, an answer or a key.
  */
 public final class Traces {
     /** Id of the request that a hop belongs to. */
     public static final AttributeKey<String> REQUEST = AttributeKey.stringKey("request");
 
-    /** Id of the workspace that asked. */
+    /** Id of the workspace that sent the request. */
     public static final AttributeKey<String> WORKSPACE = AttributeKey.stringKey("workspace");
 
-    /** Id of the endpoint that a hop speaks to. */
+    /** Id of the endpoint that a hop calls. */
     public static final AttributeKey<String> ENDPOINT = AttributeKey.stringKey("endpoint");
 
-    private static final int KEPT_SPANS = 8192;
-    private static final long STOP_SECONDS = 2;
+    private static final int RETAINED_SPANS = 8192;
+    private static final long STOP_TIMEOUT_SECONDS = 2;
 
     private final SdkTracerProvider provider;
     private final RecentSpans recent;
@@ -44,14 +45,14 @@
     }
 
     public static Traces start(EntrySettings settings) {
-        RecentSpans recent = RecentSpans.of(KEPT_SPANS);
-        Attributes identity = Attributes.builder()
+        RecentSpans recent = RecentSpans.of(RETAINED_SPANS);
+        Attributes resourceAttributes = Attributes.builder()
                 .put("service.name", "yuccagw-entry")
                 .put("service.instance.id", settings.entry().value())
                 .put("yuccagw.domain", settings.domain().value())
                 .build();
         SdkTracerProviderBuilder builder = SdkTracerProvider.builder()
-                .setResource(Resource.create(identity))
+                .setResource(Resource.create(resourceAttributes))
                 .addSpanProcessor(recent);
         exporter(settings.traces())
                 .ifPresent(exporter -> builder.addSpanProcessor(
@@ -59,21 +60,21 @@
         return new Traces(builder.build(), recent);
     }
 
-    /** Sends what is waiting, then ends; gives up after a short time. */
+    /** Exports the pending spans, then shuts down; returns after 2 s at the latest. */
     public void stop() {
-        provider.shutdown().join(STOP_SECONDS, TimeUnit.SECONDS);
+        provider.shutdown().join(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     public Tracer tracer() {
         return tracer;
     }
 
-    /** The hops of a request that ended lately, in the order of their start; empty if nothing is known of it. */
+    /** Returns the retained hops of a request in the order of their start; empty if there are none. */
     public List<TracedHop> find(String request) {
         return recent.find(request);
     }
 
-    /** Adds what the router weighed to the span of the route hop: one event for each candidate, best first. */
+    /** Adds the candidates that the router compared to the span of the route hop, as one event each, best first. */
     public static void explain(Span span, RouteExplanation explanation) {
         span.setAttribute("policy", explanation.policy());
         for (RouteExplanation.Candidate candidate : explanation.candidates()) {
--- a/src/main/java/org/yuccagw/adapters/telemetry/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/telemetry/package-info.java
@@ -1,2 +1,2 @@
-/** What operators see of a running entry: spans for each hop of a request, and metrics. */
+/** Telemetry of a running entry for operators: decision log, spans for each hop of a request, and metrics. */
 package org.yuccagw.adapters.telemetry;
--- a/src/main/java/org/yuccagw/adapters/tls/PemFiles.java
+++ b/src/main/java/org/yuccagw/adapters/tls/PemFiles.java
@@ -26,6 +26,7 @@
 
     private PemFiles() {}
 
+    /** Decodes a chain or a list of at least one certificate. */
     static Certificate[] certificates(byte[] pem) throws GeneralSecurityException {
         Collection<? extends Certificate> found =
                 CertificateFactory.getInstance("X.509").generateCertificates(new ByteArrayInputStream(pem));
@@ -35,6 +36,7 @@
         return found.toArray(new Certificate[0]);
     }
 
+    /** Decodes a private key in PKCS 8 of one of the algorithms EC, RSA and EdDSA. */
     static PrivateKey privateKey(byte[] pem) throws GeneralSecurityException {
         Matcher matcher = PRIVATE_KEY.matcher(new String(pem, StandardCharsets.US_ASCII));
         if (!matcher.find()) {
@@ -46,7 +48,7 @@
             try {
                 return KeyFactory.getInstance(algorithm).generatePrivate(encoded);
             } catch (InvalidKeySpecException ignored) {
-                // Another algorithm's key: the next one is tried.
+                // The key is of another algorithm; try the next one.
             }
         }
         throw new GeneralSecurityException("the private key is none of " + KEY_ALGORITHMS);
--- a/src/main/java/org/yuccagw/adapters/tls/SwitchingContext.java
+++ b/src/main/java/org/yuccagw/adapters/tls/ReloadableSslContext.java
@@ -14,16 +14,17 @@
 import javax.net.ssl.TrustManager;
 
 /**
- * An SSL context that takes each new connection to the context that is current then. A handshake in progress keeps the
- * one that it began with, so that it never sees the certificate of one and the key of another.
+ * An SSL context that delegates to a replaceable context. Each new connection uses the context that is current at that
+ * time. A handshake in progress keeps its context, so that it never combines the certificate of one context with the
+ * key of another.
  */
-final class SwitchingContext extends SSLContext {
-    private SwitchingContext(AtomicReference<SSLContext> current) {
+final class ReloadableSslContext extends SSLContext {
+    private ReloadableSslContext(AtomicReference<SSLContext> current) {
         super(new Delegate(current), current.get().getProvider(), current.get().getProtocol());
     }
 
-    static SSLContext over(AtomicReference<SSLContext> current) {
-        return new SwitchingContext(current);
+    static SSLContext of(AtomicReference<SSLContext> current) {
+        return new ReloadableSslContext(current);
     }
 
     private static final class Delegate extends SSLContextSpi {
@@ -34,9 +35,9 @@
         }
 
         @Override
-        protected void engineInit(KeyManager[] keys, TrustManager[] trust, SecureRandom random)
+        protected void engineInit(KeyManager[] keyManagers, TrustManager[] trustManagers, SecureRandom random)
                 throws KeyManagementException {
-            throw new KeyManagementException("this context is made from files");
+            throw new KeyManagementException("this context is initialized from files");
         }
 
         @Override
--- a/src/main/java/org/yuccagw/adapters/tls/ReloadingTls.java
+++ b/src/main/java/org/yuccagw/adapters/tls/ReloadingTls.java
@@ -15,51 +15,58 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * TLS of one address from PEM files, read again every two seconds without a restart. Connections that stand keep what
- * they have; new ones use the new files.
+ * The TLS configuration of one address from PEM files, which are reloaded every two seconds without a restart. Open
+ * connections keep their certificates; new connections use the new files.
  *
- * <p>Files that can't be used, such as a new certificate whose key has not arrived yet, change nothing: the log says
- * why, and the next look tries again.
+ * <p>If the files can't be used, for example because the key of a new certificate hasn't been replaced yet, the
+ * previous contents stay in use, the reason is logged, and the next reload tries again.
  */
 public final class ReloadingTls {
     private static final Logger log = LogManager.getLogger(ReloadingTls.class);
-    private static final long LOOK_SECONDS = 2;
+    private static final long RELOAD_INTERVAL_SECONDS = 2;
 
     private final TlsFiles files;
     private final AtomicReference<SSLContext> current;
     private final SSLContext context;
-    private final ScheduledExecutorService looker = Executors.newSingleThreadScheduledExecutor(task -> {
+    private final ScheduledExecutorService reloader = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "tls-files");
         thread.setDaemon(true);
         return thread;
     });
-    private TlsMaterial used;
+    private TlsMaterial currentMaterial;
     private String lastProblem = "";
 
-    private ReloadingTls(TlsFiles files, TlsMaterial used, SSLContext first) {
+    private ReloadingTls(TlsFiles files, TlsMaterial currentMaterial, SSLContext initialContext) {
         this.files = files;
-        this.used = used;
-        this.current = new AtomicReference<>(first);
-        this.context = SwitchingContext.over(current);
+        this.currentMaterial = currentMaterial;
+        this.current = new AtomicReference<>(initialContext);
+        this.context = ReloadableSslContext.of(current);
     }
 
     /**
-     * Reads the files and begins to watch them.
+     * Reads the files and starts to reload them periodically.
      *
      * @throws YuccagwException of kind SETTINGS_INVALID when they can't be used
      */
     public static ReloadingTls start(TlsFiles files) throws YuccagwException {
         try {
-            TlsMaterial material = TlsMaterial.read(files);
-            ReloadingTls tls = new ReloadingTls(files, material, material.makeContext());
-            tls.looker.scheduleWithFixedDelay(tls::reload, LOOK_SECONDS, LOOK_SECONDS, TimeUnit.SECONDS);
+            TlsMaterial initialMaterial = TlsMaterial.read(files);
+            ReloadingTls tls = new ReloadingTls(files, initialMaterial, initialMaterial.createContext());
+            tls.reloader.scheduleWithFixedDelay(
+                    tls::reload, RELOAD_INTERVAL_SECONDS, RELOAD_INTERVAL_SECONDS, TimeUnit.SECONDS);
             return tls;
         } catch (IOException | GeneralSecurityException e) {
             throw ErrorKind.SETTINGS_INVALID.raiseFrom(e, "TLS files " + files + ": " + e.getMessage());
         }
     }
 
-    /** A context for a client that shows no certificate and trusts those of a PEM file, or the usual ones. */
+    /**
+     * Returns a context for clients without a certificate of their own.
+     *
+     * @param trustedFile path of a PEM file with the trusted certificates; without it those of the Java installation
+     * apply
+     * @throws YuccagwException of kind SETTINGS_INVALID when the file can't be used
+     */
     public static SSLContext clientContext(Optional<String> trustedFile) throws YuccagwException {
         try {
             Optional<byte[]> pem =
@@ -74,42 +81,42 @@
     }
 
     public void stop() {
-        looker.shutdownNow();
+        reloader.shutdownNow();
     }
 
-    /** For servers and clients alike; the same object for good, whatever the files hold. */
+    /** Returns the context for servers and clients. It is always the same object and follows changes of the files. */
     public SSLContext context() {
         return context;
     }
 
-    /** Whether those who connect must show a certificate. */
+    /** Returns whether peers must authenticate with a certificate (mutual TLS). */
     public boolean isMutual() {
         return files.trusted().isPresent();
     }
 
-    /** Looks at the files once; true if new contents are in use from now on. */
+    /** Reads the files once; returns true if their contents have changed and are now in use. */
     synchronized boolean reload() {
         try {
-            TlsMaterial found = TlsMaterial.read(files);
-            if (found.sameAs(used)) {
+            TlsMaterial newMaterial = TlsMaterial.read(files);
+            if (newMaterial.hasSameContents(currentMaterial)) {
                 return false;
             }
-            current.set(found.makeContext());
-            used = found;
+            current.set(newMaterial.createContext());
+            currentMaterial = newMaterial;
             lastProblem = "";
-            log.info("TLS files of {} are in use again after a change", files.certificate());
+            log.info("using the changed TLS files of {}", files.certificate());
             return true;
         } catch (IOException | GeneralSecurityException e) {
-            tellOnce(String.valueOf(e.getMessage()));
+            warnOnce(String.valueOf(e.getMessage()));
             return false;
         }
     }
 
-    private void tellOnce(String problem) {
+    private void warnOnce(String problem) {
         if (!problem.equals(lastProblem)) {
             lastProblem = problem;
             log.warn(
-                    "TLS files of {} changed but can't be used, the earlier ones stay: {}",
+                    "the changed TLS files of {} can't be used, the previous contents stay in use: {}",
                     files.certificate(),
                     problem);
         }
--- a/src/main/java/org/yuccagw/adapters/tls/TlsMaterial.java
+++ b/src/main/java/org/yuccagw/adapters/tls/TlsMaterial.java
@@ -16,13 +16,15 @@
 import org.yuccagw.adapters.settings.EntrySettings.TlsFiles;
 
 /**
- * The contents of one address's PEM files at one moment.
+ * The contents of the PEM files of one address at one point in time.
  *
- * <p>The files are replaced one after the other, so a read may see the new certificate with the old key. Handshakes
- * would then fail for everybody. Therefore the key must fit the certificate before the contents are used.
+ * <p>The files can't be replaced atomically, so a read may return the new certificate with the old key. All handshakes
+ * would then fail. Therefore {@link #createContext} verifies that the private key belongs to the certificate.
  */
 final class TlsMaterial {
+    /** Data for a test signature; in comparisons, also the stand-in for an absent file. */
     private static final byte[] PROBE = {1, 2, 3, 4};
+
     private static final char[] NO_PASSWORD = new char[0];
 
     private final byte[] certificate;
@@ -42,26 +44,29 @@
         return new TlsMaterial(PemFiles.read(files.certificate()), PemFiles.read(files.privateKey()), trusted);
     }
 
-    boolean sameAs(TlsMaterial other) {
+    boolean hasSameContents(TlsMaterial other) {
         return Arrays.equals(certificate, other.certificate)
                 && Arrays.equals(privateKey, other.privateKey)
                 && Arrays.equals(trusted.orElse(PROBE), other.trusted.orElse(PROBE));
     }
 
-    SSLContext makeContext() throws GeneralSecurityException, IOException {
+    SSLContext createContext() throws GeneralSecurityException, IOException {
         Certificate[] chain = PemFiles.certificates(certificate);
         PrivateKey key = PemFiles.privateKey(privateKey);
-        requireFit(chain[0].getPublicKey(), key);
-        KeyStore own = emptyStore();
-        own.setKeyEntry("own", key, NO_PASSWORD, chain);
-        KeyManagerFactory keys = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
-        keys.init(own, NO_PASSWORD);
+        requireMatchingKey(chain[0].getPublicKey(), key);
+        KeyStore keyStore = emptyStore();
+        keyStore.setKeyEntry("own", key, NO_PASSWORD, chain);
+        KeyManagerFactory keyManagerFactory = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
+        keyManagerFactory.init(keyStore, NO_PASSWORD);
         SSLContext context = SSLContext.getInstance("TLS");
-        context.init(keys.getKeyManagers(), trustManagers(trusted), null);
+        context.init(keyManagerFactory.getKeyManagers(), trustManagers(trusted), null);
         return context;
     }
 
-    /** Trust in exactly the certificates of a PEM file; in those of the Java installation without one. */
+    /**
+     * Returns managers that trust exactly the certificates of a PEM file, or without one those of the Java
+     * installation.
+     */
     static TrustManager[] trustManagers(Optional<byte[]> trustedPem) throws GeneralSecurityException, IOException {
         TrustManagerFactory factory = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
         if (trustedPem.isEmpty()) {
@@ -83,7 +88,8 @@
         return store;
     }
 
-    private static void requireFit(PublicKey publicKey, PrivateKey key) throws GeneralSecurityException {
+    /** Verifies with a test signature that the private key belongs to the public key. */
+    private static void requireMatchingKey(PublicKey publicKey, PrivateKey key) throws GeneralSecurityException {
         String algorithm = switch (key.getAlgorithm()) {
             case "RSA" -> "SHA256withRSA";
             case "EC" -> "SHA256withECDSA";
@@ -92,11 +98,11 @@
         Signature signer = Signature.getInstance(algorithm);
         signer.initSign(key);
         signer.update(PROBE);
-        byte[] signed = signer.sign();
+        byte[] signature = signer.sign();
         Signature verifier = Signature.getInstance(algorithm);
         verifier.initVerify(publicKey);
         verifier.update(PROBE);
-        if (!verifier.verify(signed)) {
+        if (!verifier.verify(signature)) {
             throw new GeneralSecurityException("the private key doesn't belong to the certificate");
         }
     }
--- a/src/main/java/org/yuccagw/adapters/tls/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/tls/package-info.java
@@ -1,2 +1,2 @@
-/** TLS from PEM files that are read again when they change. */
+/** TLS from PEM files, which are reloaded when they change. */
 package org.yuccagw.adapters.tls;
--- a/src/main/java/org/yuccagw/bench/local/Rehearsal.java
+++ b/src/main/java/org/yuccagw/bench/local/Rehearsal.java
@@ -108,7 +108,8 @@
 
     /** The logging library, which is loaded late, belongs to what has to be archived. */
     private static void awaitLog(long startedNanos) {
-        long until = startedNanos + DecisionLog.FIRST_LOOK.plus(LOADING_THE_LOG).toNanos();
+        long until = startedNanos
+                + DecisionLog.INITIAL_WRITE_DELAY.plus(LOADING_THE_LOG).toNanos();
         while (System.nanoTime() - until < 0) {
             LockSupport.parkNanos(until - System.nanoTime());
         }
--- a/src/main/java/org/yuccagw/cli/ExplainCommand.java
+++ b/src/main/java/org/yuccagw/cli/ExplainCommand.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import org.yuccagw.adapters.decisions.RequestStory;
+import org.yuccagw.adapters.decisions.RequestTimeline;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -26,11 +26,11 @@
 
     @Override
     public Integer call() {
-        RequestStory story = RequestStory.of(request, DecisionFiles.read(files));
-        if (!story.isKnown()) {
+        RequestTimeline timeline = RequestTimeline.of(request, DecisionFiles.read(files));
+        if (!timeline.isKnown()) {
             throw CommandFailure.failed("no line of the files is about request " + request);
         }
-        spec.commandLine().getOut().print(story.text());
+        spec.commandLine().getOut().print(timeline.text());
         return ExitCode.OK;
     }
 }
--- a/src/main/java/org/yuccagw/cli/SettingsCommand.java
+++ b/src/main/java/org/yuccagw/cli/SettingsCommand.java
@@ -79,7 +79,7 @@
             if (GatewaySettingsReader.looksLikeOne(document)) {
                 return Kind.GATEWAY;
             }
-            return CatalogueJson.looksLikeCatalogue(document) ? Kind.CATALOGUE : Kind.ENTRY;
+            return CatalogueJson.isCatalogue(document) ? Kind.CATALOGUE : Kind.ENTRY;
         }
 
         private byte[] read() {
--- a/src/main/java/org/yuccagw/cli/SummarizeCommand.java
+++ b/src/main/java/org/yuccagw/cli/SummarizeCommand.java
@@ -43,7 +43,7 @@
         out.println();
         out.print(groups("prompts of route", prompts.byRoute()));
         out.println();
-        out.print(groups("prompts from second", prompts.bySpan()));
+        out.print(groups("prompts from second", prompts.byInterval()));
         return ExitCode.OK;
     }
 
@@ -65,11 +65,11 @@
                 Long.toString(group.waitedMillis(MEDIAN)),
                 Long.toString(group.waitedMillis(NINE_IN_TEN)),
                 Long.toString(group.predictedMillis(MEDIAN)),
-                Long.toString(group.begunMillis(MEDIAN)),
-                Long.toString(group.begunMillis(NINE_IN_TEN)),
+                Long.toString(group.firstByteMillis(MEDIAN)),
+                Long.toString(group.firstByteMillis(NINE_IN_TEN)),
                 share(group.heldShare()),
                 share(group.fetchedShare()),
-                share(group.readShare()))));
+                share(group.prefilledShare()))));
         return table;
     }
 
@@ -90,7 +90,7 @@
                     Long.toString(each.secondsSinceFirst()),
                     Long.toString(each.answers()),
                     Long.toString(each.medianMillis()),
-                    Long.toString(each.lateMillis())));
+                    Long.toString(each.p99Millis())));
         }
         return table;
     }
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -250,14 +250,16 @@
     }
 
     private void addGauges(Metrics metrics, KeyValueClient keyValue) {
-        metrics.gauge("yuccagw_requests_in_progress", "Requests in progress on this entry", runs::count);
-        metrics.gauge("yuccagw_control_events", "Events handled by the control thread", control::eventCount);
-        metrics.gauge("yuccagw_control_failures", "Control events whose handling failed", control::failureCount);
-        metrics.gauge("yuccagw_peer_sent_bytes", "Bytes sent to other entries", peers::sentBytes);
-        metrics.gauge("yuccagw_peer_received_bytes", "Bytes received from other entries", peers::receivedBytes);
-        metrics.gauge("yuccagw_peer_dropped_messages", "Messages to entries dropped", peers::droppedMessages);
-        metrics.gauge("yuccagw_key_value_calls_sent", "Calls sent to the key-value service", keyValue::callsSent);
-        metrics.gauge(
+        metrics.registerGauge("yuccagw_requests_in_progress", "Requests in progress on this entry", runs::count);
+        metrics.registerGauge("yuccagw_control_events", "Events handled by the control thread", control::eventCount);
+        metrics.registerGauge(
+                "yuccagw_control_failures", "Control events whose handling failed", control::failureCount);
+        metrics.registerGauge("yuccagw_peer_sent_bytes", "Bytes sent to other entries", peers::sentBytes);
+        metrics.registerGauge("yuccagw_peer_received_bytes", "Bytes received from other entries", peers::receivedBytes);
+        metrics.registerGauge("yuccagw_peer_dropped_messages", "Messages to entries dropped", peers::droppedMessages);
+        metrics.registerGauge(
+                "yuccagw_key_value_calls_sent", "Calls sent to the key-value service", keyValue::callsSent);
+        metrics.registerGauge(
                 "yuccagw_key_value_down",
                 "1 while the key-value service counts as down",
                 () -> keyValue.isDown() ? 1 : 0);
--- a/src/main/java/org/yuccagw/daemon/EntryMetrics.java
+++ b/src/main/java/org/yuccagw/daemon/EntryMetrics.java
@@ -10,21 +10,21 @@
 record EntryMetrics(Metrics metrics) implements CallerMetrics {
     @Override
     public void firstToken(String className, Duration sinceArrival) {
-        metrics.firstToken(className, sinceArrival);
+        metrics.recordFirstToken(className, sinceArrival);
     }
 
     @Override
     public void ended(ServiceName service, String className, String end) {
-        metrics.requestEnded(service, className, end);
+        metrics.recordRequestEnd(service, className, end);
     }
 
     @Override
     public void promptTokens(ServiceName service, long reused, long recomputed) {
-        metrics.promptTokens(service, reused, recomputed);
+        metrics.recordPromptTokens(service, reused, recomputed);
     }
 
     @Override
     public void attemptFailed(ServiceName service, AttemptFailure failure) {
-        metrics.retried(service, failure.name().toLowerCase(java.util.Locale.ROOT));
+        metrics.recordRetry(service, failure.name().toLowerCase(java.util.Locale.ROOT));
     }
 }
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -120,24 +120,26 @@
     }
 
     private void addGauges(Metrics metrics, KeyValueClient keyValue) {
-        metrics.gauge("yuccagw_requests_in_progress", "Requests in progress on this entry", runs::value);
-        metrics.gauge("yuccagw_control_failures", "Control events whose handling failed", control::failureCount);
-        metrics.gauge(
+        metrics.registerGauge("yuccagw_requests_in_progress", "Requests in progress on this entry", runs::value);
+        metrics.registerGauge(
+                "yuccagw_control_failures", "Control events whose handling failed", control::failureCount);
+        metrics.registerGauge(
                 "yuccagw_rate_limited_endpoints",
                 "Endpoints that ask for fewer requests, as far as this entry knows",
                 () -> control.snapshot()
                         .part(RateLimitsSnapshot.class)
                         .orElse(RateLimitsSnapshot.NONE)
                         .endpoints());
-        metrics.gauge(
+        metrics.registerGauge(
                 "yuccagw_endpoints_leaving",
                 "Endpoints that said in answers to this entry that they leave",
                 () -> notices().leaving());
-        metrics.gauge(
+        metrics.registerGauge(
                 "yuccagw_endpoints_backing_off",
                 "Endpoints that want nothing from this entry for a while",
                 () -> notices().backingOff());
-        metrics.gauge("yuccagw_key_value_calls_sent", "Calls sent to the key-value service", keyValue::callsSent);
+        metrics.registerGauge(
+                "yuccagw_key_value_calls_sent", "Calls sent to the key-value service", keyValue::callsSent);
     }
 
     private NoticesSnapshot notices() {
--- a/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
+++ b/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
@@ -65,15 +65,16 @@
      * @throws YuccagwException of kind SETTINGS_INVALID when it isn't JSON
      */
     public static boolean looksLikeOne(byte[] document) throws YuccagwException {
-        return StrictObject.parseAny(document, ErrorKind.SETTINGS_INVALID).has(PLATFORM);
+        return StrictObject.parseWithAnyFields(document, ErrorKind.SETTINGS_INVALID)
+                .has(PLATFORM);
     }
 
     /** Reads settings from the bytes of a file; errors name no file. */
     public static GatewaySettings parse(byte[] document) throws YuccagwException {
         StrictObject root = StrictObject.parse(document, ErrorKind.SETTINGS_INVALID, FIELDS);
-        StrictObject told = root.lenient(PLATFORM);
-        StrictObject listens = told.lenient("listenAddrs");
-        StrictObject bounds = told.lenient("bounds");
+        StrictObject told = root.objectWithAnyFields(PLATFORM);
+        StrictObject listens = told.objectWithAnyFields("listenAddrs");
+        StrictObject bounds = told.objectWithAnyFields("bounds");
         String ip = told.text("ip");
         int peerPort = told.wholeNumbers("portRange").get(0).intValue();
         return new GatewaySettings(
@@ -84,7 +85,7 @@
                 address(listens, "ready"),
                 address(listens, "directory"),
                 NetworkAddress.of(ip, peerPort),
-                address(told.lenient(PLATFORM), "address"),
+                address(told.objectWithAnyFields(PLATFORM), "address"),
                 seeds(told, peerPort),
                 readBounds(bounds),
                 readCapacity(told),
@@ -95,7 +96,7 @@
         if (!told.has("zones")) {
             return Regions.UNKNOWN;
         }
-        StrictObject zones = told.lenient("zones");
+        StrictObject zones = told.objectWithAnyFields("zones");
         ImmutableMap.Builder<FailureDomain, Region> regions = ImmutableMap.builder();
         for (String name : zones.fieldNames()) {
             regions.put(FailureDomain.of(name), Region.of(zones.text(name)));
@@ -111,7 +112,7 @@
         if (!told.has("limits")) {
             return EntryIdentity.USUAL_CAPACITY;
         }
-        StrictObject limits = told.lenient("limits");
+        StrictObject limits = told.objectWithAnyFields("limits");
         double share = limits.has("cpuShare") ? limits.decimal("cpuShare") : 1;
         double speed = limits.has("cores") ? limits.decimal("cores") : 1;
         double hundredths = share * speed * HUNDREDTHS_OF_CORE;
--- a/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
@@ -38,7 +38,10 @@
 import org.yuccagw.core.membership.EntryStatus;
 import org.yuccagw.core.membership.StopRequested;
 
-/** An admin server on loopback before a control core of the test's own, which accepts an edit on the right revision. */
+/**
+ * An admin server on the loopback interface with a simulated control core, which accepts an edit that is based on the
+ * current revision.
+ */
 public final class AdminFixture {
     public static final String BOOTSTRAP_KEY = "bootstrap-operator-key";
     public static final String OPERATOR_KEY = "operator-key";
@@ -93,8 +96,8 @@
         return offered;
     }
 
-    public void setReady(boolean nowReady) {
-        ready = nowReady;
+    public void setReady(boolean value) {
+        ready = value;
     }
 
     public void useSampleCatalogue(long revision) throws Exception {
@@ -103,7 +106,7 @@
                 .atRevision(revision);
     }
 
-    public void forgetCatalogue() {
+    public void removeCatalogue() {
         catalogue = Catalogue.none();
     }
 
@@ -119,20 +122,20 @@
 
     private ControlSnapshot snapshot() {
         ControlCore core =
-                ControlCore.of(identity, RandomGenerator.of("L64X128MixRandom"), List.of(new Contribution()));
+                ControlCore.of(identity, RandomGenerator.of("L64X128MixRandom"), List.of(new FixtureComponent()));
         core.start(0, 0);
         return core.snapshot();
     }
 
     private void offer(ControlEvent event) {
         offered.add(event);
-        if (event instanceof CatalogueEditRequested asked) {
-            asked.reply().accept(decide(asked));
-        } else if (event instanceof CatalogueHistoryRequested asked) {
+        if (event instanceof CatalogueEditRequested request) {
+            request.reply().accept(decideEdit(request));
+        } else if (event instanceof CatalogueHistoryRequested request) {
             AcceptedEdit edit = new AcceptedEdit(catalogue.revision(), "first", "operator", 0);
-            asked.reply().accept(new CatalogueHistoryRequested.Result.History(ImmutableList.of(edit)));
-        } else if (event instanceof StoresRequested asked) {
-            asked.reply().accept(ImmutableList.of(store()));
+            request.reply().accept(new CatalogueHistoryRequested.Result.History(ImmutableList.of(edit)));
+        } else if (event instanceof StoresRequested request) {
+            request.reply().accept(ImmutableList.of(store()));
         }
     }
 
@@ -148,17 +151,17 @@
                 0);
     }
 
-    private CatalogueEditRequested.Result decide(CatalogueEditRequested asked) {
+    private CatalogueEditRequested.Result decideEdit(CatalogueEditRequested request) {
         long revision = catalogue.revision();
-        if (asked.baseRevision() != revision) {
+        if (request.baseRevision() != revision) {
             return new CatalogueEditRequested.Result.Refused(
                     ErrorKind.CATALOGUE_CONFLICT.raise(revision, "services/assistant/owner"));
         }
-        catalogue = asked.wanted().atRevision(revision + 1);
+        catalogue = request.wanted().atRevision(revision + 1);
         return new CatalogueEditRequested.Result.Accepted(revision + 1);
     }
 
-    private final class Contribution implements ControlComponent {
+    private final class FixtureComponent implements ControlComponent {
         @Override
         public void handle(ControlEvent event, ControlContext context) {}
 
