--- a/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
@@ -19,7 +19,7 @@
 import org.yuccagw.core.membership.StopRequested;
 
 public class AdminServerTest {
-    private static final int LONG_SECONDS = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     private AdminFixture fixture;
     private HttpCaller caller;
@@ -33,7 +33,7 @@
     }
 
     @BeforeMethod
-    public void beginWithTheSampleCatalogue() throws Exception {
+    public void useTheSampleCatalogue() throws Exception {
         fixture.useSampleCatalogue(3);
         fixture.setReady(true);
         fixture.offered().clear();
@@ -61,7 +61,7 @@
     }
 
     @Test(dataProvider = "operatorCalls")
-    public void noOperatorCallIsTakenWithoutTheRightKey(String method, String path) throws Exception {
+    public void everyOperatorCallNeedsAValidKey(String method, String path) throws Exception {
         HttpQuery query = HttpQuery.json(method, fixture.address(), path, sample);
         assertEquals(send(query).status(), 401);
         assertEquals(send(withKey(query, "guess")).status(), 403);
@@ -70,8 +70,8 @@
     }
 
     @Test
-    public void theBootstrapKeyAppliesTheFirstCatalogueAndNoSecondOne() throws Exception {
-        fixture.forgetCatalogue();
+    public void theBootstrapKeyAppliesTheFirstCatalogueOnly() throws Exception {
+        fixture.removeCatalogue();
         HttpQuery put = HttpQuery.json("PUT", fixture.address(), "/admin/catalogue?edit=e1", sample);
         assertEquals(send(withKey(put, AdminFixture.OPERATOR_KEY)).status(), 403);
         HttpAnswer first = send(withKey(put, AdminFixture.BOOTSTRAP_KEY));
@@ -80,14 +80,14 @@
     }
 
     @Test
-    public void anEditFromAnEarlierRevisionIsAConflictThatNamesTheFields() throws Exception {
+    public void anEditOfAnEarlierRevisionIsAConflictThatNamesTheFields() throws Exception {
         HttpAnswer answer = put(sample);
         assertEquals(answer.status(), 409);
         assertTrue(answer.text().contains("services/assistant/owner"), answer.text());
     }
 
     @Test
-    public void aCatalogueThatWasGottenCanBeChangedAndPut() throws Exception {
+    public void aCatalogueCanBeReadChangedAndWrittenBack() throws Exception {
         String document = get("/admin/catalogue").text();
         HttpAnswer answer = put(document.replace("assistant@example.org", "other@example.org"));
         assertEquals(json(answer).path("revision").asLong(), 4);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void aBrokenCatalogueIsRefusedWithItsPlaceAndNeverReachesTheCore() throws Exception {
+    public void anInvalidCatalogueIsRejectedBeforeItReachesTheCore() throws Exception {
         HttpAnswer answer = put(sample.replace("\"shards\"", "\"shadrs\""));
         assertEquals(answer.status(), 422);
         assertTrue(answer.text().contains("did you mean 'shards'"), answer.text());
@@ -103,12 +103,12 @@
     }
 
     @Test
-    public void aBodyOverTheLimitIsRefused() throws Exception {
+    public void aBodyOverTheLimitIsRejected() throws Exception {
         assertEquals(put(" ".repeat(3_000_000)).status(), 413);
     }
 
     @Test
-    public void anEntryThatIsNotReadySaysWhy() throws Exception {
+    public void anEntryThatIsNotReadyReportsTheReason() throws Exception {
         assertEquals(send(HttpQuery.get(fixture.address(), "/readyz")).status(), 200);
         fixture.setReady(false);
         HttpAnswer answer = send(HttpQuery.get(fixture.address(), "/readyz"));
@@ -125,21 +125,21 @@
     }
 
     @Test
-    public void aDrainAsksForTheGracefulStop() throws Exception {
+    public void aDrainRequestsAGracefulStop() throws Exception {
         HttpQuery drain = HttpQuery.of("POST", fixture.address(), "/admin/drain");
         assertEquals(send(withKey(drain, AdminFixture.OPERATOR_KEY)).status(), 200);
         assertTrue(fixture.offered().get(0) instanceof StopRequested);
     }
 
     @Test
-    public void aRecentRequestIsExplainedAndAnUnknownOneRefused() throws Exception {
+    public void aRecentRequestIsTracedAndAnUnknownOneRejected() throws Exception {
         JsonNode trace = json(get("/admin/trace/" + AdminFixture.REQUEST));
         assertEquals(trace.path("hops").path(0).path("name").asText(), "request");
         assertEquals(get("/admin/trace/ffff").status(), 404);
     }
 
     @Test
-    public void anUnknownPathIsAnsweredAsEveryError() throws Exception {
+    public void anUnknownPathIsAnsweredWithAnErrorDocument() throws Exception {
         HttpAnswer answer = get("/nothing");
         assertEquals(answer.status(), 404);
         assertEquals(json(answer).path("error").path("code").asText(), "unknown_path");
@@ -155,7 +155,7 @@
     }
 
     private HttpAnswer send(HttpQuery query) throws Exception {
-        return caller.send(query).get(LONG_SECONDS, TimeUnit.SECONDS);
+        return caller.send(query).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static HttpQuery withKey(HttpQuery query, String key) {
--- a/src/test/java/org/yuccagw/adapters/control/TimerWaitTest.java
+++ b/src/test/java/org/yuccagw/adapters/control/TimerWaitStrategyTest.java
@@ -13,47 +13,49 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-public class TimerWaitTest {
-    private static final long LATER = TimeUnit.SECONDS.toNanos(60);
+public class TimerWaitStrategyTest {
+    private static final long TIMER_DELAY_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    private final SequenceBarrier quiet = new Barrier();
+    private final SequenceBarrier barrier = new NeverAlertedBarrier();
 
     @Test
     public void aDueTimerEndsTheWait() {
         Sequence cursor = new Sequence(-1);
-        TimerWait wait = TimerWait.until(() -> System.nanoTime() - 1);
-        assertThrows(TimeoutException.class, () -> wait.waitFor(0, cursor, cursor, quiet));
+        TimerWaitStrategy wait = TimerWaitStrategy.of(() -> System.nanoTime() - 1);
+        assertThrows(TimeoutException.class, () -> wait.waitFor(0, cursor, cursor, barrier));
     }
 
-    // Where nothing happens, a VM with a third of a core must not be woken a hundred times a second to look for timers.
+    // Guards against periodic wake-ups that check the timers while there are no events, which load a VM with a third of
+    // a
+    // core.
     @Test
-    public void untilAnEventComesOrATimerIsDueNothingIsLookedAt() throws Exception {
+    public void timersAreNotPolledWhileNoEventIsPublished() throws Exception {
         Sequence cursor = new Sequence(-1);
-        AtomicInteger looks = new AtomicInteger();
+        AtomicInteger timerReads = new AtomicInteger();
         CompletableFuture<Void> waiting = new CompletableFuture<>();
-        TimerWait wait = TimerWait.until(() -> {
-            looks.incrementAndGet();
+        TimerWaitStrategy wait = TimerWaitStrategy.of(() -> {
+            timerReads.incrementAndGet();
             waiting.complete(null);
-            return System.nanoTime() + LATER;
+            return System.nanoTime() + TIMER_DELAY_NANOS;
         });
-        CompletableFuture<Long> woken = CompletableFuture.supplyAsync(() -> await(wait, cursor));
+        CompletableFuture<Long> available = CompletableFuture.supplyAsync(() -> await(wait, cursor));
         waiting.get();
         cursor.set(0);
         wait.signalAllWhenBlocking();
-        assertEquals(woken.get(), Long.valueOf(0));
-        assertTrue(looks.get() <= 2, looks + " looks");
+        assertEquals(available.get(), Long.valueOf(0));
+        assertTrue(timerReads.get() <= 2, timerReads + " reads of the next timer");
     }
 
-    private long await(TimerWait wait, Sequence cursor) {
+    private long await(TimerWaitStrategy wait, Sequence cursor) {
         try {
-            return wait.waitFor(0, cursor, cursor, quiet);
+            return wait.waitFor(0, cursor, cursor, barrier);
         } catch (AlertException | InterruptedException | TimeoutException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** A barrier that is never alerted. */
-    private static final class Barrier implements SequenceBarrier {
+    private static final class NeverAlertedBarrier implements SequenceBarrier {
         @Override
         public long waitFor(long sequence) {
             throw new UnsupportedOperationException();
--- a/src/test/java/org/yuccagw/adapters/decisions/DecisionLogReadingTest.java
+++ b/src/test/java/org/yuccagw/adapters/decisions/DecisionLogReadingTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void aLineKeepsItsEntryItsTimeAndItsFields() {
+    public void parsesEntryTimeAndFields() {
         DecisionLine line = LOG.get(0);
         assertEquals(line.entry(), "entry-2");
         assertEquals(line.time().toString(), "2026-06-25T18:41:09Z");
@@ -42,38 +42,38 @@
     }
 
     @Test
-    public void aLineWithoutAnEntryIsOfTheFileItStandsIn() {
+    public void aLineWithoutAnEntryBelongsToItsFile() {
         String line = "2026-06-25T18:41:09,000+0000 INFO  decisions    event=\"ready\"";
         assertEquals(DecisionLine.parse(line, "file.log").orElseThrow().entry(), "file.log");
     }
 
-    // An entry's first lines are written three seconds late. In the order of their writing a request would be answered
-    // before it was placed.
+    // Guards against ordering lines by the time of their writing: the first lines of an entry are written three seconds
+    // late, so a request would seem to be answered before it was placed.
     @Test
-    public void aLineThatWasWrittenLateHasTheTimeOfItsDecision() {
+    public void aDelayedLineHasTheTimeOfItsDecision() {
         String line = "2026-06-25T18:41:09,000+0000 INFO  decisions    event=\"started\" delayed_ms=\"2916\"";
         assertEquals(DecisionLine.parse(line, "x").orElseThrow().time().toString(), "2026-06-25T18:41:06.084Z");
     }
 
     @Test
-    public void theStoryOfARequestIsInOrderAndNamesWhatWasBelievedOfItsEndpoints() {
-        String text = RequestStory.of("r1", LOG).text();
+    public void theTimelineOfARequestIsOrderedAndContainsTheStateOfItsEndpoints() {
+        String text = RequestTimeline.of("r1", LOG).text();
         assertTrue(text.indexOf("endpoint-avoided endpoint=i-1") < text.indexOf("placed"), text);
         assertTrue(text.indexOf("placed") < text.indexOf("refused"), text);
         assertTrue(text.indexOf("refused") < text.indexOf("outcome=overloaded"), text);
         assertFalse(text.contains("i-9"), text);
         assertFalse(text.contains("r2"), text);
         assertFalse(text.contains("store a"), text);
-        assertTrue(RequestStory.of("r2", LOG).text().contains("store a"));
+        assertTrue(RequestTimeline.of("r2", LOG).text().contains("store a"));
     }
 
     @Test
-    public void anUnknownRequestHasNoStory() {
-        assertFalse(RequestStory.of("r3", LOG).isKnown());
+    public void anUnknownRequestHasAnEmptyTimeline() {
+        assertFalse(RequestTimeline.of("r3", LOG).isKnown());
     }
 
     @Test
-    public void theSummaryCountsOutcomesAndRefusalsAndMeasuresAnswersThatBegan() {
+    public void countsOutcomesAndRefusalsAndTheTimeToTheFirstByte() {
         LogSummary summary = LogSummary.of(LOG);
         assertEquals(summary.outcomes().toString(), "{answered 200=1, overloaded=1}");
         assertEquals(summary.refusals().toString(), "{wait too long=1}");
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void theSummaryOfPromptsPutsPlacingAndBeginTogether() {
+    public void joinsThePlacementAndTheEndOfAPrompt() {
         List<DecisionLine> lines = Stream.of(
                         "00,000 placed p1 waited_ms=40 shared_tokens=1000 fetch_tokens=500 read_tokens=450",
                         "00,900 ended p1 first_byte_ms=340",
@@ -90,18 +90,21 @@
                 .map(DecisionLogReadingTest::promptLine)
                 .toList();
         PromptSummary summary = PromptSummary.of(lines);
-        PromptSummary.Group first = summary.bySpan().get(0L);
+        PromptSummary.Group first = summary.byInterval().get(0L);
         assertEquals(first.waitedMillis(50), 40);
-        assertEquals(first.begunMillis(50), 300);
+        assertEquals(first.firstByteMillis(50), 300);
         assertEquals(first.heldShare(), 0.25);
         assertEquals(first.fetchedShare(), 0.5);
-        assertEquals(first.readShare(), 0.25);
-        assertEquals(summary.bySpan().get(2L).readShare(), 1.0);
+        assertEquals(first.prefilledShare(), 0.25);
+        assertEquals(summary.byInterval().get(2L).prefilledShare(), 1.0);
         assertEquals(summary.byRoute().keySet().toString(), "[draft]");
         assertEquals(summary.byRoute().get("draft").prompts(), 2);
     }
 
-    /** A line of the route {@code draft} from its second, event, request and fields; prompts have 1,200 tokens. */
+    /**
+     * Builds a line of the route {@code draft} from its second, event, request id and further fields. Prompts have
+     * 1,200 tokens, unless a field says otherwise.
+     */
     private static DecisionLine promptLine(String text) {
         List<String> words = Splitter.on(' ').splitToList(text);
         StringBuilder line =
--- a/src/test/java/org/yuccagw/adapters/peer/CacheCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/CacheCodecTest.java
@@ -26,7 +26,7 @@
     private final CacheCodec codec = CacheCodec.create();
 
     @Test
-    public void placementsComeBackAsTheyWent() throws Exception {
+    public void decodesWhatItEncoded() throws Exception {
         BlocksPlaced placed = new BlocksPlaced(
                 new PromptScope(
                         WorkspaceId.of("statistics"), "notebook", ServiceName.of("assistant"), WeightVersion.of("v1")),
@@ -41,12 +41,12 @@
     }
 
     @Test
-    public void aMessageOfAnotherPartIsLeftAlone() throws Exception {
+    public void ignoresMessagesOfOtherComponents() throws Exception {
         assertFalse(codec.decode(Envelope.getDefaultInstance()).isPresent());
     }
 
     @Test
-    public void aMessageWithoutBlocksIsRefused() {
+    public void rejectsMessageWithoutBlocks() {
         Envelope empty = Envelope.newBuilder()
                 .setFrom("entry-2")
                 .setCache(CacheMessage.getDefaultInstance())
--- a/src/test/java/org/yuccagw/adapters/peer/ControlCodecsTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/ControlCodecsTest.java
@@ -36,12 +36,12 @@
     private final PeerCodec codec = ControlComponents.codec();
 
     @Test(dataProvider = "messages")
-    public void everyMessageIsReadAsItWasWritten(PeerMessage message) throws YuccagwException {
+    public void decodesWhatItEncoded(PeerMessage message) throws YuccagwException {
         assertEquals(codec.decode(codec.encode(SELF, message)), new PeerReceived(SELF.entry(), message));
     }
 
     @Test
-    public void documentsOfTheCatalogueKeepTheirBytes() throws YuccagwException {
+    public void catalogueDocumentsKeepTheirBytes() throws YuccagwException {
         byte[] document = {0, -1, 7};
         CatalogueUpdate.Whole whole =
                 (CatalogueUpdate.Whole) codec.decode(codec.encode(SELF, new CatalogueUpdate.Whole(3, document)))
@@ -56,15 +56,15 @@
     }
 
     @Test
-    public void damagedBytesGiveAnErrorAndNothingElse() {
+    public void damagedMessagesAreDecodedOrRejectedAsInvalid() {
         SplittableRandom random = new SplittableRandom(9);
-        byte[] good = codec.encode(SELF, probe());
+        byte[] valid = codec.encode(SELF, probe());
         for (int round = 0; round < 5000; round++) {
-            byte[] bad = good.clone();
-            bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
-            bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
+            byte[] damaged = valid.clone();
+            damaged[random.nextInt(damaged.length)] = (byte) random.nextInt(256);
+            damaged[random.nextInt(damaged.length)] = (byte) random.nextInt(256);
             try {
-                codec.decode(bad);
+                codec.decode(damaged);
             } catch (YuccagwException expected) {
                 assertEquals(expected.kind(), ErrorKind.PEER_MESSAGE_INVALID);
             }
--- a/src/test/java/org/yuccagw/adapters/peer/NoticeCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/NoticeCodecTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test(dataProvider = "messages")
-    public void whatWasToldIsReadAgain(EndpointUpdate update) {
+    public void decodesWhatItEncoded(EndpointUpdate update) {
         Envelope.Builder envelope = Envelope.newBuilder();
         NoticeCodec.create().encode(update, envelope);
         assertEquals(NoticeCodec.create().decode(envelope.build()), Optional.of(update));
--- a/src/test/java/org/yuccagw/adapters/peer/PlacementCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/PlacementCodecTest.java
@@ -35,8 +35,8 @@
                 ImmutableList.of(Optional.empty(), Optional.of(STORE)),
                 77_000);
         return new Object[][] {
-            {ask(Optional.of(prompt()), Optional.of(WorkspaceId.of("alpha")), OptionalLong.of(3))},
-            {ask(Optional.empty(), Optional.empty(), OptionalLong.empty())},
+            {request(Optional.of(prompt()), Optional.of(WorkspaceId.of("alpha")), OptionalLong.of(3))},
+            {request(Optional.empty(), Optional.empty(), OptionalLong.empty())},
             {placed(OptionalLong.of(2), Optional.of("salt"), Optional.of(plan))},
             {placed(OptionalLong.empty(), Optional.empty(), Optional.empty())},
             {new PlacementMessage.Refused(4, ErrorKind.OVERLOADED, "wait", Optional.of(Duration.ofMillis(300)))},
@@ -54,7 +54,7 @@
                 "model", 9_000, 17, ImmutableList.of(new PromptPart("5c1e", 7_500), new PromptPart("91bd", 1_500)));
     }
 
-    private static PlacementMessage ask(
+    private static PlacementMessage request(
             Optional<PromptShape> prompt, Optional<WorkspaceId> workspace, OptionalLong pinned) {
         return new PlacementMessage.Ask(
                 1,
@@ -75,7 +75,7 @@
     }
 
     @Test(dataProvider = "messages")
-    public void everyMessageComesBackAsItWas(PlacementMessage message) {
+    public void decodesWhatItEncoded(PlacementMessage message) {
         PlacementCodec codec = PlacementCodec.create();
         Envelope.Builder envelope = Envelope.newBuilder();
         codec.encode(message, envelope);
--- a/src/test/java/org/yuccagw/adapters/peer/RateLimitCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/RateLimitCodecTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test(dataProvider = "messages")
-    public void whatWasToldIsReadAgain(RateLimitUpdate update) {
+    public void decodesWhatItEncoded(RateLimitUpdate update) {
         Envelope.Builder envelope = Envelope.newBuilder();
         RateLimitCodec.create().encode(update, envelope);
         assertEquals(RateLimitCodec.create().decode(envelope.build()), Optional.of(update));
--- a/src/test/java/org/yuccagw/adapters/peer/RequestCodecsTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/RequestCodecsTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test(dataProvider = "messages")
-    public void everyMessageComesBackAsItWas(PeerMessage message) throws YuccagwException {
+    public void exactlyOneCodecEncodesAMessageAndDecodesItAgain(PeerMessage message) throws YuccagwException {
         Envelope.Builder envelope = Envelope.newBuilder().setFrom("entry-1");
         assertEquals(
                 CODECS.stream().filter(codec -> codec.encode(message, envelope)).count(), 1);
@@ -83,7 +83,7 @@
     }
 
     @DataProvider
-    public Object[][] nonsense() {
+    public Object[][] invalidMessages() {
         return new Object[][] {
             {Envelope.newBuilder().setClaim(ClaimMessage.newBuilder().setKind(77))},
             {Envelope.newBuilder().setClaim(ClaimMessage.newBuilder().setKind(0))},
@@ -98,15 +98,15 @@
         };
     }
 
-    @Test(dataProvider = "nonsense")
-    public void aMessageThatMakesNoSenseIsRefusedAndHarmsNothing(Envelope.Builder envelope) {
+    @Test(dataProvider = "invalidMessages")
+    public void rejectsInvalidMessages(Envelope.Builder envelope) {
         for (BodyCodec codec : CODECS) {
-            Envelope built = envelope.setFrom("entry-9").build();
-            boolean own = (codec instanceof ClaimCodec && built.hasClaim())
-                    || (codec instanceof QuarantineCodec && built.hasQuarantine())
-                    || (codec instanceof ShareCodec && built.hasShare());
-            if (own) {
-                assertThrows(YuccagwException.class, () -> codec.decode(built));
+            Envelope message = envelope.setFrom("entry-9").build();
+            boolean supported = (codec instanceof ClaimCodec && message.hasClaim())
+                    || (codec instanceof QuarantineCodec && message.hasQuarantine())
+                    || (codec instanceof ShareCodec && message.hasShare());
+            if (supported) {
+                assertThrows(YuccagwException.class, () -> codec.decode(message));
             }
         }
     }
--- a/src/test/java/org/yuccagw/adapters/peer/StatusCodecTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/StatusCodecTest.java
@@ -56,15 +56,15 @@
 
     private static ImmutableList<Roster> rosters(EntryContact contact) {
         Roster.Member member = new Roster.Member(contact, true, false);
-        Roster known = new Roster(FailureDomain.of("b"), 350, -9_000_000_000L, Optional.empty());
-        Roster told = new Roster(FailureDomain.of("a"), 0, 12, Optional.of(ImmutableList.of(member)));
-        return ImmutableList.of(known, told);
+        Roster digestOnly = new Roster(FailureDomain.of("b"), 350, -9_000_000_000L, Optional.empty());
+        Roster complete = new Roster(FailureDomain.of("a"), 0, 12, Optional.of(ImmutableList.of(member)));
+        return ImmutableList.of(digestOnly, complete);
     }
 
     @Test(dataProvider = "messages")
-    public void everyMessageComesBackAsItWas(PeerMessage message) throws YuccagwException {
-        boolean followed = message instanceof BreakReported || message instanceof FollowMessage;
-        BodyCodec codec = followed ? FollowCodec.create() : StatusCodec.create();
+    public void decodesWhatItEncoded(PeerMessage message) throws YuccagwException {
+        boolean encodedByFollowCodec = message instanceof BreakReported || message instanceof FollowMessage;
+        BodyCodec codec = encodedByFollowCodec ? FollowCodec.create() : StatusCodec.create();
         Envelope.Builder envelope = Envelope.newBuilder();
         codec.encode(message, envelope);
         assertEquals(codec.decode(envelope.build()), Optional.of(message));
--- a/src/test/java/org/yuccagw/adapters/settings/BrokenFilesTest.java
+++ b/src/test/java/org/yuccagw/adapters/settings/BrokenFilesTest.java
@@ -14,35 +14,35 @@
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 
-/** Each broken file has its expected message beside it, in a file of the same name that ends in .message. */
+/** Reads invalid files; the expected error message is in a file of the same name with the extension .message. */
 public class BrokenFilesTest {
     private static final Path RESOURCES = Path.of("src/test/resources/settings");
-    private static final int FILES_OF_EACH_KIND = 10;
+    private static final int FILES_PER_DIRECTORY = 10;
 
     @DataProvider
-    public Object[][] brokenEntrySettings() throws IOException {
+    public Object[][] invalidEntrySettings() throws IOException {
         return filesIn("entry");
     }
 
     @DataProvider
-    public Object[][] brokenCatalogues() throws IOException {
+    public Object[][] invalidCatalogues() throws IOException {
         return filesIn("catalogue");
     }
 
-    @Test(dataProvider = "brokenEntrySettings")
-    public void brokenEntrySettingsAreRefusedWithPlaceAndFix(Path file) throws IOException {
-        YuccagwException refusal = expectThrows(YuccagwException.class, () -> EntrySettingsReader.read(file));
-        assertEquals(refusal.kind(), ErrorKind.SETTINGS_INVALID);
-        assertEquals(refusal.getMessage(), file + ": " + expectedMessage(file));
+    @Test(dataProvider = "invalidEntrySettings")
+    public void anInvalidSettingsFileIsRejectedWithPositionAndCorrection(Path file) throws IOException {
+        YuccagwException error = expectThrows(YuccagwException.class, () -> EntrySettingsReader.read(file));
+        assertEquals(error.kind(), ErrorKind.SETTINGS_INVALID);
+        assertEquals(error.getMessage(), file + ": " + expectedMessage(file));
     }
 
-    @Test(dataProvider = "brokenCatalogues")
-    public void aBrokenCatalogueIsRefusedWithPlaceAndFix(Path file) throws IOException {
+    @Test(dataProvider = "invalidCatalogues")
+    public void anInvalidCatalogueIsRejectedWithPositionAndCorrection(Path file) throws IOException {
         byte[] document = Files.readAllBytes(file);
-        YuccagwException refusal = expectThrows(
+        YuccagwException error = expectThrows(
                 YuccagwException.class, () -> CatalogueJson.create().decode(document));
-        assertEquals(refusal.kind(), ErrorKind.CATALOGUE_INVALID);
-        assertEquals(refusal.getMessage(), expectedMessage(file));
+        assertEquals(error.kind(), ErrorKind.CATALOGUE_INVALID);
+        assertEquals(error.getMessage(), expectedMessage(file));
     }
 
     private static String expectedMessage(Path file) throws IOException {
@@ -57,7 +57,7 @@
                     .sorted()
                     .forEach(file -> rows.add(new Object[] {file}));
         }
-        assertEquals(rows.size(), FILES_OF_EACH_KIND);
+        assertEquals(rows.size(), FILES_PER_DIRECTORY);
         return rows.toArray(new Object[0][]);
     }
 }
--- a/src/test/java/org/yuccagw/adapters/settings/SampleFilesTest.java
+++ b/src/test/java/org/yuccagw/adapters/settings/SampleFilesTest.java
@@ -22,14 +22,14 @@
     private final CatalogueJson json = CatalogueJson.create();
 
     @Test
-    public void theSampleEntrySettingsAreValid() throws Exception {
+    public void sampleEntrySettingsAreValid() throws Exception {
         EntrySettings settings = EntrySettingsReader.read(ENTRY);
         assertEquals(settings.caller(), NetworkAddress.of("127.0.0.1", 8080));
         assertTrue(settings.bootstrapOperatorKeyHash().isPresent());
     }
 
     @Test
-    public void theSampleCatalogueIsValidAndItsKeysAreThoseOfItsComments() throws Exception {
+    public void sampleCatalogueIsValidAndHasTheKeysOfItsComments() throws Exception {
         Catalogue catalogue = json.decode(Files.readAllBytes(CATALOGUE));
         String hash = Hashing.sha256()
                 .hashString("statistics-key", StandardCharsets.UTF_8)
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void aCatalogueThatIsWrittenAndReadIsTheSame() throws Exception {
+    public void readsBackTheCatalogueThatItWrote() throws Exception {
         Catalogue catalogue = json.decode(Files.readAllBytes(CATALOGUE)).atRevision(41);
         byte[] written = json.encode(catalogue);
         assertEquals(json.decode(written), catalogue);
@@ -47,13 +47,14 @@
         assertEquals(json.encode(json.decode(written)), written);
     }
 
-    // Someone damages a file: any bytes may change. Whatever comes out is a catalogue or a clear refusal, never a
-    // crash.
+    // Guards against a crash on a damaged file. Up to three random bytes of the file are replaced; the reader must
+    // return
+    // a catalogue or report a short error.
     @Test
-    public void damagedCataloguesAreReadOrRefusedNeverMore() throws IOException {
+    public void aDamagedCatalogueIsReadOrRejectedWithoutACrash() throws IOException {
         byte[] sample = Files.readAllBytes(CATALOGUE);
         Random random = new Random(7);
-        int refused = 0;
+        int rejected = 0;
         for (int round = 0; round < 2000; round++) {
             byte[] damaged = sample.clone();
             for (int change = 0; change <= random.nextInt(3); change++) {
@@ -61,11 +62,11 @@
             }
             try {
                 json.decode(damaged);
-            } catch (YuccagwException refusal) {
-                refused++;
-                assertTrue(refusal.getMessage().length() < 2000);
+            } catch (YuccagwException error) {
+                rejected++;
+                assertTrue(error.getMessage().length() < 2000);
             }
         }
-        assertTrue(refused > 100, "only " + refused + " refused");
+        assertTrue(rejected > 100, "only " + rejected + " rejected");
     }
 }
--- a/src/test/java/org/yuccagw/adapters/telemetry/DecisionLogTest.java
+++ b/src/test/java/org/yuccagw/adapters/telemetry/DecisionLogTest.java
@@ -17,56 +17,58 @@
 
 public class DecisionLogTest {
     private final Logger logger = (Logger) LogManager.getLogger("org.yuccagw.decisions");
-    private Lines lines;
+    private RecordingAppender appender;
 
-    /** Keeps what reaches the logging library. */
-    private static final class Lines extends AbstractAppender {
-        private final List<String> texts = new CopyOnWriteArrayList<>();
+    /** Records the messages that the logging library receives. */
+    private static final class RecordingAppender extends AbstractAppender {
+        private final List<String> messages = new CopyOnWriteArrayList<>();
 
-        private Lines() {
+        private RecordingAppender() {
             super("lines", null, null, true, Property.EMPTY_ARRAY);
         }
 
         @Override
         public void append(LogEvent event) {
-            texts.add(event.getMessage().getFormattedMessage());
+            messages.add(event.getMessage().getFormattedMessage());
         }
     }
 
     @BeforeMethod
-    public void listen() {
-        lines = new Lines();
-        lines.start();
-        logger.addAppender(lines);
+    public void addAppender() {
+        appender = new RecordingAppender();
+        appender.start();
+        logger.addAppender(appender);
     }
 
     @AfterMethod
-    public void stopListening() {
-        logger.removeAppender(lines);
-        lines.stop();
+    public void removeAppender() {
+        logger.removeAppender(appender);
+        appender.stop();
     }
 
-    // An entry is stopped a moment after its start, and its last lines say why. They must not be lost because the
-    // thread
-    // that writes them had not begun yet.
+    // Guards against losing the last lines, which contain the reason of the stop, of an entry that is stopped right
+    // after
+    // its start, before the writer thread writes its first lines.
     @Test
-    public void whatWaitsAtAStopIsWrittenInItsOrder() {
+    public void queuedLinesAreWrittenInOrderAtAStop() {
         DecisionLog log = DecisionLog.start();
         log.write(Decision.of("stopping").with("running", 1));
         log.write(Decision.of("stopped").with("running", 0));
         log.stop();
-        assertEquals(lines.texts, List.of("event=\"stopping\" running=\"1\"", "event=\"stopped\" running=\"0\""));
+        assertEquals(appender.messages, List.of("event=\"stopping\" running=\"1\"", "event=\"stopped\" running=\"0\""));
     }
 
-    // Standard output stands still for long. Lines that find no room are dropped, and a later line says how many.
+    // Guards against losing lines unnoticed while the queue is full, for example because standard output is blocked.
     @Test
-    public void linesThatFindNoRoomAreCounted() {
+    public void droppedLinesAreCounted() {
         DecisionLog log = DecisionLog.start();
         for (int index = 0; index < 5_000; index++) {
             log.write(Decision.of("placed").with("index", index));
         }
         log.stop();
-        assertTrue(lines.texts.size() >= 4_096, lines.texts.size() + " lines");
-        assertTrue(lines.texts.contains("event=\"lines-dropped\" lines=\"904\""), "no line counts them");
+        assertTrue(appender.messages.size() >= 4_096, appender.messages.size() + " lines");
+        assertTrue(
+                appender.messages.contains("event=\"lines-dropped\" lines=\"904\""),
+                "no line reports the number of dropped lines");
     }
 }
--- a/src/test/java/org/yuccagw/adapters/telemetry/LazyLogQueueTest.java
+++ b/src/test/java/org/yuccagw/adapters/telemetry/PollingLogQueueTest.java
@@ -7,20 +7,20 @@
 import java.util.concurrent.BlockingQueue;
 import org.testng.annotations.Test;
 
-public class LazyLogQueueTest {
+public class PollingLogQueueTest {
     @Test
-    public void linesComeOutInTheOrderInWhichTheyWentIn() throws InterruptedException {
-        BlockingQueue<String> queue = LazyLogQueue.of(4);
+    public void linesAreTakenInTheOrderInWhichTheyWereAdded() throws InterruptedException {
+        BlockingQueue<String> queue = PollingLogQueue.of(4);
         queue.offer("first");
         queue.offer("second");
         assertEquals(queue.take(), "first");
         assertEquals(queue.take(), "second");
     }
 
-    // Standard output stands still. Whoever decides about a request must not wait for its log line.
+    // Guards against blocking the threads that handle requests while standard output is blocked and the queue is full.
     @Test
-    public void aFullQueueTurnsLinesAwayAtOnce() {
-        BlockingQueue<String> queue = LazyLogQueue.of(1);
+    public void aFullQueueRejectsLinesWithoutBlocking() {
+        BlockingQueue<String> queue = PollingLogQueue.of(1);
         assertTrue(queue.offer("kept"));
         assertFalse(queue.offer("dropped"));
     }
--- a/src/test/java/org/yuccagw/adapters/telemetry/SpanReceiverTest.java
+++ b/src/test/java/org/yuccagw/adapters/telemetry/SpanReceiverTest.java
@@ -14,13 +14,13 @@
 
 public class SpanReceiverTest {
     @Test
-    public void spansReachAReceiverThatSpeaksOtlp() throws Exception {
+    public void spansAreExportedToAnOtlpReceiver() throws Exception {
         LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
         Undertow receiver = Undertow.builder()
                 .addHttpListener(0, "127.0.0.1")
                 .setHandler(exchange -> exchange.getRequestReceiver()
-                        .receiveFullBytes((got, bytes) -> received.add(
-                                got.getRequestPath() + " " + new String(bytes, StandardCharsets.ISO_8859_1))))
+                        .receiveFullBytes((exchangeWithBody, bytes) -> received.add(exchangeWithBody.getRequestPath()
+                                + " " + new String(bytes, StandardCharsets.ISO_8859_1))))
                 .build();
         receiver.start();
         try {
--- a/src/test/java/org/yuccagw/adapters/telemetry/TracesTest.java
+++ b/src/test/java/org/yuccagw/adapters/telemetry/TracesTest.java
@@ -16,7 +16,7 @@
 import org.yuccagw.core.id.ServiceName;
 
 public class TracesTest {
-    private static final String CALLERS_TRACE = "4bf92f3577b34da6a3ce929d0e0e4736";
+    private static final String CALLER_TRACE_ID = "4bf92f3577b34da6a3ce929d0e0e4736";
 
     private Traces traces;
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void aRequestsHopsAreFoundByItsIdInTheOrderOfTheirStart() {
+    public void findsTheHopsOfARequestInTheOrderOfTheirStart() {
         Span request = traces.tracer()
                 .spanBuilder("request")
                 .setAttribute(Traces.REQUEST, "r1")
@@ -49,15 +49,15 @@
     }
 
     @Test
-    public void aCallersTraceGoesOnThroughTheEntry() {
-        Context caller = TraceParent.read("00-" + CALLERS_TRACE + "-00f067aa0ba902b7-01");
+    public void continuesTheTraceOfTheCaller() {
+        Context caller = TraceParent.read("00-" + CALLER_TRACE_ID + "-00f067aa0ba902b7-01");
         Span request = traces.tracer().spanBuilder("request").setParent(caller).startSpan();
-        assertTrue(TraceParent.write(request).orElseThrow().startsWith("00-" + CALLERS_TRACE + "-"));
+        assertTrue(TraceParent.write(request).orElseThrow().startsWith("00-" + CALLER_TRACE_ID + "-"));
         request.end();
     }
 
     @Test
-    public void aHeaderThatMakesNoSenseStartsANewTrace() {
+    public void aMalformedHeaderStartsANewTrace() {
         for (String header : new String[] {null, "", "nonsense", "00-" + "0".repeat(32) + "-00f067aa0ba902b7-01"}) {
             assertFalse(
                     Span.fromContext(TraceParent.read(header)).getSpanContext().isValid());
@@ -65,11 +65,11 @@
     }
 
     @Test
-    public void metricsAreWrittenAsPrometheusReadsThem() {
+    public void writesMetricsInTheTextFormatOfPrometheus() {
         Metrics metrics = Metrics.create();
-        metrics.requestEnded(ServiceName.of("assistant"), "notebook", Metrics.ANSWERED);
-        metrics.firstToken("notebook", Duration.ofMillis(40));
-        metrics.gauge("yuccagw_queue_length", "Requests that wait for admission", () -> 3);
+        metrics.recordRequestEnd(ServiceName.of("assistant"), "notebook", Metrics.ANSWERED);
+        metrics.recordFirstToken("notebook", Duration.ofMillis(40));
+        metrics.registerGauge("yuccagw_queue_length", "Requests that wait for admission", () -> 3);
         String text = new String(metrics.exposition(), java.nio.charset.StandardCharsets.UTF_8);
         assertTrue(
                 text.contains("yuccagw_requests_total{class=\"notebook\",end=\"answered\",service=\"assistant\"} 1.0"));
--- a/src/test/java/org/yuccagw/adapters/tls/ReloadingTlsTest.java
+++ b/src/test/java/org/yuccagw/adapters/tls/ReloadingTlsTest.java
@@ -26,48 +26,49 @@
     private Path directory;
     private TestCertificate first;
     private TestCertificate second;
-    private TestCertificate stranger;
-    private Path everyone;
+    private TestCertificate untrusted;
+    private Path trustedFile;
 
     @BeforeClass
     public void makeCertificates() throws Exception {
         directory = Files.createTempDirectory("tls");
-        first = TestCertificate.make(directory, "first");
-        second = TestCertificate.make(directory, "second");
-        stranger = TestCertificate.make(directory, "stranger");
-        everyone = directory.resolve("everyone.pem");
-        Files.writeString(everyone, first.certificatePem() + second.certificatePem());
+        first = TestCertificate.generate(directory, "first");
+        second = TestCertificate.generate(directory, "second");
+        untrusted = TestCertificate.generate(directory, "stranger");
+        trustedFile = directory.resolve("everyone.pem");
+        Files.writeString(trustedFile, first.certificatePem() + second.certificatePem());
     }
 
     @Test
     public void aChangedCertificateIsUsedWithoutARestart() throws Exception {
-        Path own = Files.createTempDirectory(directory, "changed");
-        ReloadingTls tls = ReloadingTls.start(first.writeTo(own, Optional.empty()));
-        SSLContext client = ReloadingTls.clientContext(Optional.of(everyone.toString()));
+        Path certificateDirectory = Files.createTempDirectory(directory, "changed");
+        ReloadingTls tls = ReloadingTls.start(first.writeTo(certificateDirectory, Optional.empty()));
+        SSLContext client = ReloadingTls.clientContext(Optional.of(trustedFile.toString()));
         assertEquals(handshake(tls.context(), false, client), first.name());
         assertFalse(tls.reload());
-        second.writeTo(own, Optional.empty());
+        second.writeTo(certificateDirectory, Optional.empty());
         tls.reload();
         assertEquals(handshake(tls.context(), false, client), second.name());
         tls.stop();
     }
 
-    // An operator copies the new certificate, and the new key a while later. In between no handshake could succeed with
-    // the two files as they stand. The cause is that two files can't be replaced in one step.
+    // Guards against failing handshakes while an operator has replaced the certificate but not yet the key. Two files
+    // can't
+    // be replaced in one step, so a reload may find a certificate and a key that don't belong together.
     @Test
-    public void aCertificateWithoutItsKeyLeavesTheEarlierPairInUse() throws Exception {
-        Path own = Files.createTempDirectory(directory, "half");
-        TlsFiles files = first.writeTo(own, Optional.empty());
+    public void aCertificateWithoutItsKeyLeavesThePreviousPairInUse() throws Exception {
+        Path certificateDirectory = Files.createTempDirectory(directory, "half");
+        TlsFiles files = first.writeTo(certificateDirectory, Optional.empty());
         ReloadingTls tls = ReloadingTls.start(files);
         Files.writeString(Path.of(files.certificate()), second.certificatePem());
         assertFalse(tls.reload());
-        SSLContext client = ReloadingTls.clientContext(Optional.of(everyone.toString()));
+        SSLContext client = ReloadingTls.clientContext(Optional.of(trustedFile.toString()));
         assertEquals(handshake(tls.context(), false, client), first.name());
         tls.stop();
     }
 
     @Test
-    public void aPeerWithATrustedCertificateIsLetIn() throws Exception {
+    public void aPeerWithATrustedCertificateIsAccepted() throws Exception {
         ReloadingTls server = peer(first, "server");
         ReloadingTls client = peer(second, "client");
         assertTrue(server.isMutual());
@@ -77,54 +78,55 @@
     }
 
     @Test
-    public void aPeerWithAnUnknownCertificateIsRefused() throws Exception {
+    public void aPeerWithAnUntrustedCertificateIsRejected() throws Exception {
         ReloadingTls server = peer(first, "strict");
-        ReloadingTls client = peer(stranger, "stranger");
+        ReloadingTls client = peer(untrusted, "stranger");
         expectThrows(IOException.class, () -> handshake(server.context(), true, client.context()));
         server.stop();
         client.stop();
     }
 
     @Test
-    public void filesThatHoldNoCertificateAreRefusedAtTheStart() throws Exception {
+    public void filesWithoutACertificateAreRejectedAtTheStart() throws Exception {
         Path empty = Files.createTempFile(directory, "empty", ".pem");
         TlsFiles files = new TlsFiles(empty.toString(), empty.toString(), Optional.empty());
-        YuccagwException refusal = expectThrows(YuccagwException.class, () -> ReloadingTls.start(files));
-        assertEquals(refusal.kind(), ErrorKind.SETTINGS_INVALID);
-        assertTrue(refusal.getMessage().contains("no certificate in the file"), refusal.getMessage());
+        YuccagwException error = expectThrows(YuccagwException.class, () -> ReloadingTls.start(files));
+        assertEquals(error.kind(), ErrorKind.SETTINGS_INVALID);
+        assertTrue(error.getMessage().contains("no certificate in the file"), error.getMessage());
     }
 
     private ReloadingTls peer(TestCertificate certificate, String name) throws Exception {
-        Path own = Files.createTempDirectory(directory, name);
-        return ReloadingTls.start(certificate.writeTo(own, Optional.of(everyone.toString())));
+        Path certificateDirectory = Files.createTempDirectory(directory, name);
+        return ReloadingTls.start(certificate.writeTo(certificateDirectory, Optional.of(trustedFile.toString())));
     }
 
-    /** The name on the server's certificate, once a byte went both ways. */
+    /** Exchanges one byte in each direction and returns the subject name of the server's certificate. */
     private static String handshake(SSLContext server, boolean mutual, SSLContext client) throws Exception {
         InetAddress loopback = InetAddress.getLoopbackAddress();
-        try (SSLServerSocket listening =
+        try (SSLServerSocket serverSocket =
                 (SSLServerSocket) server.getServerSocketFactory().createServerSocket(0, 1, loopback)) {
-            listening.setNeedClientAuth(mutual);
-            CompletableFuture<Void> echoed = CompletableFuture.runAsync(() -> echoOneByte(listening));
+            serverSocket.setNeedClientAuth(mutual);
+            CompletableFuture<Void> echoed = CompletableFuture.runAsync(() -> echoOneByte(serverSocket));
             try (SSLSocket socket =
-                    (SSLSocket) client.getSocketFactory().createSocket(loopback, listening.getLocalPort())) {
+                    (SSLSocket) client.getSocketFactory().createSocket(loopback, serverSocket.getLocalPort())) {
                 socket.setSoTimeout(30_000);
                 socket.getOutputStream().write(7);
                 if (socket.getInputStream().read() != 7) {
                     throw new IOException("the server closed");
                 }
                 echoed.get(30, TimeUnit.SECONDS);
-                X509Certificate shown = (X509Certificate) socket.getSession().getPeerCertificates()[0];
-                return shown.getSubjectX500Principal().getName();
+                X509Certificate serverCertificate =
+                        (X509Certificate) socket.getSession().getPeerCertificates()[0];
+                return serverCertificate.getSubjectX500Principal().getName();
             }
         }
     }
 
-    private static void echoOneByte(SSLServerSocket listening) {
-        try (SSLSocket accepted = (SSLSocket) listening.accept()) {
+    private static void echoOneByte(SSLServerSocket serverSocket) {
+        try (SSLSocket accepted = (SSLSocket) serverSocket.accept()) {
             accepted.getOutputStream().write(accepted.getInputStream().read());
         } catch (IOException expected) {
-            // A refused client: the test sees it on its own side.
+            // The client was rejected, which the test observes on the client's side.
         }
     }
 }
--- a/src/test/java/org/yuccagw/cli/CommandLineTest.java
+++ b/src/test/java/org/yuccagw/cli/CommandLineTest.java
@@ -89,7 +89,7 @@
 
     @Test
     public void aFirstCatalogueIsAppliedAndListedOnEveryEntry() throws Exception {
-        fixture.forgetCatalogue();
+        fixture.removeCatalogue();
         Outcome applied = admin(bootstrapKeyFile, "catalogue", "apply", SAMPLE, "--wait");
         assertEquals(applied.exitCode(), ExitCode.OK, applied.err());
         assertTrue(applied.out().contains("accepted as revision 1"), applied.out());
--- a/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
+++ b/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
@@ -34,7 +34,7 @@
     @BeforeClass
     public void start() throws Exception {
         Path directory = Files.createTempDirectory("yuccagw-tls");
-        TestCertificate certificate = TestCertificate.make(directory, "entries");
+        TestCertificate certificate = TestCertificate.generate(directory, "entries");
         Path trusted = Files.writeString(directory.resolve("trusted.pem"), certificate.certificatePem());
         TlsFiles files = certificate.writeTo(directory, Optional.of(trusted.toString()));
         deployment = LocalDeployment.start(LocalPlan.usual().withEntries(2).withTls(files));
