--- a/src/main/java/org/yuccagw/adapters/peer/ClaimCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/ClaimCodec.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 import org.yuccagw.core.claim.ClaimEnded.Outcome;
 import org.yuccagw.core.claim.ClaimPeerMessage;
-import org.yuccagw.core.claim.ClaimPeerMessage.Ask;
 import org.yuccagw.core.claim.ClaimPeerMessage.Decided;
+import org.yuccagw.core.claim.ClaimPeerMessage.Decision;
 import org.yuccagw.core.claim.ClaimPeerMessage.EndRecorded;
 import org.yuccagw.core.claim.ClaimPeerMessage.Ended;
-import org.yuccagw.core.claim.ClaimPeerMessage.StillRunning;
-import org.yuccagw.core.claim.ClaimPeerMessage.Verdict;
+import org.yuccagw.core.claim.ClaimPeerMessage.Request;
+import org.yuccagw.core.claim.ClaimPeerMessage.StatusQuery;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EntryId;
@@ -49,8 +49,8 @@
         }
         ClaimMessage.Builder wire =
                 ClaimMessage.newBuilder().setShard(claimMessage.shard().value());
-        if (message instanceof Ask request) {
-            wire.setKind(REQUEST).setRecord(ClaimRecords.toWire(request.wanted()));
+        if (message instanceof Request request) {
+            wire.setKind(REQUEST).setRecord(ClaimRecords.toWire(request.record()));
         } else if (message instanceof Decided decided) {
             wire.setKind(DECISION);
             writeDecision(decided, wire);
@@ -61,7 +61,7 @@
             wire.setRecord(record);
         } else if (message instanceof EndRecorded recorded) {
             wire.setKind(END_RECORDED).setRecord(ClaimRecords.toWire(recorded.attempt()));
-        } else if (message instanceof StillRunning query) {
+        } else if (message instanceof StatusQuery query) {
             wire.setKind(STILL_RUNNING).setRecord(ClaimRecords.toWire(query.key(), query.attempt()));
         }
         envelope.setClaim(wire);
@@ -70,17 +70,17 @@
 
     private static void writeDecision(Decided decided, ClaimMessage.Builder wire) {
         PeerProtocol.ClaimRecord.Builder record = ClaimRecords.toWire(decided.attempt());
-        Verdict verdict = decided.verdict();
-        if (verdict instanceof Verdict.Granted) {
+        Decision decision = decided.decision();
+        if (decision instanceof Decision.Granted) {
             wire.setDecision(GRANTED);
-        } else if (verdict instanceof Verdict.Running running) {
+        } else if (decision instanceof Decision.Running running) {
             wire.setDecision(RUNNING)
                     .setRunningEntry(running.entry().value())
                     .setRunningRequest(running.request().value());
-        } else if (verdict instanceof Verdict.Answered answered) {
+        } else if (decision instanceof Decision.Answered answered) {
             wire.setDecision(ANSWERED);
             ClaimRecords.writeAnswer(answered.answer(), record);
-        } else if (verdict instanceof Verdict.Refused refused) {
+        } else if (decision instanceof Decision.Refused refused) {
             wire.setDecision(REFUSED).setErrorKind(refused.kind().name()).setErrorMessage(refused.detail());
         }
         wire.setRecord(record);
@@ -102,7 +102,7 @@
         ShardNumber shard = ShardNumber.of(wire.getShard());
         PeerProtocol.ClaimRecord record = wire.getRecord();
         return switch (wire.getKind()) {
-            case REQUEST -> new Ask(shard, ClaimRecords.fromWire(record));
+            case REQUEST -> new Request(shard, ClaimRecords.fromWire(record));
             case DECISION -> new Decided(shard, ClaimRecords.attempt(record), decision(wire));
             case ENDED ->
                 new Ended(
@@ -112,21 +112,21 @@
                         ClaimRecords.valueAt(OUTCOMES, wire.getOutcome()),
                         ClaimRecords.answer(record));
             case END_RECORDED -> new EndRecorded(shard, ClaimRecords.attempt(record));
-            case STILL_RUNNING -> new StillRunning(shard, ClaimRecords.key(record), ClaimRecords.attempt(record));
+            case STILL_RUNNING -> new StatusQuery(shard, ClaimRecords.key(record), ClaimRecords.attempt(record));
             default -> throw new IllegalArgumentException("claim message of unknown kind " + wire.getKind());
         };
     }
 
-    private static Verdict decision(ClaimMessage wire) {
+    private static Decision decision(ClaimMessage wire) {
         return switch (wire.getDecision()) {
-            case GRANTED -> new Verdict.Granted();
+            case GRANTED -> new Decision.Granted();
             case RUNNING ->
-                new Verdict.Running(EntryId.of(wire.getRunningEntry()), RequestId.of(wire.getRunningRequest()));
+                new Decision.Running(EntryId.of(wire.getRunningEntry()), RequestId.of(wire.getRunningRequest()));
             case ANSWERED ->
-                new Verdict.Answered(ClaimRecords.answer(wire.getRecord())
+                new Decision.Answered(ClaimRecords.answer(wire.getRecord())
                         .orElseThrow(
                                 () -> new IllegalArgumentException("claim decision 'answered' without an answer")));
-            case REFUSED -> new Verdict.Refused(ErrorKind.valueOf(wire.getErrorKind()), wire.getErrorMessage());
+            case REFUSED -> new Decision.Refused(ErrorKind.valueOf(wire.getErrorKind()), wire.getErrorMessage());
             default -> throw new IllegalArgumentException("claim decision of unknown kind " + wire.getDecision());
         };
     }
--- a/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/FollowCodec.java
@@ -28,12 +28,12 @@
 
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
-        if (message instanceof FollowMessage.Ask request) {
+        if (message instanceof FollowMessage.ChangesRequest request) {
             envelope.setFollow(
                     PeerProtocol.FollowMessage.newBuilder().setKind(REQUEST).setRevision(request.afterRevision()));
             return true;
         }
-        if (message instanceof FollowMessage.Tell reply) {
+        if (message instanceof FollowMessage.Changes reply) {
             envelope.setFollow(encode(reply));
             return true;
         }
@@ -46,7 +46,7 @@
         return false;
     }
 
-    private static PeerProtocol.FollowMessage.Builder encode(FollowMessage.Tell reply) {
+    private static PeerProtocol.FollowMessage.Builder encode(FollowMessage.Changes reply) {
         PeerProtocol.FollowMessage.Builder wire = PeerProtocol.FollowMessage.newBuilder()
                 .setKind(REPLY)
                 .setAfterRevision(reply.afterRevision())
@@ -75,9 +75,9 @@
         }
         PeerProtocol.FollowMessage wire = envelope.getFollow();
         if (wire.getKind() == REQUEST) {
-            return Optional.of(new FollowMessage.Ask(wire.getRevision()));
+            return Optional.of(new FollowMessage.ChangesRequest(wire.getRevision()));
         }
-        return Optional.of(new FollowMessage.Tell(
+        return Optional.of(new FollowMessage.Changes(
                 wire.getWhole(),
                 wire.getAfterRevision(),
                 wire.getRevision(),
--- a/src/main/java/org/yuccagw/adapters/peer/QuarantineCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/QuarantineCodec.java
@@ -10,9 +10,9 @@
 import org.yuccagw.core.quarantine.QuarantinePeerMessage;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Death;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.Deaths;
-import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitAsked;
 import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitDecided;
-import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitGivenBack;
+import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitReleased;
+import org.yuccagw.core.quarantine.QuarantinePeerMessage.PermitRequested;
 import org.yuccagw.wire.PeerProtocol;
 import org.yuccagw.wire.PeerProtocol.Envelope;
 import org.yuccagw.wire.PeerProtocol.QuarantineMessage;
@@ -39,13 +39,13 @@
         if (message instanceof Deaths deaths) {
             wire.setKind(TERMINATIONS);
             deaths.deaths().forEach(death -> wire.addDeaths(toWire(death)));
-        } else if (message instanceof PermitAsked request) {
+        } else if (message instanceof PermitRequested request) {
             writePermit(wire, PERMIT_REQUEST, request.fingerprint(), request.number())
-                    .setGranted(request.held());
+                    .setGranted(request.renewal());
         } else if (message instanceof PermitDecided decided) {
             writePermit(wire, PERMIT_DECISION, decided.fingerprint(), decided.number())
                     .setGranted(decided.granted());
-        } else if (message instanceof PermitGivenBack released) {
+        } else if (message instanceof PermitReleased released) {
             writePermit(wire, PERMIT_RELEASED, released.fingerprint(), released.number());
         }
         envelope.setQuarantine(wire);
@@ -85,9 +85,9 @@
                 new Deaths(wire.getDeathsList().stream()
                         .map(QuarantineCodec::fromWire)
                         .toList());
-            case PERMIT_REQUEST -> new PermitAsked(fingerprint, wire.getPermit(), wire.getGranted());
+            case PERMIT_REQUEST -> new PermitRequested(fingerprint, wire.getPermit(), wire.getGranted());
             case PERMIT_DECISION -> new PermitDecided(fingerprint, wire.getPermit(), wire.getGranted());
-            case PERMIT_RELEASED -> new PermitGivenBack(fingerprint, wire.getPermit());
+            case PERMIT_RELEASED -> new PermitReleased(fingerprint, wire.getPermit());
             default -> throw new IllegalArgumentException("quarantine message of unknown kind " + wire.getKind());
         };
     }
