--- a/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
@@ -236,7 +236,7 @@
                         .with("first_byte_ms", firstByteMillis)
                         .with("total_ms", (now - arrivedNanos) / 1_000_000));
         services.metrics()
-                .requestEnded(request.service(), request.route().kind().name(), outcome);
+                .recordRequestEnd(request.service(), request.route().kind().name(), outcome);
         ended.run();
     }
 
