--- a/src/main/java/org/yuccagw/adapters/cache/CacheActions.java
+++ b/src/main/java/org/yuccagw/adapters/cache/CacheCommandHandler.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.CacheCommand.StoreAddress;
 import org.yuccagw.core.cache.EngineCacheUpdate;
@@ -21,85 +21,85 @@
 import org.yuccagw.core.control.ControlInput;
 
 /**
- * Carries out {@link CacheCommand}s by HTTP and gives their outcomes as events.
+ * Executes {@link CacheCommand}s over HTTP and reports their outcomes as events.
  *
- * <p>Whatever goes wrong becomes an event too: an error status, a body that isn't the expected JSON, a connection that
- * fails or falls silent. Every order has exactly one outcome, but for deletions, which need none.
+ * <p>Failures are reported as events too: an error status, a body that isn't the expected JSON, a connection that fails
+ * or is silent past its timeout. Every command has exactly one outcome, except deletions, which have none.
  */
-public final class CacheActions implements ActionHandler {
-    private static final Duration CONNECT = Duration.ofSeconds(1);
-    private static final Duration SHORT_ANSWER = Duration.ofSeconds(2);
-    private static final int LANES = 8;
+public final class CacheCommandHandler implements ActionHandler {
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(2);
+    private static final int MAX_CONCURRENT_CALLS = 8;
 
-    private final HttpCaller caller;
-    private final ImportClient imports;
+    private final HttpClient httpClient;
+    private final ImportClient importClient;
 
-    private CacheActions(HttpCaller caller, ImportClient imports) {
-        this.caller = caller;
-        this.imports = imports;
+    private CacheCommandHandler(HttpClient httpClient, ImportClient importClient) {
+        this.httpClient = httpClient;
+        this.importClient = importClient;
     }
 
-    /** Orders over this caller; prefetches go through the client that also imports for requests. */
-    public static CacheActions of(HttpCaller caller, ImportClient imports) {
-        return new CacheActions(caller, imports);
+    /** Returns a handler. Prefetches use the import client that also imports blocks for requests. */
+    public static CacheCommandHandler of(HttpClient httpClient, ImportClient importClient) {
+        return new CacheCommandHandler(httpClient, importClient);
     }
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
-        if (!(action instanceof CacheCommand order)) {
+        if (!(action instanceof CacheCommand command)) {
             return false;
         }
-        if (order instanceof CacheCommand.ExportBlocks export) {
+        if (command instanceof CacheCommand.ExportBlocks export) {
             export(export, input);
-        } else if (order instanceof CacheCommand.ReadCacheEvents read) {
-            ask(
-                    HttpQuery.get(read.address(), "/v1/cache/events?after=" + read.after()),
+        } else if (command instanceof CacheCommand.ReadCacheEvents read) {
+            sendAndReport(
+                    HttpRequest.get(read.address(), "/v1/cache/events?after=" + read.after()),
                     answer -> CacheJson.events(read.endpoint(), answer),
                     reason -> new EngineCacheUpdate.ReadFailed(read.endpoint()),
                     input);
-        } else if (order instanceof CacheCommand.ReadCacheSnapshot read) {
-            ask(
-                    HttpQuery.get(read.address(), "/v1/cache/snapshot"),
+        } else if (command instanceof CacheCommand.ReadCacheSnapshot read) {
+            sendAndReport(
+                    HttpRequest.get(read.address(), "/v1/cache/snapshot"),
                     answer -> CacheJson.snapshot(read.endpoint(), answer),
                     reason -> new EngineCacheUpdate.ReadFailed(read.endpoint()),
                     input);
-        } else if (order instanceof CacheCommand.PrefetchBlocks prefetch) {
-            imports.prefetch(prefetch);
+        } else if (command instanceof CacheCommand.PrefetchBlocks prefetch) {
+            importClient.prefetch(prefetch);
         } else {
-            performAtStore(order, input);
+            performStoreCommand(command, input);
         }
         return true;
     }
 
-    private void performAtStore(CacheCommand order, ControlInput input) {
-        if (order instanceof CacheCommand.LookUpBlocks lookUp) {
+    private void performStoreCommand(CacheCommand command, ControlInput input) {
+        if (command instanceof CacheCommand.LookUpBlocks lookUp) {
             lookUp(lookUp, input);
-        } else if (order instanceof CacheCommand.ReadStoreStatus read) {
-            askStore(
+        } else if (command instanceof CacheCommand.ReadStoreStatus read) {
+            queryStore(
                     read.store(),
                     "/v1/status",
                     answer -> CacheJson.status(read.store().id(), answer),
                     input);
-        } else if (order instanceof CacheCommand.ReadUnsealed read) {
-            askStore(
+        } else if (command instanceof CacheCommand.ReadUnsealed read) {
+            queryStore(
                     read.store(),
                     "/v1/unsealed",
                     answer -> CacheJson.unsealed(read.store().id(), answer),
                     input);
-        } else if (order instanceof CacheCommand.ReadStorePage read) {
+        } else if (command instanceof CacheCommand.ReadStorePage read) {
             readPage(read, input);
-        } else if (order instanceof CacheCommand.DeleteBlocks delete) {
-            InTurn.of(
+        } else if (command instanceof CacheCommand.DeleteBlocks delete) {
+            BoundedConcurrentCalls.of(
                             delete.blocks(),
-                            LANES,
-                            (block, done) -> sendQuietly(
-                                    HttpQuery.of(
+                            MAX_CONCURRENT_CALLS,
+                            (block, done) -> sendForStatus(
+                                    HttpRequest.of(
                                             "DELETE",
                                             delete.store().address(),
                                             "/v1/blocks/" + block.key() + "?generation=" + block.generation()),
                                     done))
                     .run(deleted -> {});
-        } else if (order instanceof CacheCommand.MoveBlocks move) {
+        } else if (command instanceof CacheCommand.MoveBlocks move) {
             move(move, input);
         }
     }
@@ -109,10 +109,11 @@
                 .put("store", export.store().address().toString())
                 .put("writer", export.writer());
         body.set("blocks", CacheJson.keys(export.blocks()));
-        HttpQuery query = HttpQuery.json("POST", export.endpoint().address(), "/v1/cache/export", CacheJson.write(body))
-                .withTimeouts(CONNECT, export.deadline());
-        ask(
-                query,
+        HttpRequest httpRequest = HttpRequest.json(
+                        "POST", export.endpoint().address(), "/v1/cache/export", CacheJson.write(body))
+                .withTimeouts(CONNECT_TIMEOUT, export.deadline());
+        sendAndReport(
+                httpRequest,
                 answer -> new EngineCacheUpdate.ExportEnded(
                         export.number(),
                         export.endpoint().id(),
@@ -127,13 +128,14 @@
     private void lookUp(CacheCommand.LookUpBlocks lookUp, ControlInput input) {
         ObjectNode body = CacheJson.object();
         body.set("blocks", CacheJson.keys(lookUp.blocks()));
-        HttpQuery query = HttpQuery.json("POST", lookUp.store().address(), "/v1/lookup", CacheJson.write(body));
-        send(query, result -> {
+        HttpRequest httpRequest =
+                HttpRequest.json("POST", lookUp.store().address(), "/v1/lookup", CacheJson.write(body));
+        send(httpRequest, result -> {
             if (result.failure().isPresent()) {
                 input.offer(new StoreUpdate.Failed(
                         lookUp.store().id(), result.failure().get()));
             }
-            // The asking part waits for one answer from each store, also from one that failed.
+            // The component that sent the lookup waits for one answer from each store, including one that failed.
             input.offer(new StoreUpdate.BlocksFound(
                     lookUp.number(),
                     lookUp.store().id(),
@@ -145,7 +147,7 @@
 
     private void readPage(CacheCommand.ReadStorePage read, ControlInput input) {
         String path = "/v1/blocks?after=" + read.afterKey() + "&limit=" + read.limit();
-        askStore(
+        queryStore(
                 read.store(),
                 path,
                 answer -> new StoreUpdate.PageRead(read.store().id(), CacheJson.found(answer.path("found"))),
@@ -153,11 +155,11 @@
     }
 
     private void move(CacheCommand.MoveBlocks move, ControlInput input) {
-        InTurn.of(
+        BoundedConcurrentCalls.of(
                         move.blocks(),
-                        LANES,
-                        (block, done) -> sendQuietly(
-                                HttpQuery.of(
+                        MAX_CONCURRENT_CALLS,
+                        (block, done) -> sendForStatus(
+                                HttpRequest.of(
                                         "POST",
                                         move.store().address(),
                                         "/v1/blocks/" + block.key() + "/move?generation=" + block.generation()
@@ -167,21 +169,25 @@
                         input.offer(new StoreUpdate.BlocksMoved(move.store().id(), move.tier(), moved)));
     }
 
-    private void askStore(
-            StoreAddress store, String path, Function<JsonNode, ControlEvent> outcome, ControlInput input) {
-        ask(HttpQuery.get(store.address(), path), outcome, reason -> new StoreUpdate.Failed(store.id(), reason), input);
+    private void queryStore(
+            StoreAddress store, String path, Function<JsonNode, ControlEvent> toEvent, ControlInput input) {
+        sendAndReport(
+                HttpRequest.get(store.address(), path),
+                toEvent,
+                reason -> new StoreUpdate.Failed(store.id(), reason),
+                input);
     }
 
-    private void ask(
-            HttpQuery query,
-            Function<JsonNode, ControlEvent> outcome,
+    private void sendAndReport(
+            HttpRequest httpRequest,
+            Function<JsonNode, ControlEvent> toEvent,
             Function<String, ControlEvent> failure,
             ControlInput input) {
-        send(query, result -> {
+        send(httpRequest, result -> {
             ControlEvent event;
             try {
                 event = result.body().isPresent()
-                        ? outcome.apply(result.body().get())
+                        ? toEvent.apply(result.body().get())
                         : failure.apply(result.failure().orElse("no answer"));
             } catch (IllegalArgumentException e) {
                 event = failure.apply("the answer makes no sense: " + e.getMessage());
@@ -196,16 +202,18 @@
         }
     }
 
-    private void send(HttpQuery query, Consumer<Result> done) {
-        caller.send(withShortTimeouts(query)).whenComplete((answer, failure) -> done.accept(read(answer, failure)));
+    private void send(HttpRequest httpRequest, Consumer<Result> done) {
+        httpClient
+                .send(withDefaultTimeouts(httpRequest))
+                .whenComplete((answer, failure) -> done.accept(read(answer, failure)));
     }
 
-    private static HttpQuery withShortTimeouts(HttpQuery query) {
-        boolean isExport = query.path().equals("/v1/cache/export");
-        return isExport ? query : query.withTimeouts(CONNECT, SHORT_ANSWER);
+    private static HttpRequest withDefaultTimeouts(HttpRequest httpRequest) {
+        boolean isExport = httpRequest.path().equals("/v1/cache/export");
+        return isExport ? httpRequest : httpRequest.withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT);
     }
 
-    private static Result read(HttpAnswer answer, Throwable failure) {
+    private static Result read(HttpResponse answer, Throwable failure) {
         if (failure != null) {
             return Result.failed(String.valueOf(failure.getMessage()));
         }
@@ -219,8 +227,9 @@
         }
     }
 
-    private void sendQuietly(HttpQuery query, Consumer<Boolean> done) {
-        caller.send(query.withTimeouts(CONNECT, SHORT_ANSWER))
+    private void sendForStatus(HttpRequest httpRequest, Consumer<Boolean> done) {
+        httpClient
+                .send(httpRequest.withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT))
                 .whenComplete((answer, failure) -> done.accept(failure == null && answer.isSuccess()));
     }
 }
--- a/src/main/java/org/yuccagw/adapters/cache/CacheJson.java
+++ b/src/main/java/org/yuccagw/adapters/cache/CacheJson.java
@@ -22,42 +22,42 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.id.WeightVersion;
 
-/** The JSON of engines and stores that concerns cache blocks, read into the core's types and written from them. */
+/** Converts between the core's types for cache blocks and the JSON that engines and stores exchange. */
 final class CacheJson {
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final ObjectMapper JSON = new ObjectMapper();
     private static final double MILLIS_PER_SECOND = 1e3;
 
     private CacheJson() {}
 
     static ObjectNode object() {
-        return MAPPER.createObjectNode();
+        return JSON.createObjectNode();
     }
 
     static String write(JsonNode node) {
         try {
-            return MAPPER.writeValueAsString(node);
+            return JSON.writeValueAsString(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree of JSON can always be written", e);
+            throw new IllegalStateException("a JSON tree could not be written", e);
         }
     }
 
     /**
-     * Reads an answer's body.
+     * Parses the body of an answer.
      *
-     * @throws IOException if it isn't JSON
+     * @throws IOException if it isn't valid JSON
      */
     static JsonNode read(byte[] body) throws IOException {
-        return MAPPER.readTree(body);
+        return JSON.readTree(body);
     }
 
     static ArrayNode keys(List<BlockKey> keys) {
-        ArrayNode array = MAPPER.createArrayNode();
+        ArrayNode array = JSON.createArrayNode();
         keys.forEach(key -> array.add(key.toString()));
         return array;
     }
 
     static ArrayNode storedBlocks(List<StoredBlock> blocks) {
-        ArrayNode array = MAPPER.createArrayNode();
+        ArrayNode array = JSON.createArrayNode();
         for (StoredBlock block : blocks) {
             array.addObject()
                     .put("key", block.key().toString())
@@ -90,18 +90,19 @@
     }
 
     /**
-     * The blocks of an export in the order in which they were asked for, which is that of the prompt.
+     * Returns the exported blocks in the order in which they were requested, which is their order in the prompt.
      *
-     * <p>An engine exports several at once and answers as they end. A copy counts from the first block on without a
-     * gap, so in the engine's order most of a whole export would seem to be missing and be exported again.
+     * <p>An engine exports several blocks concurrently and lists them in order of completion. Only a prefix of the
+     * prompt without gaps is usable as a copy, so in the engine's order most of a complete export would seem to be
+     * missing and would be exported again.
      */
-    static List<StoredBlock> exported(JsonNode answer, List<BlockKey> asked) {
+    static List<StoredBlock> exported(JsonNode answer, List<BlockKey> requestedKeys) {
         Map<BlockKey, StoredBlock> byKey = new HashMap<>();
         for (JsonNode node : answer.path("exported")) {
             StoredBlock block = storedBlock(node);
             byKey.put(block.key(), block);
         }
-        return asked.stream().filter(byKey::containsKey).map(byKey::get).toList();
+        return requestedKeys.stream().filter(byKey::containsKey).map(byKey::get).toList();
     }
 
     static List<EngineCacheUpdate.FailedBlock> failed(JsonNode answer) {
@@ -114,7 +115,7 @@
         return failed;
     }
 
-    /** Sealed blocks with their tiers, of a lookup or a page. */
+    /** Returns the sealed blocks of a lookup or a page with their tiers. */
     static List<StoreUpdate.Found> found(JsonNode blocks) {
         List<StoreUpdate.Found> found = new ArrayList<>();
         for (JsonNode block : blocks) {
--- a/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
+++ b/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.EngineCacheUpdate;
@@ -28,103 +28,112 @@
 import org.yuccagw.core.routing.ImportPlan;
 
 /**
- * Orders engines to import blocks from a store before a request is sent to them.
+ * Makes engines import blocks from a store before a request is sent to them.
  *
- * <p>It always ends by the plan's deadline, and always well: whatever goes wrong, the outcome says how many blocks are
- * there, and the request computes the rest. The engine is told the deadline too, and commits no block after it; the
- * entry's own timer guards against an engine or a link that falls silent and would never say so.
+ * <p>An import always ends by the plan's deadline and never fails the request: after any error the outcome states how
+ * many blocks are available, and the engine computes the rest. The deadline is also sent to the engine, which commits
+ * no block after it. The entry's own timer guards against an engine or a link that becomes silent.
  *
- * <p>A plan that joins waits for the running import of its blocks to the same engine, and puts no second one on the
- * link.
+ * <p>A plan that joins waits for the running import of its blocks to the same engine instead of transferring them a
+ * second time.
  */
 public final class ImportClient {
-    private static final Duration CONNECT = Duration.ofSeconds(1);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private final HttpCaller caller;
+    private final HttpClient httpClient;
     private final ControlInput input;
-    private final List<Running> running = new ArrayList<>();
+    private final List<RunningImport> runningImports = new ArrayList<>();
 
-    private ImportClient(HttpCaller caller, ControlInput input) {
-        this.caller = caller;
+    private ImportClient(HttpClient httpClient, ControlInput input) {
+        this.httpClient = httpClient;
         this.input = input;
     }
 
-    /** Imports over this caller; what they show of stores and engines goes to the control core. */
-    public static ImportClient of(HttpCaller caller, ControlInput input) {
-        return new ImportClient(caller, input);
+    /** Returns a client that reports the end of each import to the control core. */
+    public static ImportClient of(HttpClient httpClient, ControlInput input) {
+        return new ImportClient(httpClient, input);
     }
 
-    private record Running(EndpointId endpoint, Set<BlockKey> blocks, CompletableFuture<ImportOutcome> outcome) {}
+    private record RunningImport(EndpointId endpoint, Set<BlockKey> blocks, CompletableFuture<ImportOutcome> outcome) {}
 
-    /** What one import shall do. */
-    private record Job(EndpointStatus endpoint, StoreId store, String version, List<StoredBlock> blocks) {}
+    /** The parameters of one import. */
+    private record ImportJob(EndpointStatus endpoint, StoreId store, String version, List<StoredBlock> blocks) {}
 
     /**
-     * Imports, or waits for the running import that the plan joins; {@code done} is called once, on any thread.
+     * Imports blocks, or waits for the running import that the plan joins. {@code done} is called exactly once, on any
+     * thread.
      *
      * @param version weight version that the engine must run for a block to be committed
      */
     public void importBlocks(EndpointStatus endpoint, ImportPlan plan, String version, Consumer<ImportOutcome> done) {
-        Optional<Running> other = plan.joinsRunningImport() ? find(endpoint.id(), plan.blocks()) : Optional.empty();
-        if (other.isPresent()) {
-            join(other.get(), plan.deadline(), done);
+        Optional<RunningImport> runningImport =
+                plan.joinsRunningImport() ? findRunning(endpoint.id(), plan.blocks()) : Optional.empty();
+        if (runningImport.isPresent()) {
+            join(runningImport.get(), plan.deadline(), done);
         } else if (plan.joinsRunningImport()) {
-            // The import to join has ended meanwhile: what it brought is there, the engine computes the rest.
+            // The import to join has already ended. Its blocks are at the engine, which computes the rest.
             done.accept(new ImportOutcome(plan.blocks().size(), 0, 0));
         } else {
-            Job job = new Job(endpoint, plan.store(), version, plan.blocks());
+            ImportJob job = new ImportJob(endpoint, plan.store(), version, plan.blocks());
             start(job, plan.address().toString(), plan.deadline()).thenAccept(done);
         }
     }
 
-    /** Imports ahead of any request. */
-    void prefetch(CacheCommand.PrefetchBlocks order) {
-        Job job = new Job(order.endpoint(), order.store().id(), order.version().value(), order.blocks());
-        start(job, order.store().address().toString(), order.deadline());
+    /** Imports blocks for a prompt that is expected to be sent again. */
+    void prefetch(CacheCommand.PrefetchBlocks command) {
+        ImportJob job = new ImportJob(
+                command.endpoint(), command.store().id(), command.version().value(), command.blocks());
+        start(job, command.store().address().toString(), command.deadline());
     }
 
-    private static void join(Running other, Duration deadline, Consumer<ImportOutcome> done) {
-        long began = System.nanoTime();
-        other.outcome()
+    private static void join(RunningImport runningImport, Duration deadline, Consumer<ImportOutcome> done) {
+        long startedNanos = System.nanoTime();
+        runningImport
+                .outcome()
                 .copy()
                 .completeOnTimeout(
                         new ImportOutcome(0, 0, deadline.toMillis()), deadline.toMillis(), TimeUnit.MILLISECONDS)
-                .thenAccept(outcome -> done.accept(new ImportOutcome(outcome.blocks(), 0, millisSince(began))));
+                .thenAccept(outcome -> done.accept(new ImportOutcome(outcome.blocks(), 0, millisSince(startedNanos))));
     }
 
-    private CompletableFuture<ImportOutcome> start(Job job, String storeAddress, Duration deadline) {
+    private CompletableFuture<ImportOutcome> start(ImportJob job, String storeAddress, Duration deadline) {
         ObjectNode body = CacheJson.object()
                 .put("store", storeAddress)
                 .put("version", job.version())
                 .put("deadline", deadline.toMillis());
         body.set("blocks", CacheJson.storedBlocks(job.blocks()));
-        HttpQuery query = HttpQuery.json("POST", job.endpoint().address(), "/v1/cache/import", CacheJson.write(body))
-                .withTimeouts(CONNECT, deadline);
+        HttpRequest httpRequest = HttpRequest.json(
+                        "POST", job.endpoint().address(), "/v1/cache/import", CacheJson.write(body))
+                .withTimeouts(CONNECT_TIMEOUT, deadline);
         CompletableFuture<ImportOutcome> outcome = new CompletableFuture<>();
-        Running entry = new Running(job.endpoint().id(), keysOf(job.blocks()), outcome);
-        add(entry);
-        long began = System.nanoTime();
-        caller.send(query)
+        RunningImport thisImport = new RunningImport(job.endpoint().id(), keysOf(job.blocks()), outcome);
+        add(thisImport);
+        long startedNanos = System.nanoTime();
+        httpClient
+                .send(httpRequest)
                 .orTimeout(deadline.toMillis(), TimeUnit.MILLISECONDS)
-                .whenComplete((answer, failure) -> end(job, entry, answer, failure, millisSince(began)));
+                .whenComplete((answer, failure) -> finish(job, thisImport, answer, failure, millisSince(startedNanos)));
         return outcome;
     }
 
-    private void end(Job job, Running entry, HttpAnswer answer, Throwable failure, long millis) {
-        remove(entry);
-        EngineCacheUpdate.ImportEnded ended = read(job, answer, failure, millis);
+    private void finish(
+            ImportJob job, RunningImport thisImport, HttpResponse answer, Throwable failure, long durationMillis) {
+        remove(thisImport);
+        EngineCacheUpdate.ImportEnded ended = readOutcome(job, answer, failure, durationMillis);
         input.offer(ended);
-        entry.outcome().complete(new ImportOutcome(ended.imported(), ended.bytes(), millis));
+        thisImport.outcome().complete(new ImportOutcome(ended.imported(), ended.bytes(), durationMillis));
     }
 
-    private static EngineCacheUpdate.ImportEnded read(Job job, HttpAnswer answer, Throwable failure, long millis) {
+    private static EngineCacheUpdate.ImportEnded readOutcome(
+            ImportJob job, HttpResponse answer, Throwable failure, long durationMillis) {
         if (failure != null) {
-            return none(job, millis, ImportFailure.LATE);
+            return importFailed(job, durationMillis, ImportFailure.LATE);
         }
         if (!answer.isSuccess()) {
-            // The engine refused as a whole, such as for running other weights now: that says nothing of the store.
-            return none(job, millis, ImportFailure.FULL);
+            // The engine refused the whole import, for example because it now runs other weights. This is no failure of
+            // the store.
+            return importFailed(job, durationMillis, ImportFailure.FULL);
         }
         try {
             JsonNode body = CacheJson.read(answer.body());
@@ -134,34 +143,36 @@
                     job.blocks(),
                     body.path("imported").asInt(),
                     body.path("bytes").asLong(),
-                    millis,
+                    durationMillis,
                     CacheJson.failed(body));
         } catch (IOException | IllegalArgumentException e) {
-            return none(job, millis, ImportFailure.FULL);
+            return importFailed(job, durationMillis, ImportFailure.FULL);
         }
     }
 
-    private static EngineCacheUpdate.ImportEnded none(Job job, long millis, ImportFailure reason) {
+    private static EngineCacheUpdate.ImportEnded importFailed(
+            ImportJob job, long durationMillis, ImportFailure reason) {
         List<FailedBlock> failed = job.blocks().stream()
                 .map(block -> new FailedBlock(block.key(), reason))
                 .toList();
-        return new EngineCacheUpdate.ImportEnded(job.endpoint().id(), job.store(), job.blocks(), 0, 0, millis, failed);
+        return new EngineCacheUpdate.ImportEnded(
+                job.endpoint().id(), job.store(), job.blocks(), 0, 0, durationMillis, failed);
     }
 
-    private synchronized Optional<Running> find(EndpointId endpoint, List<StoredBlock> blocks) {
-        return running.stream()
-                .filter(other -> other.endpoint().equals(endpoint))
-                .filter(other ->
-                        blocks.stream().anyMatch(block -> other.blocks().contains(block.key())))
+    private synchronized Optional<RunningImport> findRunning(EndpointId endpoint, List<StoredBlock> blocks) {
+        return runningImports.stream()
+                .filter(runningImport -> runningImport.endpoint().equals(endpoint))
+                .filter(runningImport ->
+                        blocks.stream().anyMatch(block -> runningImport.blocks().contains(block.key())))
                 .findFirst();
     }
 
-    private synchronized void add(Running entry) {
-        running.add(entry);
+    private synchronized void add(RunningImport thisImport) {
+        runningImports.add(thisImport);
     }
 
-    private synchronized void remove(Running entry) {
-        running.remove(entry);
+    private synchronized void remove(RunningImport thisImport) {
+        runningImports.remove(thisImport);
     }
 
     private static Set<BlockKey> keysOf(List<StoredBlock> blocks) {
@@ -170,7 +181,7 @@
         return keys;
     }
 
-    private static long millisSince(long nanos) {
-        return Math.round((System.nanoTime() - nanos) / NANOS_PER_MILLI);
+    private static long millisSince(long startedNanos) {
+        return Math.round((System.nanoTime() - startedNanos) / NANOS_PER_MILLI);
     }
 }
--- a/src/main/java/org/yuccagw/adapters/cache/ImportOutcome.java
+++ b/src/main/java/org/yuccagw/adapters/cache/ImportOutcome.java
@@ -1,10 +1,11 @@
 package org.yuccagw.adapters.cache;
 
 /**
- * How an import before a request went. The request is sent in any case; what didn't arrive is computed again.
+ * The outcome of an import that precedes a request. The request is sent in any case, and the engine recomputes the
+ * blocks that were not imported.
  *
- * @param blocks blocks that the engine committed, or found there already
- * @param bytes bytes that moved, 0 if it waited for another import
- * @param millis time that it took
+ * @param blocks number of blocks that the engine committed or already had
+ * @param bytes bytes transferred, 0 if the plan joined another import
+ * @param millis duration in milliseconds
  */
 public record ImportOutcome(int blocks, long bytes, long millis) {}
--- a/src/main/java/org/yuccagw/adapters/caller/Follower.java
+++ b/src/main/java/org/yuccagw/adapters/caller/AnswerRelay.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.engine.PlainCall;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.engine.PlainRequest;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.core.catalogue.Workspace;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.EntryId;
@@ -21,13 +21,14 @@
 import org.yuccagw.core.membership.EntryStatus;
 
 /**
- * Gives a caller who repeated an idempotency key the answer of the run that is in progress: from this entry's own run,
- * or relayed from the entry that runs it.
+ * Answers a request that repeats the idempotency key of a running request with the answer of that run, which is read
+ * locally or relayed from the entry that executes it.
  *
- * <p>When the run has ended meanwhile or its entry can't be reached, the caller is told ALREADY_RUNNING: its next
- * repeat finds the kept answer or learns that the outcome is unknown. Nothing runs again either way.
+ * <p>If the run has ended in the meantime or its entry is unreachable, the request is answered with ALREADY_RUNNING.
+ * The next repetition then receives the stored answer, or an error that the outcome is unknown. In no case is the
+ * request executed again.
  */
-final class Follower {
+final class AnswerRelay {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(60);
     private static final int NOT_FOUND = 404;
@@ -37,42 +38,47 @@
     private final CallerAnswer answer;
     private final XnioIoThread thread;
 
-    private Follower(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
+    private AnswerRelay(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
         this.services = services;
         this.workspace = workspace;
         this.answer = answer;
         this.thread = thread;
     }
 
-    static Follower of(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
-        return new Follower(services, workspace, answer, thread);
+    static AnswerRelay of(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
+        return new AnswerRelay(services, workspace, answer, thread);
     }
 
-    void follow(EntryId entry, RequestId request, String authorization) {
+    /**
+     * Relays the answer of a run.
+     *
+     * @param authorization authorization header of the caller, sent to the other entry
+     */
+    void relay(EntryId entry, RequestId request, String authorization) {
         if (entry.equals(services.self().entry())) {
-            followHere(request);
+            relayLocalRun(request);
             return;
         }
         Optional<NetworkAddress> address = addressOf(entry);
         if (address.isEmpty()) {
-            answer.error(ErrorKind.ALREADY_RUNNING.raise());
+            answer.sendError(ErrorKind.ALREADY_RUNNING.raise());
             return;
         }
         String path = "/v1/follow/" + request + "?form=" + answer.form();
-        HttpQuery query = HttpQuery.get(address.get(), path)
+        HttpRequest httpRequest = HttpRequest.get(address.get(), path)
                 .withHeader("Authorization", authorization)
                 .withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT);
-        services.otherEntries().stream(query, thread, new Relay());
+        services.entryClient().stream(httpRequest, thread, new RemoteAnswerListener());
     }
 
-    /** Follows a run of this entry. */
-    void followHere(RequestId request) {
+    /** Relays the answer of a run on this entry. */
+    void relayLocalRun(RequestId request) {
         Optional<CallerRun> run = services.runs().find(request).filter(found -> found.belongsTo(workspace));
         if (run.isEmpty()) {
-            answer.error(ErrorKind.ALREADY_RUNNING.raise());
+            answer.sendError(ErrorKind.ALREADY_RUNNING.raise());
             return;
         }
-        run.get().follow(step -> thread.execute(() -> step.accept(answer)));
+        run.get().subscribe(step -> thread.execute(() -> step.accept(answer)));
     }
 
     private Optional<NetworkAddress> addressOf(EntryId entry) {
@@ -85,19 +91,20 @@
                         .findFirst());
     }
 
-    private final class Relay implements HttpStreamListener {
-        private boolean started;
+    /** Copies the answer of another entry to the caller. */
+    private final class RemoteAnswerListener implements HttpResponseListener {
+        private boolean headReceived;
 
         @Override
         public void onHead(int status, HeaderMap headers) {
-            started = true;
-            Map<String, String> passedOn = new LinkedHashMap<>();
+            headReceived = true;
+            Map<String, String> forwarded = new LinkedHashMap<>();
             for (HeaderValues values : headers) {
-                if (PlainCall.isPassedOn(values.getHeaderName())) {
-                    passedOn.put(values.getHeaderName().toString(), values.getFirst());
+                if (PlainRequest.isForwarded(values.getHeaderName())) {
+                    forwarded.put(values.getHeaderName().toString(), values.getFirst());
                 }
             }
-            answer.relayHead(status == NOT_FOUND ? ErrorKind.ALREADY_RUNNING.status() : status, passedOn);
+            answer.relayHead(status == NOT_FOUND ? ErrorKind.ALREADY_RUNNING.status() : status, forwarded);
         }
 
         @Override
@@ -112,8 +119,8 @@
 
         @Override
         public void onFailure(Phase phase, boolean silent, IOException cause) {
-            answer.error(
-                    started
+            answer.sendError(
+                    headReceived
                             ? ErrorKind.STREAM_LOST.raise("the entry that runs it can't be reached")
                             : ErrorKind.ALREADY_RUNNING.raise());
         }
--- a/src/main/java/org/yuccagw/adapters/caller/CallerMetrics.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerMetrics.java
@@ -4,19 +4,24 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.request.AttemptFailure;
 
-/** What requests on the caller address tell the metrics; any thread calls it. */
+/** Metrics of the requests on the caller address. Methods may be called on any thread. */
 public interface CallerMetrics {
-    void firstToken(String className, Duration sinceArrival);
+    /** Records the time from the arrival of a request to the first token of its answer. */
+    void recordFirstToken(String className, Duration sinceArrival);
 
     /**
-     * A request came to its end.
+     * Records the end of a request.
      *
      * @param end {@code answered}, {@code left}, {@code replayed}, {@code followed}, or the code of the error kind
      */
-    void ended(ServiceName service, String className, String end);
+    void recordEnd(ServiceName service, String className, String end);
 
-    /** Tokens of the prompt of an answered request, as the engine counted them. */
-    void promptTokens(ServiceName service, long reused, long recomputed);
+    /**
+     * Records the prompt tokens of an answered request, as reported by the engine: reused from its cache, and
+     * recomputed.
+     */
+    void recordPromptTokens(ServiceName service, long reused, long recomputed);
 
-    void attemptFailed(ServiceName service, AttemptFailure failure);
+    /** Records a failed attempt. */
+    void recordAttemptFailure(ServiceName service, AttemptFailure failure);
 }
--- a/src/main/java/org/yuccagw/adapters/caller/CallerResponse.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerResponse.java
@@ -14,74 +14,79 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * The answer to one caller, written without blocking on the exchange's I/O thread.
+ * The answer to one caller, written without blocking on the I/O thread of the exchange.
  *
- * <p>What the caller doesn't take at once waits in a queue. Over the high mark the {@link Flow} is asked to pause,
- * under
- * the low mark to go on, so that a slow caller holds back its own stream and nothing else. A caller that takes nothing
- * for {@value #LONGEST_STALL_SECONDS} s is cut off: it would hold memory for good.
+ * <p>Bytes that the connection doesn't accept at once are queued. Above 256 KiB of queued bytes the {@link FlowControl}
+ * is paused, below 64 KiB it is resumed, so a slow caller delays only its own stream. The connection of a caller that
+ * reads nothing for {@value #MAX_STALL_SECONDS} s is closed, because its queue would occupy memory indefinitely.
  */
 public final class CallerResponse {
-    private static final int HIGH_MARK = 256 * 1024;
-    private static final int LOW_MARK = 64 * 1024;
-    private static final long LONGEST_STALL_SECONDS = 30;
+    private static final int HIGH_WATERMARK_BYTES = 256 * 1024;
+    private static final int LOW_WATERMARK_BYTES = 64 * 1024;
+    private static final long MAX_STALL_SECONDS = 30;
 
     private final HttpServerExchange exchange;
-    private final Flow flow;
-    private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
-    private StreamSinkChannel sink;
-    private long queuedBytes;
+    private final FlowControl flowControl;
+    private final ArrayDeque<ByteBuffer> pending = new ArrayDeque<>();
+    private StreamSinkChannel channel;
+    private long pendingBytes;
     private boolean paused;
-    private boolean ending;
-    private boolean over;
+    private boolean endRequested;
+    private boolean finished;
     private XnioExecutor.Key stallTimer;
 
-    /** For answers whose sender has nothing to do for a slow or absent caller. */
-    static final Flow IGNORED = new Flow() {
+    /** Flow control for answers whose source needs no reaction to a slow or disconnected caller. */
+    static final FlowControl NO_FLOW_CONTROL = new FlowControl() {
         @Override
         public void pause() {}
 
         @Override
-        public void goOn() {}
+        public void resume() {}
 
         @Override
-        public void callerLeft() {}
+        public void callerDisconnected() {}
     };
 
-    /** What the sender of the answer does for a slow or absent caller. */
-    public interface Flow {
+    /** Reactions of the source of an answer to a slow or disconnected caller. */
+    public interface FlowControl {
+        /** Called when the queue exceeds its high watermark. */
         void pause();
 
-        void goOn();
+        /** Called when the queue has drained below its low watermark. */
+        void resume();
 
-        /** The caller is gone, or was cut off; called once at most, and not after the whole answer was written. */
-        void callerLeft();
+        /**
+         * Called when the caller has disconnected, or was disconnected because it stalled. Called at most once, and not
+         * after the complete answer was written.
+         */
+        void callerDisconnected();
     }
 
-    public CallerResponse(HttpServerExchange exchange, Flow flow) {
+    /** Creates the response to an exchange and watches its connection for a close. */
+    public CallerResponse(HttpServerExchange exchange, FlowControl flowControl) {
         this.exchange = exchange;
-        this.flow = flow;
-        exchange.getConnection().addCloseListener(connection -> left());
+        this.flowControl = flowControl;
+        exchange.getConnection().addCloseListener(connection -> onConnectionLost());
     }
 
-    /** Whether the head was given to the connection. */
+    /** Returns whether the head of the answer was passed to the connection. */
     public boolean isStarted() {
-        return sink != null;
+        return channel != null;
     }
 
-    /** Whether nothing more can be written. */
-    public boolean isOver() {
-        return over;
+    /** Returns whether no more bytes can be written. */
+    public boolean isFinished() {
+        return finished;
     }
 
-    /** Begins the answer with the headers of another one. */
+    /** Starts the answer with a copy of the given headers. */
     public void start(int status, HeaderMap headers) {
         exchange.setStatusCode(status);
         headers.forEach(values -> exchange.getResponseHeaders().putAll(values.getHeaderName(), values));
-        openSink();
+        openChannel();
     }
 
-    /** Begins the answer; a header with an empty value is left out. */
+    /** Starts the answer. Headers with an empty value are omitted. */
     void start(int status, Map<String, String> headers) {
         exchange.setStatusCode(status);
         headers.forEach((name, value) -> {
@@ -89,23 +94,23 @@
                 exchange.getResponseHeaders().put(HttpString.tryFromString(name), value);
             }
         });
-        openSink();
+        openChannel();
     }
 
-    private void openSink() {
-        sink = exchange.getResponseChannel();
-        if (sink == null) {
-            left();
+    private void openChannel() {
+        channel = exchange.getResponseChannel();
+        if (channel == null) {
+            onConnectionLost();
             return;
         }
-        sink.getWriteSetter().set(channel -> drain());
+        channel.getWriteSetter().set(ignored -> drain());
     }
 
     void write(String text) {
         write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Writes or queues the bytes; the buffer is not kept. */
+    /** Writes or queues a copy of the bytes. */
     public void writeCopy(ByteBuffer bytes) {
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
@@ -113,92 +118,92 @@
     }
 
     private void write(ByteBuffer bytes) {
-        if (over || ending) {
+        if (finished || endRequested) {
             return;
         }
-        queue.add(bytes);
-        queuedBytes += bytes.remaining();
+        pending.add(bytes);
+        pendingBytes += bytes.remaining();
         drain();
-        if (queuedBytes > HIGH_MARK && !paused) {
+        if (pendingBytes > HIGH_WATERMARK_BYTES && !paused) {
             paused = true;
-            flow.pause();
+            flowControl.pause();
         }
     }
 
-    /** The answer is whole. */
+    /** Completes the answer after the queued bytes. */
     public void end() {
-        ending = true;
+        endRequested = true;
         drain();
     }
 
-    /** The answer can't be made whole and its head is out: close the connection, so that the caller sees the cut. */
-    public void cut() {
-        over = true;
+    /** Closes the connection of an answer that was started and can't be completed, so that the caller detects it. */
+    public void abort() {
+        finished = true;
         cancelStallTimer();
         IoUtils.safeClose(exchange.getConnection());
     }
 
     private void drain() {
-        if (over || sink == null) {
+        if (finished || channel == null) {
             return;
         }
         try {
-            while (!queue.isEmpty()) {
-                ByteBuffer first = queue.peek();
-                int written = sink.write(first);
-                queuedBytes -= written;
-                if (first.hasRemaining()) {
-                    waitForCaller();
+            while (!pending.isEmpty()) {
+                ByteBuffer buffer = pending.peek();
+                int written = channel.write(buffer);
+                pendingBytes -= written;
+                if (buffer.hasRemaining()) {
+                    awaitWritable();
                     return;
                 }
-                queue.poll();
+                pending.poll();
             }
             finishOrFlush();
         } catch (IOException e) {
-            left();
+            onConnectionLost();
         }
     }
 
     private void finishOrFlush() throws IOException {
-        if (ending) {
-            sink.shutdownWrites();
+        if (endRequested) {
+            channel.shutdownWrites();
         }
-        if (!sink.flush()) {
-            waitForCaller();
+        if (!channel.flush()) {
+            awaitWritable();
             return;
         }
         cancelStallTimer();
-        sink.suspendWrites();
-        if (ending) {
-            over = true;
+        channel.suspendWrites();
+        if (endRequested) {
+            finished = true;
             exchange.endExchange();
-        } else if (paused && queuedBytes < LOW_MARK) {
+        } else if (paused && pendingBytes < LOW_WATERMARK_BYTES) {
             paused = false;
-            flow.goOn();
+            flowControl.resume();
         }
     }
 
-    private void waitForCaller() {
-        sink.resumeWrites();
+    private void awaitWritable() {
+        channel.resumeWrites();
         cancelStallTimer();
         stallTimer = exchange.getIoThread()
                 .executeAfter(
                         () -> {
-                            cut();
-                            flow.callerLeft();
+                            abort();
+                            flowControl.callerDisconnected();
                         },
-                        LONGEST_STALL_SECONDS,
+                        MAX_STALL_SECONDS,
                         TimeUnit.SECONDS);
     }
 
-    private void left() {
-        if (over) {
+    private void onConnectionLost() {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         cancelStallTimer();
         IoUtils.safeClose(exchange.getConnection());
-        flow.callerLeft();
+        flowControl.callerDisconnected();
     }
 
     private void cancelStallTimer() {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.engine.EngineBody;
-import org.yuccagw.adapters.engine.EngineLeg;
-import org.yuccagw.adapters.engine.PlainCall;
-import org.yuccagw.adapters.engine.PlainLeg;
+import org.yuccagw.adapters.engine.CompletionBody;
+import org.yuccagw.adapters.engine.EngineResponseListener;
+import org.yuccagw.adapters.engine.PlainRequest;
+import org.yuccagw.adapters.engine.PlainResponseListener;
 import org.yuccagw.adapters.http.HttpCall;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.core.admission.AdmissionRequested;
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.BlockKey;
@@ -49,50 +49,51 @@
 import org.yuccagw.core.routing.RouteRequested;
 
 /**
- * Carries out what the request machine asks, on the I/O thread of the caller's exchange: questions to the control core
- * with replies brought back to this thread, HTTP to endpoints, and the answer to the caller and to its followers.
+ * Executes the effects of the request machine on the I/O thread of the caller's exchange: queries to the control core,
+ * whose replies are passed back to this thread, HTTP requests to endpoints, and the answer to the caller.
  *
- * <p>A follower is a repeat of the same idempotency key: it gets every step of the answer from the start, then live.
+ * <p>A request that repeats the idempotency key subscribes to the answer: it receives all steps of the answer so far,
+ * then each later one as it occurs.
  */
-final class CallerRun implements RequestEffects, CallerResponse.Flow {
+final class CallerRun implements RequestEffects, CallerResponse.FlowControl {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
-    private static final Duration KEEP_ALIVE = Duration.ofSeconds(2);
+    private static final Duration KEEP_ALIVE_INTERVAL = Duration.ofSeconds(2);
 
     private final CallerServices services;
     private final XnioIoThread thread;
     private final RequestProfile profile;
     private final Target target;
-    private final RunSpans spans;
+    private final RequestSpans spans;
     private final String authorization;
     private final RequestMachine machine;
     private final long startNanos = System.nanoTime();
-    private final Map<Long, HttpCall> calls = new HashMap<>();
-    private final List<Consumer<CallerAnswer>> history = new ArrayList<>();
-    private final List<Consumer<Consumer<CallerAnswer>>> followers = new ArrayList<>();
+    private final Map<Long, HttpCall> callsByLeg = new HashMap<>();
+    private final List<Consumer<CallerAnswer>> steps = new ArrayList<>();
+    private final List<Consumer<Consumer<CallerAnswer>>> subscribers = new ArrayList<>();
     private CallerAnswer answer;
-    private HttpCall current;
+    private HttpCall activeCall;
     private String outcome = "left";
     private long pieces;
 
     /**
-     * What the request is for.
+     * The target of the request.
      *
-     * @param engineBody present for a model service
-     * @param plainCall present for a plain service
+     * @param completionBody present for a model service
+     * @param plainRequest present for a plain service
      */
     record Target(
             Workspace workspace,
             Service service,
             RequestClass requestClass,
-            Optional<EngineBody> engineBody,
-            Optional<PlainCall> plainCall) {
+            Optional<CompletionBody> completionBody,
+            Optional<PlainRequest> plainRequest) {
         private String salt(String version) {
             String adapter = service.model().map(Service.ModelSettings::adapter).orElse("");
             return BlockChain.salt(workspace.cacheSecret(), service.name().value(), version, adapter);
         }
 
-        private String currentVersion() {
+        private String catalogueVersion() {
             return service.model().map(settings -> settings.version().value()).orElse("");
         }
     }
@@ -109,14 +110,14 @@
         this.thread = thread;
         this.profile = profile;
         this.target = target;
-        this.spans = RunSpans.of(services.tracer(), span, profile.request().value());
+        this.spans = RequestSpans.of(services.tracer(), span, profile.request().value());
         this.machine = RequestMachine.of(profile, this);
     }
 
     /**
-     * Makes the run of one request.
+     * Creates the run of one request.
      *
-     * @param authorization the caller's header, for following the run of another entry
+     * @param authorization the caller's authorization header, used to relay the answer of a run on another entry
      */
     static CallerRun of(
             CallerServices services,
@@ -128,39 +129,40 @@
         return new CallerRun(services, thread, profile, target, span, authorization);
     }
 
-    /** Begins the request; the answer goes to {@code to}. */
-    void begin(CallerAnswer to) {
-        answer = to;
+    /** Begins the request, whose answer is written to {@code callerAnswer}. */
+    void begin(CallerAnswer callerAnswer) {
+        answer = callerAnswer;
         services.runs().add(profile.request(), this);
         machine.begin();
     }
 
-    /** Goes on with an answer that another request began at this endpoint. */
-    void beginResumed(CallerAnswer to, EndpointStatus at) {
-        answer = to;
+    /** Resumes the answer of an earlier request from the endpoint that ran it. */
+    void beginResumed(CallerAnswer callerAnswer, EndpointStatus endpoint) {
+        answer = callerAnswer;
         services.runs().add(profile.request(), this);
-        machine.beginResumed(at);
+        machine.beginResumed(endpoint);
     }
 
-    /** Gives the follower every step so far and each later one; from any thread. */
-    void follow(Consumer<Consumer<CallerAnswer>> follower) {
+    /** Passes all steps so far and each later one to the subscriber. May be called on any thread. */
+    void subscribe(Consumer<Consumer<CallerAnswer>> subscriber) {
         thread.execute(() -> {
-            history.forEach(follower);
-            followers.add(follower);
+            steps.forEach(subscriber);
+            subscribers.add(subscriber);
         });
     }
 
-    /** The shape of a model's answer, for a follower of the same request. */
-    Optional<AnswerText> shape() {
-        return target.engineBody()
-                .map(body -> new AnswerText("cmpl-" + profile.request(), body.model(), body.isChat()));
+    /** Returns the format of a model's answer, for a subscriber to this request. */
+    Optional<CompletionFormat> format() {
+        return target.completionBody()
+                .map(body -> new CompletionFormat("cmpl-" + profile.request(), body.model(), body.isChat()));
     }
 
+    /** Returns whether the request was sent by the workspace. */
     boolean belongsTo(Workspace workspace) {
         return target.workspace().id().equals(workspace.id());
     }
 
-    // ---- Questions to the control core.
+    // Queries to the control core.
 
     @Override
     public long nowNanos() {
@@ -170,9 +172,10 @@
     @Override
     public void requestAdmission() {
         spans.begin("admission");
-        long promptTokens = target.engineBody().map(EngineBody::promptTokens).orElse(0L);
+        long promptTokens =
+                target.completionBody().map(CompletionBody::promptTokens).orElse(0L);
         long answerTokens =
-                target.engineBody().map(body -> (long) body.maxTokens()).orElse(0L);
+                target.completionBody().map(body -> (long) body.maxTokens()).orElse(0L);
         services.control()
                 .offer(new AdmissionRequested(
                         profile.request(),
@@ -181,7 +184,7 @@
                         target.requestClass().name(),
                         promptTokens,
                         answerTokens,
-                        refusal -> onThread(() -> {
+                        refusal -> runOnThread(() -> {
                             spans.end("admission");
                             machine.onAdmitted(refusal);
                         })));
@@ -193,8 +196,9 @@
         services.control()
                 .offer(new ClaimRequested(
                         profile.claim().orElseThrow(),
-                        decision -> onThread(() -> {
-                            spans.note("claim", "decision", decision.getClass().getSimpleName());
+                        decision -> runOnThread(() -> {
+                            spans.setAttribute(
+                                    "claim", "decision", decision.getClass().getSimpleName());
                             spans.end("claim");
                             machine.onClaim(decision);
                         })));
@@ -204,7 +208,7 @@
     public void requestQuarantineDecision() {
         services.control()
                 .offer(new QuarantineRequested(
-                        profile.fingerprint(), verdict -> onThread(() -> machine.onQuarantineDecision(verdict))));
+                        profile.fingerprint(), verdict -> runOnThread(() -> machine.onQuarantineDecision(verdict))));
     }
 
     @Override
@@ -216,38 +220,39 @@
                 profile.service(),
                 target.requestClass().name(),
                 version,
-                blocks(version.map(WeightVersion::value).orElse(target.currentVersion())),
-                target.engineBody().map(EngineBody::promptTokens).orElse(0L),
-                target.engineBody().map(body -> (long) body.maxTokens()).orElse(0L),
+                blockKeys(version.map(WeightVersion::value).orElse(target.catalogueVersion())),
+                target.completionBody().map(CompletionBody::promptTokens).orElse(0L),
+                target.completionBody().map(body -> (long) body.maxTokens()).orElse(0L),
                 excluded,
                 alone);
-        services.control().offer(new RouteRequested(question, routed -> onThread(() -> onRouted(routed))));
+        services.control().offer(new RouteRequested(question, routed -> runOnThread(() -> onRouted(routed))));
     }
 
     private void onRouted(RouteRequested.Answer routed) {
         if (routed instanceof RouteRequested.Answer.Chosen chosen) {
-            spans.note("route", "endpoint", chosen.endpoint().id().value());
-            spans.explain(chosen.explanation());
+            spans.setAttribute("route", "endpoint", chosen.endpoint().id().value());
+            spans.addRouteExplanation(chosen.explanation());
         }
         spans.end("route");
         machine.onRoute(routed);
     }
 
-    private ImmutableList<BlockKey> blocks(String version) {
-        if (target.engineBody().isEmpty() || target.service().model().isEmpty()) {
+    private ImmutableList<BlockKey> blockKeys(String version) {
+        if (target.completionBody().isEmpty() || target.service().model().isEmpty()) {
             return ImmutableList.of();
         }
         return BlockChain.keys(
                 target.salt(version),
-                target.engineBody().get().promptBytes(),
+                target.completionBody().get().promptBytes(),
                 target.service().model().get().blockTokens());
     }
 
     @Override
     public void report(ControlEvent event) {
         if (event instanceof AttemptReport.FirstToken first) {
-            services.metrics().firstToken(target.requestClass().name(), Duration.ofNanos(nowNanos() - startNanos));
-            spans.note("attempt", "first_token_ms", Long.toString(first.millis()));
+            services.metrics()
+                    .recordFirstToken(target.requestClass().name(), Duration.ofNanos(nowNanos() - startNanos));
+            spans.setAttribute("attempt", "first_token_ms", Long.toString(first.millis()));
         } else if (event instanceof AttemptReport.Ended) {
             spans.end("attempt");
         }
@@ -257,31 +262,32 @@
     @Override
     public void ended() {
         services.runs().remove(profile.request());
-        services.metrics().ended(profile.service(), target.requestClass().name(), outcome);
+        services.metrics().recordEnd(profile.service(), target.requestClass().name(), outcome);
         spans.endAll(outcome);
     }
 
-    // ---- Endpoints.
+    // Requests to endpoints.
 
     @Override
     public void startImport(long attempt, EndpointStatus endpoint, ImportPlan plan) {
         spans.begin("import");
-        spans.note("import", "store", plan.store().value());
-        long began = nowNanos();
+        spans.setAttribute("import", "store", plan.store().value());
+        long startedNanos = nowNanos();
         services.importer()
                 .importBlocks(
                         endpoint,
                         plan,
-                        target.currentVersion(),
-                        done -> onThread(() -> {
-                            spans.note(
+                        target.catalogueVersion(),
+                        done -> runOnThread(() -> {
+                            spans.setAttribute(
                                     "import",
                                     "blocks",
                                     done.blocks() + " of " + plan.blocks().size());
                             spans.end("import");
-                            long millis = TimeUnit.NANOSECONDS.toMillis(nowNanos() - began);
+                            long durationMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos() - startedNanos);
                             services.control()
-                                    .offer(new AttemptReport.Imported(attempt, done.blocks(), done.bytes(), millis));
+                                    .offer(new AttemptReport.Imported(
+                                            attempt, done.blocks(), done.bytes(), durationMillis));
                             machine.onImported(attempt);
                         }));
     }
@@ -289,73 +295,73 @@
     @Override
     public void send(long leg, long attempt, EndpointStatus endpoint, String textSoFar, long piecesSoFar) {
         spans.begin("attempt");
-        spans.note("attempt", "endpoint", endpoint.id().value());
-        if (target.engineBody().isPresent()) {
-            String version = endpoint.version().map(WeightVersion::value).orElse(target.currentVersion());
-            byte[] body = target.engineBody()
+        spans.setAttribute("attempt", "endpoint", endpoint.id().value());
+        if (target.completionBody().isPresent()) {
+            String version = endpoint.version().map(WeightVersion::value).orElse(target.catalogueVersion());
+            byte[] body = target.completionBody()
                     .get()
-                    .forEngine(
+                    .bodyForEngine(
                             target.salt(version), version, target.requestClass().priority(), textSoFar, piecesSoFar);
-            String path = target.engineBody().get().isChat() ? "/v1/chat/completions" : "/v1/completions";
-            HttpQuery query = HttpQuery.of("POST", endpoint.address(), path, body)
+            String path = target.completionBody().get().isChat() ? "/v1/chat/completions" : "/v1/completions";
+            HttpRequest httpRequest = HttpRequest.of("POST", endpoint.address(), path, body)
                     .withHeader("Content-Type", "application/json")
                     .withHeader("X-Request-Id", profile.request().value())
                     .withHeader("traceparent", spans.traceParent());
-            open(leg, query, EngineLeg.sending(machine, leg));
+            open(leg, httpRequest, EngineResponseListener.sending(machine, leg));
         } else {
-            HttpQuery query = target.plainCall()
+            HttpRequest httpRequest = target.plainRequest()
                     .orElseThrow()
-                    .toward(endpoint.address(), profile.request().value(), spans.traceParent());
-            open(leg, query, PlainLeg.of(machine, leg, profile.idempotent()));
+                    .toHttpRequest(endpoint.address(), profile.request().value(), spans.traceParent());
+            open(leg, httpRequest, PlainResponseListener.of(machine, leg, profile.idempotent()));
         }
     }
 
     @Override
     public void resume(long leg, EndpointStatus endpoint, String stream, long from) {
-        spans.event("resume from " + from + " at " + endpoint.id());
-        HttpQuery query = HttpQuery.get(endpoint.address(), "/v1/streams/" + stream + "?from=" + from)
-                .overFreshConnection();
-        open(leg, query, EngineLeg.resuming(machine, leg));
+        spans.addEvent("resume from " + from + " at " + endpoint.id());
+        HttpRequest httpRequest = HttpRequest.get(endpoint.address(), "/v1/streams/" + stream + "?from=" + from)
+                .withNewConnection();
+        open(leg, httpRequest, EngineResponseListener.resuming(machine, leg));
     }
 
-    private void open(long leg, HttpQuery query, HttpStreamListener listener) {
-        HttpQuery timed =
-                query.withTimeouts(CONNECT_TIMEOUT, target.requestClass().progressTimeout());
-        HttpQuery sent = profile.idempotent() ? timed : timed.overFreshConnection();
-        current = services.http().stream(sent, thread, listener);
-        calls.put(leg, current);
+    private void open(long leg, HttpRequest httpRequest, HttpResponseListener listener) {
+        HttpRequest timedRequest =
+                httpRequest.withTimeouts(CONNECT_TIMEOUT, target.requestClass().progressTimeout());
+        HttpRequest finalRequest = profile.idempotent() ? timedRequest : timedRequest.withNewConnection();
+        activeCall = services.endpointClient().stream(finalRequest, thread, listener);
+        callsByLeg.put(leg, activeCall);
     }
 
     @Override
     public void abandon(long leg) {
-        HttpCall call = calls.remove(leg);
+        HttpCall call = callsByLeg.remove(leg);
         if (call != null) {
-            call.abandon();
+            call.cancel();
         }
     }
 
-    /** A plain service is asked only for a connection: any request might have an effect there. */
+    /** A plain service is probed with a connection only, because any request might have an effect there. */
     @Override
     public void probe(long leg, EndpointStatus endpoint) {
-        if (target.engineBody().isEmpty() && !profile.model()) {
-            services.http()
-                    .connects(endpoint.address(), thread)
-                    .thenAccept(alive -> onThread(() -> machine.onProbed(leg, alive)));
+        if (target.completionBody().isEmpty() && !profile.model()) {
+            services.endpointClient()
+                    .canConnect(endpoint.address(), thread)
+                    .thenAccept(alive -> runOnThread(() -> machine.onProbed(leg, alive)));
             return;
         }
-        HttpQuery query = HttpQuery.get(endpoint.address(), "/v1/state")
+        HttpRequest httpRequest = HttpRequest.get(endpoint.address(), "/v1/state")
                 .withTimeouts(CONNECT_TIMEOUT, PROBE_TIMEOUT)
-                .overFreshConnection();
-        services.http()
-                .send(query)
-                .whenComplete((reply, failure) -> onThread(() -> machine.onProbed(leg, failure == null)));
+                .withNewConnection();
+        services.endpointClient()
+                .send(httpRequest)
+                .whenComplete((reply, failure) -> runOnThread(() -> machine.onProbed(leg, failure == null)));
     }
 
     @Override
-    public void cancelStream(EndpointStatus endpoint, String stream, Duration wait) {
-        String condition = wait.isZero() ? "" : "?if=unread";
-        HttpQuery query = HttpQuery.of("DELETE", endpoint.address(), "/v1/streams/" + stream + condition);
-        thread.executeAfter(() -> services.http().send(query), wait.toMillis(), TimeUnit.MILLISECONDS);
+    public void cancelStream(EndpointStatus endpoint, String stream, Duration delay) {
+        String condition = delay.isZero() ? "" : "?if=unread";
+        HttpRequest httpRequest = HttpRequest.of("DELETE", endpoint.address(), "/v1/streams/" + stream + condition);
+        thread.executeAfter(() -> services.endpointClient().send(httpRequest), delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -365,48 +371,49 @@
 
     @Override
     public RetryDecision decideRetry(AttemptFailure failure, boolean mayHaveRunBefore, int attemptsMade) {
-        services.metrics().attemptFailed(profile.service(), failure);
-        spans.event("attempt failed: " + failure);
+        services.metrics().recordAttemptFailure(profile.service(), failure);
+        spans.addEvent("attempt failed: " + failure);
         Duration remaining = profile.answerDeadline().minusNanos(nowNanos() - startNanos);
         return services.retries()
                 .decide(
                         profile.service(),
-                        new RetryGate.RequestSoFar(
+                        new RetryDecider.FailedAttempt(
                                 failure, profile.idempotent(), mayHaveRunBefore, attemptsMade, remaining));
     }
 
     @Override
     public void creditRetryBudget() {
-        services.retries().succeeded(profile.service());
+        services.retries().creditBudget(profile.service());
     }
 
-    // ---- Towards the caller.
+    // Answer to the caller.
 
     @Override
     public void answerHead(AnswerHead head, EndpointStatus endpoint) {
         spans.begin("stream");
         String token = profile.model() ? resumeToken(head, endpoint) : "";
-        emit(to -> to.head(head, token));
-        keepAliveLater();
+        publish(callerAnswer -> callerAnswer.start(head, token));
+        scheduleKeepAlive();
     }
 
     /**
-     * While an answer stands still because its run is being resumed or goes on elsewhere, the caller gets a comment now
-     * and then. Without it a caller that watches for silence, as ours does, gives up an answer that is about to go on.
+     * Sends a comment to the caller every 2 s in which no piece is sent, for example while the run is being resumed or
+     * moves to another endpoint. Without it, a caller with a silence timeout, such as the project's own client, would
+     * abandon an answer that is about to continue.
      */
-    private void keepAliveLater() {
-        long piecesBefore = pieces;
+    private void scheduleKeepAlive() {
+        long piecesAtStart = pieces;
         thread.executeAfter(
                 () -> {
                     if (machine.isOver()) {
                         return;
                     }
-                    if (pieces == piecesBefore) {
-                        answer.keepAlive();
+                    if (pieces == piecesAtStart) {
+                        answer.writeKeepAlive();
                     }
-                    keepAliveLater();
+                    scheduleKeepAlive();
                 },
-                KEEP_ALIVE.toMillis(),
+                KEEP_ALIVE_INTERVAL.toMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
@@ -420,25 +427,25 @@
                 endpoint.incarnation(),
                 head.stream(),
                 head.version(),
-                target.engineBody().map(EngineBody::isChat).orElse(false));
+                target.completionBody().map(CompletionBody::isChat).orElse(false));
         return token.sign(services.settings().tokenKeys().get(0));
     }
 
     @Override
     public void answerPiece(long index, String text) {
         pieces++;
-        emit(to -> to.piece(index, text));
+        publish(callerAnswer -> callerAnswer.writePiece(index, text));
     }
 
     @Override
     public void answerBytes(ByteBuffer bytes) {
-        if (followers.isEmpty() && profile.claim().isEmpty()) {
-            answer.bytes(bytes);
+        if (subscribers.isEmpty() && profile.claim().isEmpty()) {
+            answer.writeBytes(bytes);
             return;
         }
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
-        emit(to -> to.bytes(ByteBuffer.wrap(copy)));
+        publish(callerAnswer -> callerAnswer.writeBytes(ByteBuffer.wrap(copy)));
     }
 
     @Override
@@ -446,71 +453,71 @@
         outcome = "answered";
         spans.end("stream");
         usage.ifPresent(used -> services.metrics()
-                .promptTokens(
+                .recordPromptTokens(
                         profile.service(),
                         used.cachedTokens(),
                         Math.max(0, used.promptTokens() - used.cachedTokens())));
-        emit(to -> to.end(usage));
+        publish(callerAnswer -> callerAnswer.complete(usage));
     }
 
     @Override
     public void answerError(YuccagwException error) {
         outcome = error.kind().code();
-        emit(to -> to.error(error));
+        publish(callerAnswer -> callerAnswer.sendError(error));
     }
 
     @Override
     public void follow(EntryId entry, RequestId request) {
         outcome = "followed";
-        Follower.of(services, target.workspace(), answer, thread).follow(entry, request, authorization);
+        AnswerRelay.of(services, target.workspace(), answer, thread).relay(entry, request, authorization);
     }
 
     @Override
     public void replay(ClaimDecision.KeptAnswer kept) {
         outcome = "replayed";
-        emit(to -> to.replay(kept));
+        publish(callerAnswer -> callerAnswer.replay(kept));
     }
 
     @Override
     public Optional<ClaimDecision.KeptAnswer> keptAnswer() {
-        return answer.kept();
+        return answer.storedAnswer();
     }
 
-    private void emit(Consumer<CallerAnswer> step) {
+    private void publish(Consumer<CallerAnswer> step) {
         step.accept(answer);
         if (profile.claim().isPresent()) {
-            history.add(step);
-            followers.forEach(follower -> follower.accept(step));
+            steps.add(step);
+            subscribers.forEach(subscriber -> subscriber.accept(step));
         }
     }
 
-    // ---- The caller's side of flow control.
+    // Flow control of the caller's connection.
 
     @Override
     public void pause() {
-        if (current != null) {
-            current.pause();
+        if (activeCall != null) {
+            activeCall.pause();
         }
     }
 
     @Override
-    public void goOn() {
-        if (current != null) {
-            current.resume();
+    public void resume() {
+        if (activeCall != null) {
+            activeCall.resume();
         }
     }
 
     @Override
-    public void callerLeft() {
-        onThread(() -> {
-            if (current != null) {
-                current.resume();
+    public void callerDisconnected() {
+        runOnThread(() -> {
+            if (activeCall != null) {
+                activeCall.resume();
             }
             machine.onCallerDisconnected();
         });
     }
 
-    private void onThread(Runnable work) {
+    private void runOnThread(Runnable work) {
         if (Thread.currentThread() == thread) {
             work.run();
         } else {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
@@ -13,8 +13,8 @@
 import java.util.Optional;
 import javax.net.ssl.SSLContext;
 import org.xnio.XnioWorker;
-import org.yuccagw.adapters.engine.EngineBody;
-import org.yuccagw.adapters.engine.PlainCall;
+import org.yuccagw.adapters.engine.CompletionBody;
+import org.yuccagw.adapters.engine.PlainRequest;
 import org.yuccagw.adapters.http.BodyReader;
 import org.yuccagw.adapters.http.ErrorAnswers;
 import org.yuccagw.adapters.telemetry.TraceParent;
@@ -41,21 +41,21 @@
 import org.yuccagw.core.request.ResumeToken;
 
 /**
- * The caller address.
+ * HTTP server on the caller address.
  *
  * <p>Paths: {@code /v1/directory}, {@code /v1/models}, {@code /v1/completions}, {@code /v1/chat/completions},
  * {@code /v1/resume}, {@code /v1/prefetch}, {@code /v1/follow/REQUEST} between entries, and {@code /SERVICE/...} for
  * plain services.
  *
- * <p>Everything that a caller can get wrong is refused before the request is admitted anywhere, with an error that says
- * what to mend, and so is truly not run.
+ * <p>All mistakes of a caller are detected before the request is admitted anywhere. They are answered with an error
+ * that names the correction, and the request is certain not to have run.
  */
 public final class CallerServer {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST_HEADER_BYTES = 64 * 1024;
+    private static final int MAX_HEADER_BYTES = 64 * 1024;
     private static final int PARSE_TIMEOUT_MILLIS = 10_000;
     private static final int IDLE_TIMEOUT_MILLIS = 120_000;
-    private static final int LONGEST_KEY = 255;
+    private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 255;
     private static final String COMPLETIONS = "/v1/completions";
     private static final String CHAT = "/v1/chat/completions";
     private static final String FOLLOW = "/v1/follow/";
@@ -65,48 +65,47 @@
     private final Undertow server;
     private final BodyReader bodies;
     private final Prefetcher prefetcher;
-    private volatile WorkspaceKeys keys = WorkspaceKeys.of(Catalogue.none());
-    private volatile boolean refusing;
+    private volatile WorkspaceKeys workspaceKeys = WorkspaceKeys.of(Catalogue.none());
+    private volatile boolean refusingNewRequests;
 
-    /** Makes the event for a hint that a prompt will return soon. */
+    /** Creates the event for a hint that a prompt will be sent again soon. */
     @FunctionalInterface
     public interface Prefetcher {
-        ControlEvent prefetch(Workspace workspace, Service service, EngineBody body);
+        ControlEvent prefetch(Workspace workspace, Service service, CompletionBody body);
     }
 
-    private CallerServer(
-            CallerServices services, XnioWorker worker, Optional<SSLContext> security, Prefetcher prefetcher) {
+    private CallerServer(CallerServices services, XnioWorker worker, Optional<SSLContext> tls, Prefetcher prefetcher) {
         this.services = services;
         this.prefetcher = prefetcher;
         this.bodies = BodyReader.of(
                 services.settings().bodyLimitBytes(), services.settings().bodyTimeoutMillis());
         Undertow.Builder builder = Undertow.builder()
                 .setWorker(worker)
-                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MOST_HEADER_BYTES)
+                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MILLIS)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
                 .setHandler(this::handle);
         String host = services.settings().caller().host();
         int port = services.settings().caller().port();
-        if (security.isPresent()) {
-            builder.addHttpsListener(port, host, security.get());
+        if (tls.isPresent()) {
+            builder.addHttpsListener(port, host, tls.get());
         } else {
             builder.addHttpListener(port, host);
         }
         this.server = builder.build();
     }
 
-    /** Listens on the caller address, with the I/O threads of the worker. */
+    /** Starts a server on the caller address, on the I/O threads of the worker. */
     public static CallerServer start(
-            CallerServices services, XnioWorker worker, Optional<SSLContext> security, Prefetcher prefetcher) {
-        CallerServer created = new CallerServer(services, worker, security, prefetcher);
-        created.server.start();
-        return created;
+            CallerServices services, XnioWorker worker, Optional<SSLContext> tls, Prefetcher prefetcher) {
+        CallerServer callerServer = new CallerServer(services, worker, tls, prefetcher);
+        callerServer.server.start();
+        return callerServer;
     }
 
-    /** From now on every new request is refused as not run; those in progress go on. */
+    /** Refuses every new request from now on as not run. Requests in progress continue. */
     public void refuseNewRequests() {
-        refusing = true;
+        refusingNewRequests = true;
     }
 
     public void stop() {
@@ -127,16 +126,16 @@
             answerDirectory(exchange);
             return;
         }
-        Catalogue catalogue = readyCatalogue();
+        Catalogue catalogue = requireReadyCatalogue();
         Workspace workspace =
-                keysOf(catalogue).require(exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION));
+                keysFor(catalogue).require(exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION));
         if (path.startsWith(FOLLOW)) {
-            follow(exchange, workspace, RequestId.of(path.substring(FOLLOW.length())));
-        } else if (refusing) {
+            relayRun(exchange, workspace, RequestId.of(path.substring(FOLLOW.length())));
+        } else if (refusingNewRequests) {
             throw ErrorKind.STOPPING.raise();
         } else if (path.equals(COMPLETIONS) || path.equals(CHAT)) {
             requirePost(exchange, path);
-            withBody(exchange, body -> complete(exchange, catalogue, workspace, body));
+            withBody(exchange, body -> handleCompletion(exchange, catalogue, workspace, body));
         } else if (path.equals("/v1/resume")) {
             resume(exchange, catalogue, workspace);
         } else if (path.equals("/v1/prefetch")) {
@@ -145,26 +144,26 @@
         } else if (path.equals("/v1/models")) {
             answerModels(exchange, catalogue);
         } else {
-            callPlain(exchange, catalogue, workspace);
+            handlePlainService(exchange, catalogue, workspace);
         }
     }
 
-    /** Work on a body that may find it wrong. */
-    private interface BodyUse {
+    /** Handles a request body, which may be invalid. */
+    private interface BodyHandler {
         void accept(byte[] body) throws YuccagwException;
     }
 
-    private void withBody(HttpServerExchange exchange, BodyUse use) {
+    private void withBody(HttpServerExchange exchange, BodyHandler handler) {
         bodies.read(exchange, body -> {
             try {
-                use.accept(body);
+                handler.accept(body);
             } catch (YuccagwException e) {
                 ErrorAnswers.send(exchange, e);
             }
         });
     }
 
-    private Catalogue readyCatalogue() throws YuccagwException {
+    private Catalogue requireReadyCatalogue() throws YuccagwException {
         DirectorySnapshot directory = services.snapshot()
                 .get()
                 .part(DirectorySnapshot.class)
@@ -178,13 +177,13 @@
                 .orElseThrow(() -> ErrorKind.NOT_READY.raise("has no catalogue yet"));
     }
 
-    private WorkspaceKeys keysOf(Catalogue catalogue) {
-        WorkspaceKeys present = keys;
-        if (!present.isOf(catalogue)) {
-            present = WorkspaceKeys.of(catalogue);
-            keys = present;
+    private WorkspaceKeys keysFor(Catalogue catalogue) {
+        WorkspaceKeys current = workspaceKeys;
+        if (!current.isForRevisionOf(catalogue)) {
+            current = WorkspaceKeys.of(catalogue);
+            workspaceKeys = current;
         }
-        return present;
+        return current;
     }
 
     private static void requirePost(HttpServerExchange exchange, String path) throws YuccagwException {
@@ -193,7 +192,7 @@
         }
     }
 
-    // ---- Directory and models.
+    // Directory and models.
 
     private void answerDirectory(HttpServerExchange exchange) throws YuccagwException {
         Span span = services.tracer()
@@ -232,28 +231,28 @@
         exchange.getResponseSender().send(body);
     }
 
-    // ---- Requests.
+    // Requests.
 
-    private void complete(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, byte[] bytes)
+    private void handleCompletion(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, byte[] bytes)
             throws YuccagwException {
         String path = exchange.getRequestPath();
-        EngineBody body = EngineBody.read(bytes, path.equals(CHAT));
+        CompletionBody body = CompletionBody.read(bytes, path.equals(CHAT));
         Service service = modelService(catalogue, body.model());
         CallerRun.Target target = new CallerRun.Target(
                 workspace, service, classOf(catalogue, workspace, service), Optional.of(body), Optional.empty());
         RequestId request = RequestIds.next();
-        RequestProfile profile = profile(exchange, catalogue, target, request, path, bytes, body.streamed());
-        AnswerText shape = new AnswerText("cmpl-" + request, body.model(), body.isChat());
-        CallerAnswer.Form form = body.streamed() ? CallerAnswer.Form.STREAM : CallerAnswer.Form.WHOLE;
-        start(exchange, profile, target, form, Optional.of(shape), CallerRun::begin);
+        RequestProfile profile = profile(exchange, catalogue, target, request, path, bytes, body.isStreamed());
+        CompletionFormat format = new CompletionFormat("cmpl-" + request, body.model(), body.isChat());
+        CallerAnswer.Form form = body.isStreamed() ? CallerAnswer.Form.STREAM : CallerAnswer.Form.WHOLE;
+        start(exchange, profile, target, form, Optional.of(format), CallerRun::begin);
     }
 
-    private void callPlain(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace)
+    private void handlePlainService(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace)
             throws YuccagwException {
         String path = exchange.getRequestPath();
-        int slash = path.indexOf('/', 1);
-        String name = path.substring(1, slash < 0 ? path.length() : slash);
-        String rest = slash < 0 ? "/" : path.substring(slash);
+        int slashIndex = path.indexOf('/', 1);
+        String name = path.substring(1, slashIndex < 0 ? path.length() : slashIndex);
+        String servicePath = slashIndex < 0 ? "/" : path.substring(slashIndex);
         Service service = name.isBlank()
                 ? null
                 : catalogue
@@ -265,17 +264,21 @@
         }
         String query = exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString();
         withBody(exchange, bytes -> {
-            PlainCall call = new PlainCall(
-                    exchange.getRequestMethod().toString(), rest + query, exchange.getRequestHeaders(), bytes);
+            PlainRequest plainRequest = new PlainRequest(
+                    exchange.getRequestMethod().toString(), servicePath + query, exchange.getRequestHeaders(), bytes);
             CallerRun.Target target = new CallerRun.Target(
-                    workspace, service, classOf(catalogue, workspace, service), Optional.empty(), Optional.of(call));
-            RequestProfile profile = profile(exchange, catalogue, target, RequestIds.next(), rest, bytes, true);
+                    workspace,
+                    service,
+                    classOf(catalogue, workspace, service),
+                    Optional.empty(),
+                    Optional.of(plainRequest));
+            RequestProfile profile = profile(exchange, catalogue, target, RequestIds.next(), servicePath, bytes, true);
             start(exchange, profile, target, CallerAnswer.Form.PLAIN, Optional.empty(), CallerRun::begin);
         });
     }
 
-    /** What begins a run once its answer is ready to be written. */
-    private interface Beginning {
+    /** Starts a run whose answer is ready to be written. */
+    private interface RunStarter {
         void begin(CallerRun run, CallerAnswer answer);
     }
 
@@ -284,8 +287,8 @@
             RequestProfile profile,
             CallerRun.Target target,
             CallerAnswer.Form form,
-            Optional<AnswerText> shape,
-            Beginning beginning) {
+            Optional<CompletionFormat> format,
+            RunStarter starter) {
         Span span = services.tracer()
                 .spanBuilder("request")
                 .setParent(TraceParent.read(exchange.getRequestHeaders().getFirst(TraceParent.HEADER)))
@@ -295,8 +298,8 @@
         String authorization = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
         CallerRun run = CallerRun.of(services, exchange.getIoThread(), profile, target, span, authorization);
         CallerResponse response = new CallerResponse(exchange, run);
-        beginning.begin(
-                run, new CallerAnswer(response, form, shape, profile.request().value()));
+        starter.begin(
+                run, new CallerAnswer(response, form, format, profile.request().value()));
     }
 
     private RequestProfile profile(
@@ -316,9 +319,9 @@
             throw ErrorKind.MISSING_IDEMPOTENCY_KEY.raise(method + " " + exchange.getRequestPath());
         }
         Workspace workspace = target.workspace();
-        Optional<Claim> claim = key.map(present -> new Claim(
+        Optional<Claim> claim = key.map(idempotencyKey -> new Claim(
                 workspace.id(),
-                present,
+                idempotencyKey,
                 BodyHash.of(service.name(), method, path, body),
                 request,
                 services.self().entry()));
@@ -341,7 +344,7 @@
         if (text == null) {
             return Optional.empty();
         }
-        if (text.isEmpty() || text.length() > LONGEST_KEY) {
+        if (text.isEmpty() || text.length() > MAX_IDEMPOTENCY_KEY_LENGTH) {
             throw ErrorKind.WRONG_IDEMPOTENCY_KEY.raise("has " + text.length() + " characters, expected 1 to 255");
         }
         if (!CharMatcher.inRange('!', '~').matchesAllOf(text)) {
@@ -363,32 +366,32 @@
         return catalogue.requestClass(name).orElseThrow(() -> ErrorKind.INTERNAL.raise("no class '" + name + "'"));
     }
 
-    // ---- Resume, follow, prefetch.
+    // Resume, relay of running requests, prefetch.
 
     private void resume(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace) throws YuccagwException {
         if (exchange.getRequestMethod().toString().equals("POST")) {
             withBody(exchange, body -> {
-                JsonNode asked = readResume(body);
-                resumeAt(
+                JsonNode resumeBody = parseResumeBody(body);
+                startResumed(
                         exchange,
                         catalogue,
                         workspace,
-                        ResumeRequested.of(asked, services.settings().tokenKeys()));
+                        ResumeRequest.of(resumeBody, services.settings().tokenKeys()));
             });
             return;
         }
-        ResumeRequested asked = ResumeRequested.of(
+        ResumeRequest resumeRequest = ResumeRequest.of(
                 exchange.getQueryParameters(), services.settings().tokenKeys());
         exchange.dispatch(io.undertow.util.SameThreadExecutor.INSTANCE, () -> {
             try {
-                resumeAt(exchange, catalogue, workspace, asked);
+                startResumed(exchange, catalogue, workspace, resumeRequest);
             } catch (YuccagwException e) {
                 ErrorAnswers.send(exchange, e);
             }
         });
     }
 
-    private static JsonNode readResume(byte[] body) throws YuccagwException {
+    private static JsonNode parseResumeBody(byte[] body) throws YuccagwException {
         try {
             return JSON.readTree(body);
         } catch (IOException e) {
@@ -396,17 +399,22 @@
         }
     }
 
-    private void resumeAt(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, ResumeRequested asked)
+    private void startResumed(
+            HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, ResumeRequest resumeRequest)
             throws YuccagwException {
-        ResumeToken token = asked.token();
+        ResumeToken token = resumeRequest.token();
         if (!token.workspace().equals(workspace.id())) {
             throw ErrorKind.WRONG_RESUME_TOKEN.raise("belongs to another workspace");
         }
         Service service = modelService(catalogue, token.service().value());
         CallerRun.Target target = new CallerRun.Target(
-                workspace, service, classOf(catalogue, workspace, service), asked.body(), Optional.empty());
-        RequestProfile.ResumePoint point = new RequestProfile.ResumePoint(
-                token.endpoint(), token.stream(), WeightVersion.of(token.version()), asked.from(), asked.text());
+                workspace, service, classOf(catalogue, workspace, service), resumeRequest.body(), Optional.empty());
+        RequestProfile.ResumePoint resumePoint = new RequestProfile.ResumePoint(
+                token.endpoint(),
+                token.stream(),
+                WeightVersion.of(token.version()),
+                resumeRequest.from(),
+                resumeRequest.text());
         RequestProfile profile = new RequestProfile(
                 RequestIds.next(),
                 workspace.id(),
@@ -415,19 +423,19 @@
                 !service.isNonIdempotent("POST", token.chat() ? CHAT : COMPLETIONS),
                 true,
                 Optional.empty(),
-                asked.fingerprint(workspace.id()),
+                resumeRequest.fingerprint(workspace.id()),
                 target.requestClass().answerDeadline(),
                 catalogue.system().resumeGrace(),
-                Optional.of(point));
-        AnswerText shape =
-                new AnswerText("cmpl-" + token.request(), service.name().value(), token.chat());
+                Optional.of(resumePoint));
+        CompletionFormat format =
+                new CompletionFormat("cmpl-" + token.request(), service.name().value(), token.chat());
         EndpointStatus endpoint = endpointOf(token, service);
         start(
                 exchange,
                 profile,
                 target,
                 CallerAnswer.Form.STREAM,
-                Optional.of(shape),
+                Optional.of(format),
                 (run, answer) -> run.beginResumed(answer, endpoint));
     }
 
@@ -448,14 +456,15 @@
                 Optional.of(WeightVersion.of(token.version()))));
     }
 
-    private void follow(HttpServerExchange exchange, Workspace workspace, RequestId request) {
-        Deque<String> asked = exchange.getQueryParameters().get("form");
-        CallerAnswer.Form form = asked == null ? CallerAnswer.Form.STREAM : CallerAnswer.Form.valueOf(asked.getFirst());
+    private void relayRun(HttpServerExchange exchange, Workspace workspace, RequestId request) {
+        Deque<String> formParameter = exchange.getQueryParameters().get("form");
+        CallerAnswer.Form form =
+                formParameter == null ? CallerAnswer.Form.STREAM : CallerAnswer.Form.valueOf(formParameter.getFirst());
         exchange.dispatch(io.undertow.util.SameThreadExecutor.INSTANCE, () -> {
-            CallerResponse response = new CallerResponse(exchange, CallerResponse.IGNORED);
-            Optional<AnswerText> shape = services.runs().find(request).flatMap(CallerRun::shape);
-            CallerAnswer answer = new CallerAnswer(response, form, shape, request.value());
-            Follower.of(services, workspace, answer, exchange.getIoThread()).followHere(request);
+            CallerResponse response = new CallerResponse(exchange, CallerResponse.NO_FLOW_CONTROL);
+            Optional<CompletionFormat> format = services.runs().find(request).flatMap(CallerRun::format);
+            CallerAnswer answer = new CallerAnswer(response, form, format, request.value());
+            AnswerRelay.of(services, workspace, answer, exchange.getIoThread()).relayLocalRun(request);
         });
     }
 
@@ -467,7 +476,7 @@
         } catch (IOException e) {
             throw ErrorKind.MALFORMED_BODY.raiseFrom(e, "not readable");
         }
-        EngineBody body = EngineBody.read(bytes, chat);
+        CompletionBody body = CompletionBody.read(bytes, chat);
         Service service = modelService(catalogue, body.model());
         services.control().offer(prefetcher.prefetch(workspace, service, body));
         exchange.setStatusCode(202);
--- a/src/main/java/org/yuccagw/adapters/caller/AnswerText.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CompletionFormat.java
@@ -9,18 +9,20 @@
 import org.yuccagw.core.request.Usage;
 
 /**
- * Writes answers in the shape that callers of completions APIs expect: whole, or as server-sent events.
+ * Formats answers as completions APIs do: as one JSON object, or as server-sent events.
  *
- * @param chat whether the shape is that of a chat completion
+ * @param id id of the completion
+ * @param model name of the model
+ * @param chat whether answers have the format of a chat completion
  */
-record AnswerText(String id, String model, boolean chat) {
+record CompletionFormat(String id, String model, boolean chat) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int EVENT_LENGTH = 192;
-    static final String END = "data: [DONE]\n\n";
+    private static final int EVENT_OVERHEAD_CHARS = 192;
+    static final String END_EVENT = "data: [DONE]\n\n";
 
-    /** One piece as an event; written by hand because it is written for every token. */
-    String piece(long index, String text) {
-        StringBuilder event = new StringBuilder(text.length() + EVENT_LENGTH);
+    /** Returns one piece of the answer as an event. It is built by hand because this is called for every token. */
+    String chunkEvent(long index, String text) {
+        StringBuilder event = new StringBuilder(text.length() + EVENT_OVERHEAD_CHARS);
         event.append("id: ")
                 .append(index)
                 .append("\ndata: {\"id\":\"")
@@ -42,8 +44,8 @@
         return event.toString();
     }
 
-    /** The last chunk with finish reason and usage, and the end mark. */
-    String last(Usage usage) {
+    /** Returns the last chunk, with finish reason and usage, followed by the end mark {@code [DONE]}. */
+    String finalEvents(Usage usage) {
         ObjectNode chunk = JSON.createObjectNode();
         chunk.put("id", id);
         chunk.put("object", chat ? "chat.completion.chunk" : "text_completion");
@@ -56,17 +58,17 @@
             choice.put("text", "");
         }
         choice.put("finish_reason", usage.finishReason());
-        putUsage(chunk, usage);
-        return "data: " + write(chunk) + "\n\n" + END;
+        addUsage(chunk, usage);
+        return "data: " + toJson(chunk) + "\n\n" + END_EVENT;
     }
 
-    /** The whole answer as one JSON object. */
-    String whole(String text, Usage usage) {
-        ObjectNode answer = JSON.createObjectNode();
-        answer.put("id", id);
-        answer.put("object", chat ? "chat.completion" : "text_completion");
-        answer.put("model", model);
-        ObjectNode choice = answer.putArray("choices").addObject();
+    /** Returns the complete answer as one JSON object. */
+    String completion(String text, Usage usage) {
+        ObjectNode completion = JSON.createObjectNode();
+        completion.put("id", id);
+        completion.put("object", chat ? "chat.completion" : "text_completion");
+        completion.put("model", model);
+        ObjectNode choice = completion.putArray("choices").addObject();
         choice.put("index", 0);
         if (chat) {
             choice.putObject("message").put("role", "assistant").put("content", text);
@@ -74,32 +76,36 @@
             choice.put("text", text);
         }
         choice.put("finish_reason", usage.finishReason());
-        putUsage(answer, usage);
-        return write(answer);
+        addUsage(completion, usage);
+        return toJson(completion);
     }
 
-    /** A whole answer that was kept, as the stream that the repeated request asked for. */
-    String asStream(byte[] kept) throws IOException {
-        JsonNode answer = JSON.readTree(kept);
-        JsonNode choice = answer.path("choices").path(0);
+    /**
+     * Converts a stored answer to the event stream that a repeated request asks for.
+     *
+     * @throws IOException if the stored answer isn't valid JSON
+     */
+    String toEventStream(byte[] storedAnswer) throws IOException {
+        JsonNode completion = JSON.readTree(storedAnswer);
+        JsonNode choice = completion.path("choices").path(0);
         String text = chat
                 ? choice.path("message").path("content").asText()
                 : choice.path("text").asText();
-        JsonNode counts = answer.path("usage");
+        JsonNode usageNode = completion.path("usage");
         Usage usage = new Usage(
-                counts.path("prompt_tokens").asLong(),
-                counts.path("completion_tokens").asLong(),
-                counts.path("prompt_tokens_details").path("cached_tokens").asLong(),
+                usageNode.path("prompt_tokens").asLong(),
+                usageNode.path("completion_tokens").asLong(),
+                usageNode.path("prompt_tokens_details").path("cached_tokens").asLong(),
                 choice.path("finish_reason").asText());
-        return piece(1, text) + last(usage);
+        return chunkEvent(1, text) + finalEvents(usage);
     }
 
-    private static void putUsage(ObjectNode node, Usage usage) {
-        ObjectNode counts = node.putObject("usage");
-        counts.put("prompt_tokens", usage.promptTokens());
-        counts.put("completion_tokens", usage.answerTokens());
-        counts.put("total_tokens", usage.promptTokens() + usage.answerTokens());
-        counts.putObject("prompt_tokens_details").put("cached_tokens", usage.cachedTokens());
+    private static void addUsage(ObjectNode node, Usage usage) {
+        ObjectNode usageNode = node.putObject("usage");
+        usageNode.put("prompt_tokens", usage.promptTokens());
+        usageNode.put("completion_tokens", usage.answerTokens());
+        usageNode.put("total_tokens", usage.promptTokens() + usage.answerTokens());
+        usageNode.putObject("prompt_tokens_details").put("cached_tokens", usage.cachedTokens());
     }
 
     private static void appendQuoted(StringBuilder event, String text) {
@@ -108,11 +114,11 @@
         event.append('"');
     }
 
-    private static String write(ObjectNode node) {
+    private static String toJson(ObjectNode node) {
         try {
             return JSON.writeValueAsString(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree of text and numbers can be written", e);
+            throw new IllegalStateException("a tree of text and numbers could not be written", e);
         }
     }
 }
--- a/src/main/java/org/yuccagw/adapters/caller/DirectoryAnswer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/DirectoryAnswer.java
@@ -9,20 +9,25 @@
 import org.yuccagw.core.membership.EntryStatus;
 
 /**
- * The answer to {@code GET /v1/directory}: entries to connect to, the best first, and how long to keep them.
+ * The answer to {@code GET /v1/directory}: the entries to connect to, in order of preference, and their time to live.
  *
- * <p>Order: entries of the caller's failure domain, then by load, then by name. Suspected entries come last, because a
- * suspicion may be wrong; leaving and dead ones are left out.
+ * <p>Entries of the caller's failure domain come first, then the others, each by load and then by name. Suspect entries
+ * come last instead of being omitted, because a suspicion may be wrong. Leaving and dead entries are omitted.
  */
 final class DirectoryAnswer {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private DirectoryAnswer() {}
 
+    /**
+     * Returns the answer as JSON.
+     *
+     * @param callerDomain failure domain of the caller, empty if unknown
+     */
     static String of(DirectorySnapshot directory, String callerDomain) {
         ObjectNode answer = JSON.createObjectNode();
         ArrayNode entries = answer.putArray("entries");
-        for (EntryStatus entry : inOrder(directory, callerDomain)) {
+        for (EntryStatus entry : sortedEntries(directory, callerDomain)) {
             entries.addObject()
                     .put("entry", entry.entry().value())
                     .put("address", entry.callerAddress().toString())
@@ -33,15 +38,15 @@
         return answer.toString();
     }
 
-    private static List<EntryStatus> inOrder(DirectorySnapshot directory, String callerDomain) {
+    private static List<EntryStatus> sortedEntries(DirectorySnapshot directory, String callerDomain) {
         Comparator<EntryStatus> suspectedLast =
                 Comparator.comparing(entry -> entry.state() == EntryStatus.State.SUSPECT);
-        Comparator<EntryStatus> otherDomainLater =
+        Comparator<EntryStatus> otherDomainLast =
                 Comparator.comparing(entry -> !entry.domain().value().equals(callerDomain));
         return directory.entries().stream()
                 .filter(entry -> entry.state() == EntryStatus.State.ALIVE || entry.state() == EntryStatus.State.SUSPECT)
                 .sorted(suspectedLast
-                        .thenComparing(otherDomainLater)
+                        .thenComparing(otherDomainLast)
                         .thenComparing(EntryStatus::load)
                         .thenComparing(EntryStatus::entry))
                 .toList();
--- a/src/main/java/org/yuccagw/adapters/caller/RequestIds.java
+++ b/src/main/java/org/yuccagw/adapters/caller/RequestIds.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import org.yuccagw.core.id.RequestId;
 
-/** Makes request ids: 128 random bits, so that no two entries make the same one. */
+/** Generates request ids of 128 random bits, so that ids of different entries don't collide. */
 final class RequestIds {
     private RequestIds() {}
 
--- a/src/main/java/org/yuccagw/adapters/caller/RunRegistry.java
+++ b/src/main/java/org/yuccagw/adapters/caller/RunRegistry.java
@@ -6,11 +6,11 @@
 import org.yuccagw.core.id.RequestId;
 
 /**
- * The requests in progress on this entry: for followers of a repeated key, for the load that peers hear of,
- * for a stop.
+ * The requests in progress on this entry. Used to answer requests that repeat the idempotency key of a running one, to
+ * report the load to peers, and to stop after the last request.
  */
 public final class RunRegistry {
-    private final Map<RequestId, CallerRun> running = new ConcurrentHashMap<>();
+    private final Map<RequestId, CallerRun> runs = new ConcurrentHashMap<>();
 
     public static RunRegistry create() {
         return new RunRegistry();
@@ -19,19 +19,19 @@
     private RunRegistry() {}
 
     void add(RequestId request, CallerRun run) {
-        running.put(request, run);
+        runs.put(request, run);
     }
 
     void remove(RequestId request) {
-        running.remove(request);
+        runs.remove(request);
     }
 
     Optional<CallerRun> find(RequestId request) {
-        return Optional.ofNullable(running.get(request));
+        return Optional.ofNullable(runs.get(request));
     }
 
-    /** Requests in progress. */
+    /** Returns the number of requests in progress. */
     public int count() {
-        return running.size();
+        return runs.size();
     }
 }
--- a/src/main/java/org/yuccagw/adapters/caller/WorkspaceKeys.java
+++ b/src/main/java/org/yuccagw/adapters/caller/WorkspaceKeys.java
@@ -12,41 +12,45 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * Which workspace a bearer key belongs to, for one revision of the catalogue. Keys are looked up by the first half of
- * their SHA-256 and compared whole in constant time, so that the time of an answer tells nothing of a key.
+ * Maps bearer keys to workspaces, for one revision of the catalogue.
+ *
+ * <p>Keys are looked up by the first half of their SHA-256, and the full hashes are compared in constant time, so that
+ * response times reveal nothing about a key.
  */
 final class WorkspaceKeys {
     private static final String BEARER = "Bearer ";
-    private static final int LOOKUP_DIGITS = 32;
+    /** Hexadecimal digits of a hash that are used for the lookup. */
+    private static final int PREFIX_DIGITS = 32;
 
     private final Catalogue catalogue;
-    private final ImmutableMap<String, Entry> byHashStart;
+    private final ImmutableMap<String, WorkspaceKey> byHashPrefix;
 
-    private record Entry(String hash, Workspace workspace) {}
+    private record WorkspaceKey(String hash, Workspace workspace) {}
 
-    private WorkspaceKeys(Catalogue catalogue, ImmutableMap<String, Entry> byHashStart) {
+    private WorkspaceKeys(Catalogue catalogue, ImmutableMap<String, WorkspaceKey> byHashPrefix) {
         this.catalogue = catalogue;
-        this.byHashStart = byHashStart;
+        this.byHashPrefix = byHashPrefix;
     }
 
     static WorkspaceKeys of(Catalogue catalogue) {
-        Map<String, Entry> entries = new HashMap<>();
+        Map<String, WorkspaceKey> byPrefix = new HashMap<>();
         for (Workspace workspace : catalogue.workspaces().values()) {
             for (String hash : workspace.keyHashes()) {
-                entries.put(hash.substring(0, LOOKUP_DIGITS), new Entry(hash, workspace));
+                byPrefix.put(hash.substring(0, PREFIX_DIGITS), new WorkspaceKey(hash, workspace));
             }
         }
-        return new WorkspaceKeys(catalogue, ImmutableMap.copyOf(entries));
+        return new WorkspaceKeys(catalogue, ImmutableMap.copyOf(byPrefix));
     }
 
-    boolean isOf(Catalogue other) {
+    /** Returns whether the keys are those of the given catalogue's revision. */
+    boolean isForRevisionOf(Catalogue other) {
         return catalogue.revision() == other.revision();
     }
 
     /**
-     * The workspace of the caller.
+     * Returns the workspace of the caller.
      *
-     * @param authorization the header, or null
+     * @param authorization the authorization header, or null
      * @throws YuccagwException of kind MISSING_KEY or WRONG_KEY
      */
     Workspace require(String authorization) throws YuccagwException {
@@ -55,14 +59,14 @@
         }
         String key = authorization.substring(BEARER.length()).trim();
         String hash = Hashing.sha256().hashString(key, StandardCharsets.UTF_8).toString();
-        Entry entry = byHashStart.get(hash.substring(0, LOOKUP_DIGITS));
-        if (entry == null || !sameHash(entry.hash(), hash)) {
+        WorkspaceKey candidate = byHashPrefix.get(hash.substring(0, PREFIX_DIGITS));
+        if (candidate == null || !hashesEqual(candidate.hash(), hash)) {
             throw ErrorKind.WRONG_KEY.raise();
         }
-        return entry.workspace();
+        return candidate.workspace();
     }
 
-    private static boolean sameHash(String left, String right) {
+    private static boolean hashesEqual(String left, String right) {
         return MessageDigest.isEqual(
                 left.getBytes(StandardCharsets.US_ASCII), right.getBytes(StandardCharsets.US_ASCII));
     }
--- a/src/main/java/org/yuccagw/adapters/caller/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/caller/package-info.java
@@ -1,2 +1,5 @@
-/** The caller address: directory, completions, plain services, resume; from HTTP to the request machine and back. */
+/**
+ * The caller address: directory, completions, plain services and resume. Connects HTTP exchanges to the request
+ * machine.
+ */
 package org.yuccagw.adapters.caller;
--- a/src/main/java/org/yuccagw/adapters/endpoint/OrderSender.java
+++ b/src/main/java/org/yuccagw/adapters/endpoint/OrderSender.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.LongSupplier;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
 import org.yuccagw.core.control.ControlInput;
@@ -25,32 +25,33 @@
 /**
  * Sends orders to endpoints.
  *
- * <p>Guards against an order of an owner that was paused past its lease: it would reach an endpoint beside those of the
- * next owner, and one that ignores fencing numbers would obey both. The time is looked at on the I/O thread as the last
- * thing before sending. What is left is a pause between that look and the network; the next owner waits out the longest
- * life of an order before its own.
+ * <p>Guards against orders of an owner whose process was suspended past the end of its lease. Such an order would reach
+ * an endpoint together with those of the next owner, and an endpoint that ignores fencing numbers would execute both.
+ * The lease is therefore checked on the I/O thread immediately before the order is sent. A suspension between this
+ * check and the network is still possible; for this case the next owner waits for the maximum lifetime of an order
+ * before it sends its own.
  */
 public final class OrderSender implements ActionHandler {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(2);
-    private static final int CONFLICT = 409;
+    private static final int CONFLICT_STATUS = 409;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final HttpCaller caller;
+    private final HttpClient httpClient;
     private final LongSupplier monotonicNanos;
 
-    private OrderSender(HttpCaller caller, LongSupplier monotonicNanos) {
-        this.caller = caller;
+    private OrderSender(HttpClient httpClient, LongSupplier monotonicNanos) {
+        this.httpClient = httpClient;
         this.monotonicNanos = monotonicNanos;
     }
 
     /**
-     * A sender on the clock that the control core is driven with.
+     * Returns a sender that uses the clock of the control core.
      *
-     * @param monotonicNanos the same clock as the control core's, in nanoseconds
+     * @param monotonicNanos monotonic clock of the control core, in nanoseconds
      */
-    public static OrderSender of(HttpCaller caller, LongSupplier monotonicNanos) {
-        return new OrderSender(caller, monotonicNanos);
+    public static OrderSender of(HttpClient httpClient, LongSupplier monotonicNanos) {
+        return new OrderSender(httpClient, monotonicNanos);
     }
 
     @Override
@@ -59,19 +60,19 @@
             return false;
         }
         XnioIoThread thread =
-                caller.worker().getIoThread(ThreadLocalRandom.current().nextInt());
+                httpClient.worker().getIoThread(ThreadLocalRandom.current().nextInt());
         thread.execute(() -> send(order, thread, input));
         return true;
     }
 
     private void send(OrderEndpoint order, XnioIoThread thread, ControlInput input) {
-        HttpQuery query = HttpQuery.json("POST", order.address(), "/v1/orders", body(order))
+        HttpRequest httpRequest = HttpRequest.json("POST", order.address(), "/v1/orders", body(order))
                 .withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT);
         if (monotonicNanos.getAsLong() - order.authorityEndsNanos() >= 0) {
             input.offer(new OrderEnded(order.endpoint(), order.kind(), order.fencing(), Outcome.NOT_SENT));
             return;
         }
-        caller.stream(query, thread, new OrderListener(order, input));
+        httpClient.stream(httpRequest, thread, new OrderListener(order, input));
     }
 
     private static String body(OrderEndpoint order) {
@@ -83,7 +84,7 @@
         return body.toString();
     }
 
-    private static final class OrderListener implements HttpStreamListener {
+    private static final class OrderListener implements HttpResponseListener {
         private final OrderEndpoint order;
         private final ControlInput input;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -95,8 +96,8 @@
         }
 
         @Override
-        public void onHead(int answeredStatus, HeaderMap headers) {
-            status = answeredStatus;
+        public void onHead(int receivedStatus, HeaderMap headers) {
+            status = receivedStatus;
         }
 
         @Override
@@ -123,17 +124,17 @@
             if (status >= 500) {
                 return Outcome.LOST;
             }
-            if (status != CONFLICT) {
+            if (status != CONFLICT_STATUS) {
                 return Outcome.REFUSED;
             }
-            return switch (code()) {
+            return switch (errorCode()) {
                 case "stale_fencing" -> Outcome.STALE_FENCING;
                 case "busy" -> Outcome.BUSY;
                 default -> Outcome.REFUSED;
             };
         }
 
-        private String code() {
+        private String errorCode() {
             try {
                 JsonNode answer = JSON.readTree(body.toByteArray());
                 return answer.path("error").path("code").asText("");
--- a/src/main/java/org/yuccagw/adapters/endpoint/PlatformPoller.java
+++ b/src/main/java/org/yuccagw/adapters/endpoint/PlatformPoller.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
 import org.yuccagw.core.control.ControlInput;
@@ -31,10 +31,10 @@
 import org.yuccagw.core.id.WeightVersion;
 
 /**
- * Reads the platform's list of VMs and probes endpoints, for the endpoints part.
+ * Reads the platform's list of VMs and probes endpoints, for the control component that tracks endpoints.
  *
- * <p>A probe that fails is repeated once. The failed connection is closed, so the repetition goes over another one, and
- * a kept connection that fell silent doesn't count against an endpoint that answers on a fresh one.
+ * <p>A failed probe is retried once. The failed connection is closed and the retry uses a new one, so a reused
+ * connection that has become silent doesn't make a probe fail if the endpoint answers on a new connection.
  */
 public final class PlatformPoller implements ActionHandler {
     private static final Logger log = LogManager.getLogger(PlatformPoller.class);
@@ -42,17 +42,17 @@
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(1);
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final HttpCaller caller;
+    private final HttpClient httpClient;
     private final NetworkAddress listAddress;
     private final AtomicBoolean listFailed = new AtomicBoolean();
 
-    private PlatformPoller(HttpCaller caller, NetworkAddress listAddress) {
-        this.caller = caller;
+    private PlatformPoller(HttpClient httpClient, NetworkAddress listAddress) {
+        this.httpClient = httpClient;
         this.listAddress = listAddress;
     }
 
-    public static PlatformPoller of(HttpCaller caller, NetworkAddress listAddress) {
-        return new PlatformPoller(caller, listAddress);
+    public static PlatformPoller of(HttpClient httpClient, NetworkAddress listAddress) {
+        return new PlatformPoller(httpClient, listAddress);
     }
 
     @Override
@@ -69,22 +69,25 @@
     }
 
     private void readList(ControlInput input) {
-        caller.send(get(listAddress, "/v1/vms")).whenComplete((answer, failure) -> {
+        httpClient.send(get(listAddress, "/v1/vms")).whenComplete((answer, failure) -> {
             try {
                 if (failure != null || !answer.isSuccess()) {
                     throw new IOException(failure != null ? failure.getMessage() : "status " + answer.status());
                 }
-                input.offer(readVms(JSON.readTree(answer.body())));
+                input.offer(parseVms(JSON.readTree(answer.body())));
                 listFailed.set(false);
             } catch (IOException | RuntimeException e) {
                 if (!listFailed.getAndSet(true)) {
-                    log.warn("the list of VMs at {} can't be read, the last one stays: {}", listAddress, e.toString());
+                    log.warn(
+                            "the list of VMs at {} could not be read; keeping the previous one: {}",
+                            listAddress,
+                            e.toString());
                 }
             }
         });
     }
 
-    private static PlatformListed readVms(JsonNode answer) throws IOException {
+    private static PlatformListed parseVms(JsonNode answer) throws IOException {
         if (!answer.path("vms").isArray()) {
             throw new IOException("the answer has no array 'vms'");
         }
@@ -94,7 +97,7 @@
                     VmId.of(vm.path("vm").asText()),
                     vm.path("incarnation").asLong(),
                     vm.path("state").asText().equals("leaving"),
-                    kind(vm.path("kind").asText()),
+                    parseKind(vm.path("kind").asText()),
                     vm.path("name").asText(),
                     vm.path("pool").asText(""),
                     FailureDomain.of(vm.path("domain").asText()),
@@ -103,19 +106,20 @@
         return new PlatformListed(vms);
     }
 
-    private static VmKind kind(String text) {
+    private static VmKind parseKind(String text) {
         return VmKind.valueOf(text.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
-    private void probe(ProbeEndpoint probe, ControlInput input, boolean mayRepeat) {
-        caller.send(question(probe, "/v1/state", mayRepeat))
+    private void probe(ProbeEndpoint probe, ControlInput input, boolean mayRetry) {
+        httpClient
+                .send(probeRequest(probe, "/v1/state", mayRetry))
                 .thenCombine(
-                        caller.send(question(probe, "/v1/load", mayRepeat)),
-                        (state, load) -> report(probe, state, load))
+                        httpClient.send(probeRequest(probe, "/v1/load", mayRetry)),
+                        (state, load) -> toReport(probe, state, load))
                 .whenComplete((report, failure) -> {
                     if (failure == null) {
                         input.offer(report);
-                    } else if (mayRepeat) {
+                    } else if (mayRetry) {
                         probe(probe, input, false);
                     } else {
                         input.offer(new ProbeFailed(probe.endpoint(), probe.incarnation()));
@@ -123,13 +127,13 @@
                 });
     }
 
-    /** The repetition goes over a fresh connection: all kept ones may have been forgotten together. */
-    private static HttpQuery question(ProbeEndpoint probe, String path, boolean first) {
-        HttpQuery query = get(probe.address(), path);
-        return first ? query : query.overFreshConnection();
+    /** A retry uses a new connection, because the state of all idle connections may have been dropped together. */
+    private static HttpRequest probeRequest(ProbeEndpoint probe, String path, boolean firstAttempt) {
+        HttpRequest httpRequest = get(probe.address(), path);
+        return firstAttempt ? httpRequest : httpRequest.withNewConnection();
     }
 
-    private static EndpointReported report(ProbeEndpoint probe, HttpAnswer stateAnswer, HttpAnswer loadAnswer) {
+    private static EndpointReported toReport(ProbeEndpoint probe, HttpResponse stateAnswer, HttpResponse loadAnswer) {
         JsonNode state = parse(stateAnswer);
         JsonNode load = parse(loadAnswer);
         String version = state.path("version").asText("");
@@ -146,8 +150,11 @@
                 load.path("waiting_prefill_tokens").asLong(0));
     }
 
-    /** An address may be given to another process after its VM went: an answer of another kind is a failed probe. */
-    private static JsonNode parse(HttpAnswer answer) {
+    /**
+     * Parses a JSON object. Any other answer fails the probe, because the address of a removed VM may have been
+     * assigned to another process.
+     */
+    private static JsonNode parse(HttpResponse answer) {
         if (!answer.isSuccess()) {
             throw new IllegalStateException("status " + answer.status());
         }
@@ -159,10 +166,10 @@
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        throw new IllegalStateException("not an object");
+        throw new IllegalStateException("the answer isn't a JSON object");
     }
 
-    private static HttpQuery get(NetworkAddress address, String path) {
-        return HttpQuery.get(address, path).withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT);
+    private static HttpRequest get(NetworkAddress address, String path) {
+        return HttpRequest.get(address, path).withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT);
     }
 }
--- a/src/main/java/org/yuccagw/adapters/endpoint/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Probes of endpoints and orders to them in yuccagw's own protocol, over HTTP. */
+/** Probes endpoints and sends orders to them in yuccagw's own protocol, over HTTP. */
 package org.yuccagw.adapters.endpoint;
--- a/src/main/java/org/yuccagw/adapters/engine/EngineBody.java
+++ b/src/main/java/org/yuccagw/adapters/engine/CompletionBody.java
@@ -16,44 +16,44 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * The body of a completions or chat-completions request: checked, and made anew for an engine. Fields that yuccagw
- * doesn't know go to the engine as they came.
+ * The validated body of a completions or chat-completions request, from which the bodies for engines are built. Fields
+ * that yuccagw doesn't interpret are forwarded unchanged.
  */
-public final class EngineBody {
+public final class CompletionBody {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int USUAL_MAX_TOKENS = 256;
-    private static final int MOST_MAX_TOKENS = 1_000_000;
-    private static final String MAX_TOKENS = "max_tokens";
+    private static final int DEFAULT_MAX_TOKENS = 256;
+    private static final int MAX_TOKENS_LIMIT = 1_000_000;
+    private static final String MAX_TOKENS_FIELD = "max_tokens";
 
     private final ObjectNode body;
     private final boolean chat;
 
-    private EngineBody(ObjectNode body, boolean chat) {
+    private CompletionBody(ObjectNode body, boolean chat) {
         this.body = body;
         this.chat = chat;
     }
 
     /**
-     * Reads and checks the caller's body.
+     * Parses and validates a caller's body.
      *
-     * @param chat whether it came to the chat path
+     * @param chat whether it was sent to the path of chat completions
      * @throws YuccagwException of kind MALFORMED_UTF8, MALFORMED_BODY or WRONG_FIELD
      */
-    public static EngineBody read(byte[] bytes, boolean chat) throws YuccagwException {
+    public static CompletionBody read(byte[] bytes, boolean chat) throws YuccagwException {
         JsonNode node = parse(decode(bytes));
         if (!(node instanceof ObjectNode object)) {
             throw ErrorKind.MALFORMED_BODY.raise("expected an object");
         }
-        EngineBody read = new EngineBody(object, chat);
-        read.check();
-        return read;
+        CompletionBody completion = new CompletionBody(object, chat);
+        completion.validate();
+        return completion;
     }
 
     public String model() {
         return body.get("model").textValue();
     }
 
-    public boolean streamed() {
+    public boolean isStreamed() {
         return body.path("stream").asBoolean(false);
     }
 
@@ -61,12 +61,12 @@
         return chat;
     }
 
-    /** Most tokens that the answer may have. */
+    /** Returns the maximum number of tokens of the answer. */
     public int maxTokens() {
-        return body.path(MAX_TOKENS).asInt(USUAL_MAX_TOKENS);
+        return body.path(MAX_TOKENS_FIELD).asInt(DEFAULT_MAX_TOKENS);
     }
 
-    /** The prompt's bytes as the engine's cache sees them. */
+    /** Returns the bytes of the prompt from which the engine computes its cache keys. */
     public byte[] promptBytes() {
         if (!chat) {
             return body.get("prompt").textValue().getBytes(StandardCharsets.UTF_8);
@@ -79,30 +79,31 @@
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Returns an estimate of the prompt's length in tokens. */
     public long promptTokens() {
         return promptBytes().length / BlockChain.BYTES_PER_TOKEN + 1L;
     }
 
     /**
-     * The body for one attempt.
+     * Returns the body for one attempt.
      *
-     * @param textSoFar what the caller has already, to be continued
-     * @param piecesSoFar how many tokens that is
+     * @param textSoFar text that the caller has already received and that the engine continues
+     * @param piecesSoFar number of tokens of that text
      */
-    public byte[] forEngine(String salt, String version, int priority, String textSoFar, long piecesSoFar) {
+    public byte[] bodyForEngine(String salt, String version, int priority, String textSoFar, long piecesSoFar) {
         ObjectNode copy = body.deepCopy();
         copy.put("stream", true);
         copy.put("priority", priority);
         copy.put("cache_salt", salt);
         copy.put("weight_version", version);
-        copy.put(MAX_TOKENS, Math.max(1, maxTokens() - piecesSoFar));
+        copy.put(MAX_TOKENS_FIELD, Math.max(1, maxTokens() - piecesSoFar));
         if (!textSoFar.isEmpty()) {
-            continueFrom(copy, textSoFar);
+            appendText(copy, textSoFar);
         }
         return write(copy);
     }
 
-    private void continueFrom(ObjectNode copy, String textSoFar) {
+    private void appendText(ObjectNode copy, String textSoFar) {
         if (chat) {
             ArrayNode messages = (ArrayNode) copy.get("messages");
             messages.addObject().put("role", "assistant").put("content", textSoFar);
@@ -112,32 +113,32 @@
         }
     }
 
-    private void check() throws YuccagwException {
+    private void validate() throws YuccagwException {
         requireText("model");
         if (chat) {
-            checkMessages();
+            validateMessages();
         } else {
             requireText("prompt");
         }
-        checkMaxTokens();
+        validateMaxTokens();
         JsonNode stream = body.path("stream");
         if (!stream.isMissingNode() && !stream.isBoolean()) {
             throw ErrorKind.WRONG_FIELD.raise("stream", "expected true or false, found " + describe(stream));
         }
     }
 
-    private void checkMaxTokens() throws YuccagwException {
-        JsonNode tokens = body.path(MAX_TOKENS);
+    private void validateMaxTokens() throws YuccagwException {
+        JsonNode tokens = body.path(MAX_TOKENS_FIELD);
         if (tokens.isMissingNode()) {
             return;
         }
-        if (!tokens.isInt() || tokens.intValue() < 1 || tokens.intValue() > MOST_MAX_TOKENS) {
+        if (!tokens.isInt() || tokens.intValue() < 1 || tokens.intValue() > MAX_TOKENS_LIMIT) {
             throw ErrorKind.WRONG_FIELD.raise(
-                    MAX_TOKENS, "expected a whole number from 1 to " + MOST_MAX_TOKENS + ", found " + tokens);
+                    MAX_TOKENS_FIELD, "expected a whole number from 1 to " + MAX_TOKENS_LIMIT + ", found " + tokens);
         }
     }
 
-    private void checkMessages() throws YuccagwException {
+    private void validateMessages() throws YuccagwException {
         JsonNode messages = body.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
             throw ErrorKind.WRONG_FIELD.raise("messages", "expected a list with at least one message");
@@ -186,11 +187,11 @@
         try {
             return JSON.readTree(text);
         } catch (JsonProcessingException e) {
-            String place = e.getLocation() == null
+            String location = e.getLocation() == null
                     ? ""
                     : " at line " + e.getLocation().getLineNr() + ", column "
                             + e.getLocation().getColumnNr();
-            throw ErrorKind.MALFORMED_BODY.raise("not readable" + place);
+            throw ErrorKind.MALFORMED_BODY.raise("not readable" + location);
         }
     }
 
@@ -198,7 +199,7 @@
         try {
             return JSON.writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree that was read can be written", e);
+            throw new IllegalStateException("a tree that was parsed could not be written", e);
         }
     }
 }
--- a/src/main/java/org/yuccagw/adapters/engine/EngineLeg.java
+++ b/src/main/java/org/yuccagw/adapters/engine/EngineResponseListener.java
@@ -9,7 +9,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.adapters.http.SseParser;
 import org.yuccagw.core.request.AnswerHead;
 import org.yuccagw.core.request.AttemptFailure;
@@ -17,22 +17,22 @@
 import org.yuccagw.core.request.Usage;
 
 /**
- * One connection to a model engine: turns its answer into events of the request machine.
+ * Converts the answer of a model engine to events of the request machine.
  *
- * <p>The answer is whole only after the mark {@code [DONE]}. A connection that ends before it, even in order, counts as
- * broken, so a cut answer never passes for a whole one.
+ * <p>The answer is complete only after the end mark {@code [DONE]}. A connection that ends before it, even with a
+ * normal close, is treated as broken, so a truncated answer is never taken for a complete one.
  */
-public final class EngineLeg implements HttpStreamListener {
+public final class EngineResponseListener implements HttpResponseListener {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String END_MARK = "[DONE]";
     private static final String USAGE_FIELD = "\"usage\"";
-    private static final int LONGEST_ERROR = 64 * 1024;
+    private static final int MAX_ERROR_BYTES = 64 * 1024;
     private static final int OK = 200;
     private static final int CONFLICT = 409;
     private static final int NOT_FOUND = 404;
-    private static final int UNAVAILABLE = 503;
-    private static final int TOO_MANY = 429;
-    private static final int SERVER_FAULTS = 500;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
     private final RequestMachine machine;
     private final long leg;
@@ -40,27 +40,27 @@
     private final SseParser parser = SseParser.of(this::onEvent);
     private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
     private int status;
-    private boolean ended;
+    private boolean endMarkReceived;
 
-    private EngineLeg(RequestMachine machine, long leg, boolean resuming) {
+    private EngineResponseListener(RequestMachine machine, long leg, boolean resuming) {
         this.machine = machine;
         this.leg = leg;
         this.resuming = resuming;
     }
 
-    /** The leg that sends the request. */
-    public static EngineLeg sending(RequestMachine machine, long leg) {
-        return new EngineLeg(machine, leg, false);
+    /** Returns the listener for a leg that sends the request; a leg is one connection of an attempt. */
+    public static EngineResponseListener sending(RequestMachine machine, long leg) {
+        return new EngineResponseListener(machine, leg, false);
     }
 
-    /** The leg that reads a stream on which the engine has begun already. */
-    public static EngineLeg resuming(RequestMachine machine, long leg) {
-        return new EngineLeg(machine, leg, true);
+    /** Returns the listener for a leg that continues to read a stream that the engine has already started. */
+    public static EngineResponseListener resuming(RequestMachine machine, long leg) {
+        return new EngineResponseListener(machine, leg, true);
     }
 
     @Override
-    public void onHead(int answeredStatus, HeaderMap headers) {
-        status = answeredStatus;
+    public void onHead(int receivedStatus, HeaderMap headers) {
+        status = receivedStatus;
         if (status == OK) {
             machine.onHead(
                     leg,
@@ -75,7 +75,7 @@
     @Override
     public void onBytes(ByteBuffer bytes) {
         if (status != OK) {
-            keepError(bytes);
+            collectError(bytes);
             return;
         }
         try {
@@ -88,15 +88,15 @@
     @Override
     public void onEnd() {
         if (status != OK) {
-            refuse();
-        } else if (!ended) {
+            failWithStatus();
+        } else if (!endMarkReceived) {
             machine.onFailure(leg, AttemptFailure.BROKEN, "the answer ended without its end mark");
         }
     }
 
     @Override
     public void onFailure(Phase phase, boolean silent, IOException cause) {
-        if (ended) {
+        if (endMarkReceived) {
             return;
         }
         AttemptFailure failure = phase == Phase.CONNECT
@@ -107,7 +107,7 @@
 
     private void onEvent(long id, String data) throws IOException {
         if (data.equals(END_MARK)) {
-            ended = true;
+            endMarkReceived = true;
             machine.onDone(leg);
             return;
         }
@@ -131,16 +131,16 @@
     }
 
     /**
-     * The text of a chunk: the field {@code text} or {@code content}. Read token by token without building a tree,
-     * because this runs for every piece of every answer.
+     * Returns the text of a chunk, which is the field {@code text} or {@code content}. The JSON is read token by token,
+     * without a tree, because this is called for every piece of every answer.
      */
     private static String textOf(String data) throws IOException {
         try (JsonParser parser = JSON.createParser(data)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
-                boolean named = token == JsonToken.FIELD_NAME
+                boolean isTextField = token == JsonToken.FIELD_NAME
                         && (parser.currentName().equals("text")
                                 || parser.currentName().equals("content"));
-                if (named && parser.nextToken() == JsonToken.VALUE_STRING) {
+                if (isTextField && parser.nextToken() == JsonToken.VALUE_STRING) {
                     return parser.getText();
                 }
             }
@@ -148,16 +148,16 @@
         return "";
     }
 
-    private void keepError(ByteBuffer bytes) {
+    private void collectError(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
-            if (errorBody.size() < LONGEST_ERROR) {
+            if (errorBody.size() < MAX_ERROR_BYTES) {
                 errorBody.write(next);
             }
         }
     }
 
-    private void refuse() {
+    private void failWithStatus() {
         String code = "";
         String message = "status " + status;
         try {
@@ -174,16 +174,16 @@
         if (status == CONFLICT && code.equals("wrong_version")) {
             return AttemptFailure.WRONG_VERSION;
         }
-        if (status == UNAVAILABLE && code.equals("leaving")) {
+        if (status == SERVICE_UNAVAILABLE && code.equals("leaving")) {
             return AttemptFailure.LEAVING;
         }
-        if ((status == UNAVAILABLE && code.equals("overloaded")) || status == TOO_MANY) {
+        if ((status == SERVICE_UNAVAILABLE && code.equals("overloaded")) || status == TOO_MANY_REQUESTS) {
             return AttemptFailure.OVERLOADED;
         }
         if (status == NOT_FOUND && resuming) {
             return AttemptFailure.STREAM_FORGOTTEN;
         }
-        return status >= SERVER_FAULTS ? AttemptFailure.SERVER_ERROR : AttemptFailure.REJECTED;
+        return status >= FIRST_SERVER_ERROR_STATUS ? AttemptFailure.SERVER_ERROR : AttemptFailure.REJECTED;
     }
 
     private static String textOf(HeaderMap headers, String name) {
--- a/src/main/java/org/yuccagw/adapters/engine/PlainLeg.java
+++ b/src/main/java/org/yuccagw/adapters/engine/PlainResponseListener.java
@@ -5,18 +5,18 @@
 import io.undertow.util.HeaderValues;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.core.request.AnswerHead;
 import org.yuccagw.core.request.AttemptFailure;
 import org.yuccagw.core.request.RequestMachine;
 
 /**
- * One connection to a plain service: passes its answer on as it comes.
+ * Passes the answer of a plain service to the request machine unchanged.
  *
- * <p>For an idempotent call, an answer 502, 503 or 504 is a failure of the attempt that another endpoint may make good.
- * For any other call it is the answer: only the service knows whether it ran.
+ * <p>For an idempotent request, status 502, 503 or 504 is a failure of the attempt, which may be retried at another
+ * endpoint. For any other request it is the answer, because only the service knows whether the request ran.
  */
-public final class PlainLeg implements HttpStreamListener {
+public final class PlainResponseListener implements HttpResponseListener {
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
 
@@ -25,14 +25,15 @@
     private final boolean idempotent;
     private boolean failed;
 
-    private PlainLeg(RequestMachine machine, long leg, boolean idempotent) {
+    private PlainResponseListener(RequestMachine machine, long leg, boolean idempotent) {
         this.machine = machine;
         this.leg = leg;
         this.idempotent = idempotent;
     }
 
-    public static PlainLeg of(RequestMachine machine, long leg, boolean idempotent) {
-        return new PlainLeg(machine, leg, idempotent);
+    /** Returns the listener for one leg, that is one connection of an attempt. */
+    public static PlainResponseListener of(RequestMachine machine, long leg, boolean idempotent) {
+        return new PlainResponseListener(machine, leg, idempotent);
     }
 
     @Override
@@ -42,13 +43,13 @@
             machine.onFailure(leg, AttemptFailure.SERVER_ERROR, "status " + status);
             return;
         }
-        ImmutableMap.Builder<String, String> passedOn = ImmutableMap.builder();
+        ImmutableMap.Builder<String, String> forwarded = ImmutableMap.builder();
         for (HeaderValues values : headers) {
-            if (PlainCall.isPassedOn(values.getHeaderName())) {
-                passedOn.put(values.getHeaderName().toString(), String.join(", ", values));
+            if (PlainRequest.isForwarded(values.getHeaderName())) {
+                forwarded.put(values.getHeaderName().toString(), String.join(", ", values));
             }
         }
-        machine.onHead(leg, new AnswerHead(status, "", "", passedOn.buildOrThrow()));
+        machine.onHead(leg, new AnswerHead(status, "", "", forwarded.buildOrThrow()));
     }
 
     @Override
--- a/src/main/java/org/yuccagw/adapters/engine/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/engine/package-info.java
@@ -1,2 +1,2 @@
-/** One attempt at an endpoint over HTTP: model engines with server-sent events, and plain services. */
+/** HTTP requests of single attempts: to model engines, which answer with server-sent events, and to plain services. */
 package org.yuccagw.adapters.engine;
--- a/src/main/java/org/yuccagw/adapters/http/BodyReader.java
+++ b/src/main/java/org/yuccagw/adapters/http/BodyReader.java
@@ -10,8 +10,10 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * Reads the body of a request without blocking, within a size and a time. A sender that is slow, cut or too large gets
- * its own error, its connection is closed, and no thread ever waits for it.
+ * Reads the body of a request without blocking, within a size limit and a timeout.
+ *
+ * <p>A body that is too large, arrives too slowly or ends early is answered with an error of its own kind, and the
+ * connection is closed. No thread is blocked while the body arrives.
  */
 public final class BodyReader {
     private final long limitBytes;
@@ -22,22 +24,33 @@
         this.timeoutMillis = timeoutMillis;
     }
 
+    /**
+     * Creates a reader.
+     *
+     * @param limitBytes largest accepted body, in bytes
+     * @param timeoutMillis longest time from the call of {@link #read} to the last byte, in milliseconds
+     */
     public static BodyReader of(long limitBytes, long timeoutMillis) {
         return new BodyReader(limitBytes, timeoutMillis);
     }
 
-    /** Calls {@code body} on the I/O thread, with the exchange dispatched, once all bytes arrived. */
-    public void read(HttpServerExchange exchange, Consumer<byte[]> body) {
+    /**
+     * Reads the whole body, then calls {@code onBody} on the I/O thread with the exchange dispatched.
+     *
+     * <p>If the body can't be read, the request is answered with BODY_TOO_LARGE, SLOW_BODY or CUT_BODY, and
+     * {@code onBody} isn't called.
+     */
+    public void read(HttpServerExchange exchange, Consumer<byte[]> onBody) {
         if (exchange.getRequestContentLength() > limitBytes) {
-            refuse(exchange, ErrorKind.BODY_TOO_LARGE.raise(limitBytes));
+            reject(exchange, ErrorKind.BODY_TOO_LARGE.raise(limitBytes));
             return;
         }
-        Progress progress = new Progress();
-        XnioExecutor.Key timer = exchange.getIoThread()
+        ReadState state = new ReadState();
+        XnioExecutor.Key timeoutTimer = exchange.getIoThread()
                 .executeAfter(
                         () -> {
-                            if (progress.finish()) {
-                                refuse(exchange, ErrorKind.SLOW_BODY.raise(timeoutMillis));
+                            if (state.finish()) {
+                                reject(exchange, ErrorKind.SLOW_BODY.raise(timeoutMillis));
                             }
                         },
                         timeoutMillis,
@@ -45,35 +58,36 @@
         exchange.getRequestReceiver().setMaxBufferSize((int) limitBytes);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (received, bytes) -> {
-                            timer.remove();
-                            if (progress.finish()) {
-                                received.dispatch(SameThreadExecutor.INSTANCE, () -> body.accept(bytes));
+                        (completed, bytes) -> {
+                            timeoutTimer.remove();
+                            if (state.finish()) {
+                                completed.dispatch(SameThreadExecutor.INSTANCE, () -> onBody.accept(bytes));
                             }
                         },
                         (failed, cause) -> {
-                            timer.remove();
-                            if (progress.finish()) {
-                                refuse(failed, kindOf(cause));
+                            timeoutTimer.remove();
+                            if (state.finish()) {
+                                reject(failed, toError(cause));
                             }
                         });
     }
 
-    private YuccagwException kindOf(Exception cause) {
+    private YuccagwException toError(Exception cause) {
         return cause instanceof RequestTooBigException
                 ? ErrorKind.BODY_TOO_LARGE.raise(limitBytes)
                 : ErrorKind.CUT_BODY.raiseFrom(cause);
     }
 
-    private static void refuse(HttpServerExchange exchange, YuccagwException error) {
+    private static void reject(HttpServerExchange exchange, YuccagwException error) {
         exchange.setPersistent(false);
         ErrorAnswers.send(exchange, error);
     }
 
-    /** Whether the one outcome of a read is known; all uses are on one I/O thread. */
-    private static final class Progress {
+    /** Makes sure that a read ends exactly once. Used on one I/O thread only. */
+    private static final class ReadState {
         private boolean finished;
 
+        /** Returns whether this is the first call. */
         boolean finish() {
             boolean first = !finished;
             finished = true;
--- a/src/main/java/org/yuccagw/adapters/http/ErrorAnswers.java
+++ b/src/main/java/org/yuccagw/adapters/http/ErrorAnswers.java
@@ -11,9 +11,9 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * From an error to its HTTP answer, in the JSON shape that callers of completions APIs read.
+ * Converts an error to its HTTP answer, in the JSON format of completions APIs.
  *
- * <p>Example: {@code UNKNOWN_MODEL.raise("gtp-4")} gives status 404 and
+ * <p>Example: {@code UNKNOWN_MODEL.raise("gtp-4")} is answered with status 404 and
  *
  * <pre>{"error":{"message":"no service of the catalogue is named 'gtp-4'","type":"not_found_error",
  * "code":"unknown_model","ran":"not-run","retry":"never"}}</pre>
@@ -24,7 +24,7 @@
 
     private ErrorAnswers() {}
 
-    /** The body, which also is the data of the last event of a stream that ends with an error. */
+    /** Returns the JSON body, which is also the data of the last event of a stream that ends with an error. */
     public static String body(YuccagwException error) {
         ErrorKind kind = error.kind();
         ObjectNode root = JsonText.object();
@@ -37,24 +37,24 @@
         return JsonText.write(root);
     }
 
-    /** Seconds for the header {@code Retry-After}: rounded up, so that nobody comes back too early; at least 1. */
-    public static long retryAfterSeconds(Duration wait) {
-        long wholeSeconds = wait.plusSeconds(1).minusNanos(1).toSeconds();
+    /** Returns the seconds for {@code Retry-After}, at least 1; rounded up so that no caller retries too early. */
+    public static long retryAfterSeconds(Duration delay) {
+        long wholeSeconds = delay.plusSeconds(1).minusNanos(1).toSeconds();
         return Math.max(1, wholeSeconds);
     }
 
-    /** The headers that belong to the error, but for those of its body. */
+    /** Returns the headers of the error answer, except those that describe its body. */
     public static Map<String, String> headers(YuccagwException error) {
         Map<String, String> headers = new LinkedHashMap<>();
         error.retryAfter()
-                .ifPresent(wait -> headers.put(Headers.RETRY_AFTER_STRING, Long.toString(retryAfterSeconds(wait))));
+                .ifPresent(delay -> headers.put(Headers.RETRY_AFTER_STRING, Long.toString(retryAfterSeconds(delay))));
         if (error.kind().status() == UNAUTHORIZED) {
             headers.put(Headers.WWW_AUTHENTICATE_STRING, "Bearer");
         }
         return headers;
     }
 
-    /** Answers with the error. Only for an answer that has not begun. */
+    /** Sends the error as the whole answer. The answer must not have been started. */
     public static void send(HttpServerExchange exchange, YuccagwException error) {
         exchange.setStatusCode(error.kind().status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, JSON);
@@ -63,7 +63,7 @@
         exchange.getResponseSender().send(body(error));
     }
 
-    /** The family of the error in the words of completions APIs, by status. */
+    /** Returns the error type of completions APIs for the status of the error. */
     static String type(ErrorKind kind) {
         return switch (kind.status()) {
             case 401 -> "authentication_error";
--- a/src/main/java/org/yuccagw/adapters/http/HttpCall.java
+++ b/src/main/java/org/yuccagw/adapters/http/HttpCall.java
@@ -17,81 +17,81 @@
 import org.xnio.XnioIoThread;
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
-import org.yuccagw.adapters.http.HttpStreamListener.Phase;
+import org.yuccagw.adapters.http.HttpResponseListener.Phase;
 
 /**
- * One HTTP request in progress. All of it runs on one I/O thread, so it needs no lock.
+ * One HTTP request in progress. All its state is confined to one I/O thread, so it needs no lock.
  *
- * <p>The watch for silence: a timer runs while bytes are awaited; each byte starts it anew. When it ends first, the
- * connection is closed and the listener is told that it fell silent. This guards against connections that something
- * between the two ends forgot: they show no error at all, ever.
+ * <p>A silence timer runs while bytes are expected, and every byte restarts it. When it expires, the connection is
+ * closed and the listener is notified of the silence. This guards against connections whose state a device on the path
+ * has dropped: they never report an error.
  */
 public final class HttpCall {
-    private static final ImmutableSet<String> BODILESS = ImmutableSet.of("GET", "HEAD", "DELETE");
+    private static final ImmutableSet<String> METHODS_WITHOUT_BODY = ImmutableSet.of("GET", "HEAD", "DELETE");
 
-    private final HttpCaller caller;
-    private final HttpQuery query;
+    private final HttpClient client;
+    private final HttpRequest request;
     private final XnioIoThread thread;
-    private final HttpStreamListener listener;
+    private final HttpResponseListener listener;
 
     private Phase phase = Phase.CONNECT;
-    private boolean over;
+    private boolean finished;
     private boolean paused;
     private ClientConnection connection;
-    private StreamSourceChannel source;
+    private StreamSourceChannel responseChannel;
     private XnioExecutor.Key silenceTimer;
     private long lastByteNanos;
     private boolean bodySent;
     private Duration idleLimit = Duration.ZERO;
 
-    HttpCall(HttpCaller caller, HttpQuery query, XnioIoThread thread, HttpStreamListener listener) {
-        this.caller = caller;
-        this.query = query;
+    HttpCall(HttpClient client, HttpRequest request, XnioIoThread thread, HttpResponseListener listener) {
+        this.client = client;
+        this.request = request;
         this.thread = thread;
         this.listener = listener;
     }
 
-    /** Gives the request up: closes its connection and tells the listener nothing more. Any thread may call it. */
-    public void abandon() {
+    /** Cancels the request: closes its connection without calling the listener. May be called on any thread. */
+    public void cancel() {
         if (Thread.currentThread() == thread) {
-            finishQuietly();
+            finishWithoutCallback();
         } else {
-            thread.execute(this::finishQuietly);
+            thread.execute(this::finishWithoutCallback);
         }
     }
 
-    /** Stops reading, so that a slow reader on the other side holds the sender back; on the I/O thread only. */
+    /** Stops reading, so that back pressure reaches the sender of the response. Called on the I/O thread only. */
     public void pause() {
         paused = true;
-        if (source != null) {
-            source.suspendReads();
+        if (responseChannel != null) {
+            responseChannel.suspendReads();
         }
     }
 
-    /** Reads again after {@link #pause}; on the I/O thread only. */
+    /** Continues reading after {@link #pause}. Called on the I/O thread only. */
     public void resume() {
-        if (!paused || over) {
+        if (!paused || finished) {
             return;
         }
         paused = false;
         lastByteNanos = System.nanoTime();
-        if (source != null) {
-            source.resumeReads();
+        if (responseChannel != null) {
+            responseChannel.resumeReads();
         }
     }
 
-    void begin() {
-        if (over) {
+    void start() {
+        if (finished) {
             return;
         }
         silenceTimer = thread.executeAfter(
-                () -> fail(false, new IOException("no connection to " + query.address() + " within its timeout")),
-                query.connectTimeout().toMillis(),
+                () -> fail(false, new IOException("no connection to " + request.address() + " within its timeout")),
+                request.connectTimeout().toMillis(),
                 TimeUnit.MILLISECONDS);
-        caller.connect(query, thread, new ClientCallback<>() {
+        client.connect(request, thread, new ClientCallback<>() {
             @Override
-            public void completed(ClientConnection connected) {
-                onConnected(connected);
+            public void completed(ClientConnection established) {
+                onConnected(established);
             }
 
             @Override
@@ -105,16 +105,16 @@
         IoUtils.safeClose(connection);
     }
 
-    private void onConnected(ClientConnection connected) {
-        if (over) {
-            close(connected);
+    private void onConnected(ClientConnection established) {
+        if (finished) {
+            close(established);
             return;
         }
-        connection = connected;
+        connection = established;
         phase = Phase.AWAIT;
         lastByteNanos = System.nanoTime();
-        watchForSilence();
-        connection.sendRequest(makeRequest(), new ClientCallback<>() {
+        checkSilence();
+        connection.sendRequest(toClientRequest(), new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
                 onExchange(exchange);
@@ -127,26 +127,26 @@
         });
     }
 
-    private ClientRequest makeRequest() {
-        ClientRequest request = new ClientRequest()
-                .setMethod(HttpString.tryFromString(query.method()))
-                .setPath(query.path());
-        request.getRequestHeaders().put(Headers.HOST, query.address().toString());
-        for (io.undertow.util.HeaderValues values : query.headers()) {
-            request.getRequestHeaders().putAll(values.getHeaderName(), values);
+    private ClientRequest toClientRequest() {
+        ClientRequest clientRequest = new ClientRequest()
+                .setMethod(HttpString.tryFromString(request.method()))
+                .setPath(request.path());
+        clientRequest.getRequestHeaders().put(Headers.HOST, request.address().toString());
+        for (io.undertow.util.HeaderValues values : request.headers()) {
+            clientRequest.getRequestHeaders().putAll(values.getHeaderName(), values);
         }
-        boolean bodiless = query.body().length == 0 && BODILESS.contains(query.method());
-        if (!bodiless) {
-            request.getRequestHeaders().put(Headers.CONTENT_LENGTH, query.body().length);
+        boolean withoutBody = request.body().length == 0 && METHODS_WITHOUT_BODY.contains(request.method());
+        if (!withoutBody) {
+            clientRequest.getRequestHeaders().put(Headers.CONTENT_LENGTH, request.body().length);
         }
-        return request;
+        return clientRequest;
     }
 
     private void onExchange(ClientExchange exchange) {
         exchange.setResponseListener(new ClientCallback<>() {
             @Override
-            public void completed(ClientExchange answered) {
-                onHead(answered);
+            public void completed(ClientExchange responded) {
+                onHead(responded);
             }
 
             @Override
@@ -154,24 +154,24 @@
                 fail(false, cause);
             }
         });
-        sendBody(exchange.getRequestChannel(), ByteBuffer.wrap(query.body()));
+        sendBody(exchange.getRequestChannel(), ByteBuffer.wrap(request.body()));
     }
 
-    private void sendBody(StreamSinkChannel sink, ByteBuffer body) {
+    private void sendBody(StreamSinkChannel requestChannel, ByteBuffer body) {
         try {
             while (body.hasRemaining()) {
-                if (sink.write(body) == 0) {
-                    sink.getWriteSetter().set(channel -> sendBody(sink, body));
-                    sink.resumeWrites();
+                if (requestChannel.write(body) == 0) {
+                    requestChannel.getWriteSetter().set(channel -> sendBody(requestChannel, body));
+                    requestChannel.resumeWrites();
                     return;
                 }
             }
-            sink.shutdownWrites();
-            if (!sink.flush()) {
-                sink.getWriteSetter().set(channel -> sendBody(sink, body));
-                sink.resumeWrites();
+            requestChannel.shutdownWrites();
+            if (!requestChannel.flush()) {
+                requestChannel.getWriteSetter().set(channel -> sendBody(requestChannel, body));
+                requestChannel.resumeWrites();
             } else {
-                sink.suspendWrites();
+                requestChannel.suspendWrites();
                 bodySent = true;
             }
         } catch (IOException e) {
@@ -180,38 +180,38 @@
     }
 
     private void onHead(ClientExchange exchange) {
-        if (over) {
+        if (finished) {
             return;
         }
         phase = Phase.ANSWER;
         lastByteNanos = System.nanoTime();
-        source = exchange.getResponseChannel();
-        idleLimit = KeepAlive.limit(exchange.getResponse().getResponseHeaders());
+        responseChannel = exchange.getResponseChannel();
+        idleLimit = KeepAlive.idleLimit(exchange.getResponse().getResponseHeaders());
         listener.onHead(
                 exchange.getResponse().getResponseCode(), exchange.getResponse().getResponseHeaders());
-        if (over) {
+        if (finished) {
             return;
         }
-        source.getReadSetter().set(channel -> readBody());
+        responseChannel.getReadSetter().set(channel -> readBody());
         if (paused) {
-            source.suspendReads();
+            responseChannel.suspendReads();
         } else {
             readBody();
         }
     }
 
     private void readBody() {
-        try (PooledByteBuffer pooled = caller.buffers().allocate()) {
+        try (PooledByteBuffer pooled = client.buffers().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            while (!over && !paused) {
+            while (!finished && !paused) {
                 buffer.clear();
-                int count = source.read(buffer);
+                int count = responseChannel.read(buffer);
                 if (count < 0) {
-                    end();
+                    complete();
                     return;
                 }
                 if (count == 0) {
-                    source.resumeReads();
+                    responseChannel.resumeReads();
                     return;
                 }
                 lastByteNanos = System.nanoTime();
@@ -223,53 +223,54 @@
         }
     }
 
-    private void watchForSilence() {
-        cancelTimer();
-        long waited = System.nanoTime() - lastByteNanos;
-        long left = query.silenceTimeout().toNanos() - waited;
-        if (left <= 0 && !paused) {
-            fail(true, new IOException(query.address() + " was silent for " + query.silenceTimeout()));
+    private void checkSilence() {
+        cancelSilenceTimer();
+        long silentNanos = System.nanoTime() - lastByteNanos;
+        long remainingNanos = request.silenceTimeout().toNanos() - silentNanos;
+        if (remainingNanos <= 0 && !paused) {
+            fail(true, new IOException(request.address() + " was silent for " + request.silenceTimeout()));
             return;
         }
-        long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(left) + 1);
-        silenceTimer = thread.executeAfter(this::watchForSilence, millis, TimeUnit.MILLISECONDS);
+        long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos) + 1);
+        silenceTimer = thread.executeAfter(this::checkSilence, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void end() {
-        if (over) {
+    private void complete() {
+        if (finished) {
             return;
         }
-        over = true;
-        cancelTimer();
+        finished = true;
+        cancelSilenceTimer();
         if (bodySent) {
-            caller.giveBack(query.address(), thread, connection, idleLimit);
+            client.release(request.address(), thread, connection, idleLimit);
         } else {
-            // Answered before the body was sent: the rest of it would be read as the beginning of the next request.
+            // The server responded before the whole body was sent. If the connection were reused, the server would read
+            // the rest of the body as the start of the next request.
             close(connection);
         }
         listener.onEnd();
     }
 
     private void fail(boolean silent, IOException cause) {
-        if (over) {
+        if (finished) {
             return;
         }
-        finishQuietly();
+        finishWithoutCallback();
         if (silent) {
-            caller.forgetKept(query.address(), thread);
+            client.closeIdleConnections(request.address(), thread);
         }
         listener.onFailure(phase, silent, cause);
     }
 
-    private void finishQuietly() {
-        over = true;
-        cancelTimer();
+    private void finishWithoutCallback() {
+        finished = true;
+        cancelSilenceTimer();
         if (connection != null) {
             close(connection);
         }
     }
 
-    private void cancelTimer() {
+    private void cancelSilenceTimer() {
         if (silenceTimer != null) {
             silenceTimer.remove();
         }
--- /dev/null
+++ b/src/main/java/org/yuccagw/adapters/http/HttpClient.java
@@ -0,0 +1,266 @@
+package org.yuccagw.adapters.http;
+
+import io.undertow.client.ClientCallback;
+import io.undertow.client.ClientConnection;
+import io.undertow.client.UndertowClient;
+import io.undertow.connector.ByteBufferPool;
+import io.undertow.protocols.ssl.UndertowXnioSsl;
+import io.undertow.server.DefaultByteBufferPool;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.URI;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.concurrent.TimeUnit;
+import javax.net.ssl.SSLContext;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioIoThread;
+import org.xnio.XnioWorker;
+import org.xnio.ssl.XnioSsl;
+import org.yuccagw.core.id.NetworkAddress;
+
+/**
+ * Non-blocking HTTP client over Undertow's. Every request is confined to one I/O thread.
+ *
+ * <p>Idle connections are pooled per address and I/O thread, so no two threads share one. A connection returns to the
+ * pool only after a complete response was read. One that failed or was silent past its timeout is closed and never
+ * reused: a device on the path may have dropped its state although new connections work.
+ *
+ * <p>If the server has closed a pooled connection in the meantime, the request fails in phase AWAIT before any byte of
+ * a response is received. The client doesn't retry it, because only the code that sent it can decide whether a retry
+ * is safe.
+ */
+public final class HttpClient {
+    /**
+     * Limits how long an endpoint computes an answer that no caller reads. Undertow half-closes a cancelled connection
+     * and drains it for ten seconds by default, and an endpoint that detects closed connections continues for as long.
+     * The time isn't zero because a server connection that is closed after its response is drained for the same time.
+     */
+    private static final String DRAIN_TIME_PROPERTY = "io.undertow.max-drain-time";
+
+    private static final String DRAIN_TIME_MILLIS = "150";
+
+    static {
+        if (System.getProperty(DRAIN_TIME_PROPERTY) == null) {
+            System.setProperty(DRAIN_TIME_PROPERTY, DRAIN_TIME_MILLIS);
+        }
+    }
+
+    private static final int BUFFER_BYTES = 16 * 1024;
+    /** Kept low because an endpoint accepts only a few hundred connections from all entries together. */
+    private static final int MAX_IDLE_PER_ADDRESS = 6;
+
+    private final XnioWorker worker;
+    private final boolean ownsWorker;
+    private final ByteBufferPool buffers;
+    private final Optional<XnioSsl> tls;
+    private final Map<XnioIoThread, Map<NetworkAddress, ArrayDeque<IdleConnection>>> idleByThread =
+            new ConcurrentHashMap<>();
+
+    private HttpClient(XnioWorker worker, boolean ownsWorker, Optional<XnioSsl> tls) {
+        this.worker = worker;
+        this.ownsWorker = ownsWorker;
+        this.tls = tls;
+        this.buffers = new DefaultByteBufferPool(true, BUFFER_BYTES);
+    }
+
+    /** Returns a client with I/O threads of its own, which {@link #stop} ends. */
+    public static HttpClient start(int ioThreads) throws IOException {
+        return new HttpClient(createWorker(ioThreads), true, Optional.empty());
+    }
+
+    /** Returns a client as {@link #start(int)} does that uses TLS for every connection. */
+    public static HttpClient start(int ioThreads, SSLContext tls) throws IOException {
+        XnioSsl xnioSsl = new UndertowXnioSsl(Xnio.getInstance(), OptionMap.EMPTY, tls);
+        return new HttpClient(createWorker(ioThreads), true, Optional.of(xnioSsl));
+    }
+
+    private static XnioWorker createWorker(int ioThreads) throws IOException {
+        OptionMap options = OptionMap.builder()
+                .set(Options.WORKER_IO_THREADS, ioThreads)
+                .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                .set(Options.THREAD_DAEMON, true)
+                .set(Options.TCP_NODELAY, true)
+                .getMap();
+        return Xnio.getInstance().createWorker(options);
+    }
+
+    /** Returns a client on the I/O threads of a server, so that a request and its answer share one thread. */
+    public static HttpClient onWorker(XnioWorker worker) {
+        return new HttpClient(worker, false, Optional.empty());
+    }
+
+    /** Returns a client on the I/O threads of a server that uses TLS for every connection. */
+    public static HttpClient onWorker(XnioWorker worker, SSLContext tls) {
+        XnioSsl xnioSsl = new UndertowXnioSsl(Xnio.getInstance(), OptionMap.EMPTY, tls);
+        return new HttpClient(worker, false, Optional.of(xnioSsl));
+    }
+
+    /** Closes the idle connections, and ends the I/O threads if they are the client's own. */
+    public void stop() {
+        idleByThread.forEach((thread, byAddress) -> thread.execute(
+                () -> byAddress.values().forEach(connections -> connections.forEach(IdleConnection::close))));
+        if (ownsWorker) {
+            worker.shutdown();
+        }
+    }
+
+    public XnioWorker worker() {
+        return worker;
+    }
+
+    ByteBufferPool buffers() {
+        return buffers;
+    }
+
+    /** Sends the request and returns its complete response; the future fails with an IOException. */
+    public CompletableFuture<HttpResponse> send(HttpRequest request) {
+        CompletableFuture<HttpResponse> response = new CompletableFuture<>();
+        stream(request, worker.getIoThread(ThreadLocalRandom.current().nextInt()), new ResponseCollector(response));
+        return response;
+    }
+
+    /** Sends the request on an I/O thread of this client's worker; the listener is called on that thread. */
+    public HttpCall stream(HttpRequest request, XnioIoThread thread, HttpResponseListener listener) {
+        HttpCall call = new HttpCall(this, request, thread, listener);
+        if (Thread.currentThread() == thread) {
+            call.start();
+        } else {
+            thread.execute(call::start);
+        }
+        return call;
+    }
+
+    /** Tests whether a new connection to the address is established within 2 s; sends nothing over it. */
+    public CompletableFuture<Boolean> canConnect(NetworkAddress address, XnioIoThread thread) {
+        CompletableFuture<Boolean> result = new CompletableFuture<>();
+        HttpRequest request = HttpRequest.get(address, "/").withNewConnection();
+        thread.execute(() -> connect(request, thread, new ClientCallback<>() {
+            @Override
+            public void completed(ClientConnection established) {
+                HttpCall.close(established);
+                result.complete(true);
+            }
+
+            @Override
+            public void failed(IOException cause) {
+                result.complete(false);
+            }
+        }));
+        return result.completeOnTimeout(false, request.connectTimeout().toMillis(), TimeUnit.MILLISECONDS);
+    }
+
+    /**
+     * Closes the idle connections of the thread to the address. Called when one connection was silent past its timeout,
+     * because the others may have been dropped with it.
+     */
+    void closeIdleConnections(NetworkAddress address, XnioIoThread thread) {
+        ArrayDeque<IdleConnection> connections = idleConnections(address, thread);
+        connections.forEach(IdleConnection::close);
+        connections.clear();
+    }
+
+    void connect(HttpRequest request, XnioIoThread thread, ClientCallback<ClientConnection> callback) {
+        ClientConnection reused = request.newConnection() ? null : takeIdleConnection(request.address(), thread);
+        if (reused != null) {
+            callback.completed(reused);
+            return;
+        }
+        OptionMap options = OptionMap.create(Options.TCP_NODELAY, true);
+        if (tls.isPresent()) {
+            URI uri = URI.create("https://" + request.address());
+            UndertowClient.getInstance().connect(callback, uri, thread, tls.get(), buffers, options);
+        } else {
+            URI uri = URI.create("http://" + request.address());
+            UndertowClient.getInstance().connect(callback, uri, thread, buffers, options);
+        }
+    }
+
+    /**
+     * An idle connection.
+     *
+     * @param expiryNanos monotonic time until which it may be reused
+     */
+    private record IdleConnection(ClientConnection connection, long expiryNanos) {
+        private void close() {
+            HttpCall.close(connection);
+        }
+
+        private boolean isUsable() {
+            return connection.isOpen() && System.nanoTime() - expiryNanos < 0;
+        }
+    }
+
+    /** Returns a connection to the pool after a complete response, or closes it if it can't be reused. */
+    void release(NetworkAddress address, XnioIoThread thread, ClientConnection connection, Duration idleLimit) {
+        ArrayDeque<IdleConnection> connections = idleConnections(address, thread);
+        boolean isReusable = connection.isOpen() && idleLimit.compareTo(Duration.ZERO) > 0;
+        if (isReusable && connections.size() < MAX_IDLE_PER_ADDRESS) {
+            connections.addLast(new IdleConnection(connection, System.nanoTime() + idleLimit.toNanos()));
+        } else {
+            HttpCall.close(connection);
+        }
+    }
+
+    /** Removes the most recently used idle connection that is still usable from the pool; null if there is none. */
+    private ClientConnection takeIdleConnection(NetworkAddress address, XnioIoThread thread) {
+        ArrayDeque<IdleConnection> connections = idleConnections(address, thread);
+        for (IdleConnection next = connections.pollLast(); next != null; next = connections.pollLast()) {
+            if (next.isUsable()) {
+                return next.connection();
+            }
+            next.close();
+        }
+        return null;
+    }
+
+    private ArrayDeque<IdleConnection> idleConnections(NetworkAddress address, XnioIoThread thread) {
+        return idleByThread
+                .computeIfAbsent(thread, key -> new ConcurrentHashMap<>())
+                .computeIfAbsent(address, key -> new ArrayDeque<>());
+    }
+
+    /** Collects a response in memory. */
+    private static final class ResponseCollector implements HttpResponseListener {
+        private final CompletableFuture<HttpResponse> response;
+        private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+        private int status;
+        private io.undertow.util.HeaderMap headers;
+
+        private ResponseCollector(CompletableFuture<HttpResponse> response) {
+            this.response = response;
+        }
+
+        @Override
+        public void onHead(int receivedStatus, io.undertow.util.HeaderMap receivedHeaders) {
+            status = receivedStatus;
+            headers = receivedHeaders;
+        }
+
+        @Override
+        public void onBytes(ByteBuffer bytes) {
+            while (bytes.hasRemaining()) {
+                body.write(bytes.get());
+            }
+        }
+
+        @Override
+        public void onEnd() {
+            response.complete(new HttpResponse(status, headers, body.toByteArray()));
+        }
+
+        @Override
+        public void onFailure(Phase phase, boolean silent, IOException cause) {
+            response.completeExceptionally(cause);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/yuccagw/adapters/http/HttpResponseListener.java
@@ -0,0 +1,37 @@
+package org.yuccagw.adapters.http;
+
+import io.undertow.util.HeaderMap;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+
+/**
+ * Receives the response to one HTTP request, on the I/O thread of the request. No method is called after
+ * {@link #onEnd} or {@link #onFailure}.
+ */
+public interface HttpResponseListener {
+    /** The progress of a request when it failed, which shows whether the server may have received it. */
+    enum Phase {
+        /** No connection was established; no byte was sent. */
+        CONNECT,
+        /** Some or all of the request may have been sent; no response was received. */
+        AWAIT,
+        /** The head of the response had been received. */
+        ANSWER
+    }
+
+    /** Called when the status line and the headers have been received. */
+    void onHead(int status, HeaderMap headers);
+
+    /** Called with the next bytes of the body. The buffer is valid during the call only. */
+    void onBytes(ByteBuffer bytes);
+
+    /** Called when the complete response has been received. */
+    void onEnd();
+
+    /**
+     * Called when the request failed. Its connection is closed and isn't reused.
+     *
+     * @param silent whether no byte was received within the silence timeout
+     */
+    void onFailure(Phase phase, boolean silent, IOException cause);
+}
--- a/src/main/java/org/yuccagw/adapters/http/JsonText.java
+++ b/src/main/java/org/yuccagw/adapters/http/JsonText.java
@@ -13,10 +13,10 @@
 import java.io.UncheckedIOException;
 
 /**
- * Reads and writes JSON trees by the library's parser and generator alone.
+ * Reads and writes JSON trees with Jackson's streaming parser and generator only.
  *
- * <p>The library's object mapper prepares for beans, dates and calendars when it is made, which takes a sixth of what
- * an entry does until callers can connect.
+ * <p>Jackson's object mapper sets up its support for beans, dates and calendars when it is created, which takes a sixth
+ * of the start of an entry until callers can connect.
  */
 public final class JsonText {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -24,16 +24,16 @@
 
     private JsonText() {}
 
-    /** An empty object. */
+    /** Returns a new empty object. */
     public static ObjectNode object() {
         return NODES.objectNode();
     }
 
     /**
-     * Reads a document; what follows its end is passed over.
+     * Parses a document; any content after its end is ignored.
      *
-     * @return a missing node if there is nothing
-     * @throws IOException if it isn't JSON
+     * @return the root node, or a missing node if the input is empty
+     * @throws IOException if the document isn't valid JSON
      */
     public static JsonNode read(byte[] document) throws IOException {
         try (JsonParser parser = FACTORY.createParser(document)) {
@@ -46,7 +46,7 @@
             case START_OBJECT -> readObject(parser);
             case START_ARRAY -> readArray(parser);
             case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT -> readWhole(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
@@ -54,7 +54,7 @@
         };
     }
 
-    private static JsonNode readWhole(JsonParser parser) throws IOException {
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
             case INT -> NODES.numberNode(parser.getIntValue());
             case LONG -> NODES.numberNode(parser.getLongValue());
@@ -80,13 +80,13 @@
         return array;
     }
 
-    /** The document in one line. */
+    /** Returns the document as text in one line. */
     public static String write(JsonNode node) {
         StringWriter text = new StringWriter();
         try (JsonGenerator generator = FACTORY.createGenerator(text)) {
             writeValue(node, generator);
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory failed", e);
+            throw new UncheckedIOException("writing JSON to memory failed", e);
         }
         return text.toString();
     }
--- a/src/main/java/org/yuccagw/adapters/http/KeepAlive.java
+++ b/src/main/java/org/yuccagw/adapters/http/KeepAlive.java
@@ -5,34 +5,40 @@
 import io.undertow.util.Headers;
 import java.time.Duration;
 
-/** How long a kept connection may stay idle before it is used again. */
+/** Determines how long a connection may stay idle and still be reused. */
 final class KeepAlive {
-    /** Other sides that don't tell their timeout rarely have one below this. */
-    private static final Duration USUAL = Duration.ofSeconds(4);
+    /** Servers that don't send their idle timeout rarely have a shorter one. */
+    private static final Duration DEFAULT_LIMIT = Duration.ofSeconds(4);
 
-    /** The timeout runs at the other side, whose answer took a while to get here. */
+    /** Deducted because the server's timeout starts when it sends the response, before the response arrives here. */
     private static final Duration MARGIN = Duration.ofMillis(500);
 
-    private static final String TIMEOUT = "timeout=";
+    private static final String TIMEOUT_PARAMETER = "timeout=";
 
     private KeepAlive() {}
 
-    /** The limit that an answer sets: none at all when the other side closes. */
-    static Duration limit(HeaderMap answer) {
-        String connection = answer.getFirst(Headers.CONNECTION);
+    /**
+     * Returns the idle time that the headers of a response allow, at most 4 s.
+     *
+     * <p>It is zero if the server closes the connection, and zero or negative if the announced timeout isn't longer
+     * than the margin; the connection isn't reused then. Example: {@code Keep-Alive: timeout=2} gives 1.5 s.
+     */
+    static Duration idleLimit(HeaderMap responseHeaders) {
+        String connection = responseHeaders.getFirst(Headers.CONNECTION);
         if (connection != null && connection.toLowerCase(java.util.Locale.ROOT).contains("close")) {
             return Duration.ZERO;
         }
-        String told = answer.getFirst("Keep-Alive");
-        int start = told == null ? -1 : told.indexOf(TIMEOUT);
-        if (start < 0) {
-            return USUAL;
+        String keepAlive = responseHeaders.getFirst("Keep-Alive");
+        int timeoutIndex = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
+        if (timeoutIndex < 0) {
+            return DEFAULT_LIMIT;
         }
-        String digits = told.substring(start + TIMEOUT.length()).split("[^0-9]", 2)[0];
+        String digits =
+                keepAlive.substring(timeoutIndex + TIMEOUT_PARAMETER.length()).split("[^0-9]", 2)[0];
         if (digits.isEmpty() || digits.length() > 6) {
-            return USUAL;
+            return DEFAULT_LIMIT;
         }
-        Duration limit = Duration.ofSeconds(Long.parseLong(digits)).minus(MARGIN);
-        return Comparators.min(limit, USUAL);
+        Duration idleLimit = Duration.ofSeconds(Long.parseLong(digits)).minus(MARGIN);
+        return Comparators.min(idleLimit, DEFAULT_LIMIT);
     }
 }
--- a/src/main/java/org/yuccagw/adapters/http/SseParser.java
+++ b/src/main/java/org/yuccagw/adapters/http/SseParser.java
@@ -6,24 +6,24 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts a stream of server-sent events into events, whatever the pieces in which its bytes arrive.
+ * Incremental parser of server-sent events. The bytes of the stream may arrive in chunks of any size.
  *
- * <p>Example: the pieces {@code "id: 7\nda"} and {@code "ta: {}\n\n"} give one event with id 7 and data {@code {}}.
+ * <p>Example: the chunks {@code "id: 7\nda"} and {@code "ta: {}\n\n"} give one event with id 7 and data {@code {}}.
  */
 public final class SseParser {
-    private static final int LONGEST_LINE = 1024 * 1024;
-    private static final String ID = "id:";
-    private static final String DATA = "data:";
+    private static final int MAX_LINE_BYTES = 1024 * 1024;
+    private static final String ID_FIELD = "id:";
+    private static final String DATA_FIELD = "data:";
 
     private final Listener listener;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
+    private final ByteArrayOutputStream lineBytes = new ByteArrayOutputStream(256);
     private long id = NO_ID;
     private StringBuilder data;
 
-    /** The id of an event that carries none. */
+    /** The id reported for an event without an id. */
     public static final long NO_ID = -1;
 
-    /** Takes one event. */
+    /** Receives the parsed events. */
     @FunctionalInterface
     public interface Listener {
         void onEvent(long id, String data) throws IOException;
@@ -33,14 +33,15 @@
         this.listener = listener;
     }
 
+    /** Returns a parser that passes each complete event to the listener. */
     public static SseParser of(Listener listener) {
         return new SseParser(listener);
     }
 
     /**
-     * Takes the next bytes.
+     * Parses the next bytes of the stream and calls the listener for every event that they complete.
      *
-     * @throws IOException when a line is over 1 MiB, an id isn't a number, or the listener refuses the event
+     * @throws IOException if a line exceeds 1 MiB, an id isn't a number, or the listener throws it
      */
     public void accept(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
@@ -48,27 +49,27 @@
             if (next == '\n') {
                 endLine();
             } else if (next != '\r') {
-                line.write(next);
-                checkLength();
+                lineBytes.write(next);
+                checkLineLength();
             }
         }
     }
 
-    private void checkLength() throws IOException {
-        if (line.size() > LONGEST_LINE) {
-            throw new IOException("a line of the event stream is over " + LONGEST_LINE + " bytes");
+    private void checkLineLength() throws IOException {
+        if (lineBytes.size() > MAX_LINE_BYTES) {
+            throw new IOException("a line of the event stream is over " + MAX_LINE_BYTES + " bytes");
         }
     }
 
     private void endLine() throws IOException {
-        String text = line.toString(StandardCharsets.UTF_8);
-        line.reset();
+        String text = lineBytes.toString(StandardCharsets.UTF_8);
+        lineBytes.reset();
         if (text.isEmpty()) {
             endEvent();
-        } else if (text.startsWith(ID)) {
-            id = parseId(text.substring(ID.length()).trim());
-        } else if (text.startsWith(DATA)) {
-            addData(text.substring(DATA.length()).trim());
+        } else if (text.startsWith(ID_FIELD)) {
+            id = parseId(text.substring(ID_FIELD.length()).trim());
+        } else if (text.startsWith(DATA_FIELD)) {
+            addData(text.substring(DATA_FIELD.length()).trim());
         }
     }
 
@@ -86,10 +87,10 @@
             return;
         }
         String text = data.toString();
-        long number = id;
+        long eventId = id;
         data = null;
         id = NO_ID;
-        listener.onEvent(number, text);
+        listener.onEvent(eventId, text);
     }
 
     private static long parseId(String text) throws IOException {
--- a/src/main/java/org/yuccagw/adapters/http/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP by Undertow: the shared client, the caller address and the admin address. */
+/** HTTP over Undertow: the shared client, and reading and answering requests on the caller and admin addresses. */
 package org.yuccagw.adapters.http;
--- a/src/main/java/org/yuccagw/adapters/serving/RunCount.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ActiveRequests.java
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** How many requests are in progress, for a stop that cuts none. */
-public final class RunCount {
+/** Counts the requests in progress, so that a graceful stop can wait for them. */
+public final class ActiveRequests {
     private final AtomicInteger running = new AtomicInteger();
 
-    private RunCount() {}
+    private ActiveRequests() {}
 
-    public static RunCount create() {
-        return new RunCount();
+    public static ActiveRequests create() {
+        return new ActiveRequests();
     }
 
     void begin() {
@@ -20,7 +20,7 @@
         running.decrementAndGet();
     }
 
-    public int value() {
+    public int count() {
         return running.get();
     }
 }
--- a/src/main/java/org/yuccagw/adapters/serving/CallerHead.java
+++ b/src/main/java/org/yuccagw/adapters/serving/CallerHead.java
@@ -7,18 +7,20 @@
 import org.yuccagw.core.prompt.PromptShape;
 
 /**
- * The head of a caller's request, decoded.
+ * The decoded head of a caller's request.
  *
- * @param bearerKey the caller's key, which goes no further than here
- * @param patience how long the caller waits, if it says so
- * @param afterEvent event after which a stream is to go on, -1 for all of it
- * @param forwarded headers that go on to the endpoint as they came
+ * @param host value of the host header
+ * @param bearerKey key of the caller, which is never forwarded
+ * @param timeout timeout requested by the caller, if any
+ * @param prompt shape of the prompt, if the caller describes it
+ * @param afterEvent id of the event after which the stream resumes, -1 for the whole stream
+ * @param forwardedHeaders headers that are forwarded to the endpoint unchanged
  */
 public record CallerHead(
         RequestId id,
         String host,
         Optional<String> bearerKey,
-        Optional<Duration> patience,
+        Optional<Duration> timeout,
         Optional<PromptShape> prompt,
         long afterEvent,
-        HeaderMap forwarded) {}
+        HeaderMap forwardedHeaders) {}
