--- a/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
@@ -17,8 +17,8 @@
 import org.yuccagw.adapters.caller.CallerResponse;
 import org.yuccagw.adapters.http.ErrorAnswers;
 import org.yuccagw.adapters.http.HttpCall;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.forward.EndpointAnswerHead;
@@ -34,9 +34,9 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 
-/** One request: carries out what its {@link ForwardMachine} asks, on the I/O thread of the caller's connection. */
-final class ServingRun implements ForwardEffects, CallerResponse.Flow {
-    /** A connection within a failure domain stands within a millisecond, between two within five. */
+/** Executes the effects of one request's {@link ForwardMachine} on the I/O thread of the caller's connection. */
+final class ServingRun implements ForwardEffects, CallerResponse.FlowControl {
+    /** A connection is established within 1 ms in a failure domain and within 5 ms between two of them. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
 
     private final ServingServices services;
@@ -47,13 +47,13 @@
     private final byte[] body;
     private final CallerResponse response;
     private final ForwardMachine machine;
-    private final Runnable ended;
-    private final CallerWatch watch;
+    private final Runnable onEnded;
+    private final DisconnectDetector disconnectDetector;
     private final long arrivedNanos = System.nanoTime();
     private final Map<TimerKind, XnioExecutor.Key> timers = new EnumMap<>(TimerKind.class);
     private long firstByteNanos;
-    private Leg present;
-    private boolean held;
+    private Attempt current;
+    private boolean heldByMachine;
 
     private ServingRun(
             ServingServices services,
@@ -61,32 +61,32 @@
             CallerHead head,
             ForwardRequest request,
             byte[] body,
-            Runnable ended) {
+            Runnable onEnded) {
         this.services = services;
         this.exchange = exchange;
         this.thread = exchange.getIoThread();
         this.head = head;
         this.request = request;
         this.body = body;
-        this.ended = ended;
+        this.onEnded = onEnded;
         this.response = new CallerResponse(exchange, this);
         this.machine = ForwardMachine.of(request, this);
-        this.watch = CallerWatch.begin(exchange);
+        this.disconnectDetector = DisconnectDetector.begin(exchange);
     }
 
-    /** Begins the run of a request that was read whole; {@code ended} runs once it is over. */
+    /** Starts the run of a request whose body was read. {@code onEnded} is called when the request has ended. */
     static void begin(
             ServingServices services,
             HttpServerExchange exchange,
             CallerHead head,
             ForwardRequest request,
             byte[] body,
-            Runnable ended) {
-        ServingRun run = new ServingRun(services, exchange, head, request, body, ended);
+            Runnable onEnded) {
+        ServingRun run = new ServingRun(services, exchange, head, request, body, onEnded);
         run.machine.begin();
     }
 
-    // ---- Effects of the machine.
+    // Effects of the machine.
 
     @Override
     public long nowNanos() {
@@ -95,7 +95,7 @@
 
     @Override
     public void requestPlacement(
-            ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left) {
+            ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration remaining) {
         services.control()
                 .offer(new PlacementRequest(
                         request.id(),
@@ -107,51 +107,54 @@
                         excluded,
                         kind,
                         pinned,
-                        left.toMillis(),
+                        remaining.toMillis(),
                         decision -> thread.execute(() -> onPlaced(decision))));
     }
 
     private void onPlaced(PlacementDecision decision) {
-        watch.look();
+        disconnectDetector.checkNow();
         machine.onPlacementDecision(decision);
     }
 
     @Override
-    public void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh) {
-        HeaderMap headers = services.dialect().attemptHeaders(head, request.workspace(), placed, left, afterEvent);
+    public void send(
+            long leg, PlacementDecision.Placed placed, Duration remaining, long afterEvent, boolean newConnection) {
+        HeaderMap headers =
+                services.protocol().attemptHeaders(head, request.workspace(), placed, remaining, afterEvent);
         String query = exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString();
-        // Once past its end the machine itself gives the leg up; this only frees what it might forget.
-        Duration silence = left.plusSeconds(1);
-        HttpQuery sent = new HttpQuery(
+        // The machine abandons the leg at the deadline. This timeout only releases a connection that it failed to
+        // close.
+        Duration silenceTimeout = remaining.plusSeconds(1);
+        HttpRequest httpRequest = new HttpRequest(
                 placed.endpoint().address(),
                 exchange.getRequestMethod().toString(),
                 exchange.getRequestURI() + query,
                 headers,
                 body,
                 CONNECT_TIMEOUT,
-                silence,
-                fresh);
-        present = new Leg(leg, placed.endpoint().id());
-        present.call = services.traffic().stream(sent, thread, present);
+                silenceTimeout,
+                newConnection);
+        current = new Attempt(leg, placed.endpoint().id());
+        current.call = services.endpointClient().stream(httpRequest, thread, current);
     }
 
     @Override
     public void abandon(long leg) {
-        if (present != null && present.number == leg && present.call != null) {
-            present.call.abandon();
+        if (current != null && current.leg == leg && current.call != null) {
+            current.call.cancel();
         }
     }
 
     @Override
     public void pauseReading(long leg) {
-        present.call.pause();
-        held = true;
+        current.call.pause();
+        heldByMachine = true;
     }
 
     @Override
     public void resumeReading(long leg) {
-        held = false;
-        present.call.resume();
+        heldByMachine = false;
+        current.call.resume();
     }
 
     @Override
@@ -165,9 +168,9 @@
 
     @Override
     public void answerHead(long leg) {
-        HeaderMap headers = services.dialect().answerHeaders(present.headers);
+        HeaderMap headers = services.protocol().answerHeaders(current.headers);
         firstByteNanos = System.nanoTime();
-        response.start(present.status, headers);
+        response.start(current.status, headers);
     }
 
     @Override
@@ -182,23 +185,23 @@
 
     @Override
     public void abortAnswer() {
-        response.cut();
+        response.abort();
     }
 
     @Override
     public void answerError(YuccagwException error) {
-        if (!response.isOver()) {
-            refuse(exchange, services.dialect(), error);
+        if (!response.isFinished()) {
+            sendError(exchange, services.protocol(), error);
         }
     }
 
-    /** Answers with an error of ours. */
-    static void refuse(HttpServerExchange exchange, Dialect dialect, YuccagwException error) {
+    /** Sends an error of this entry as the whole answer. */
+    static void sendError(HttpServerExchange exchange, WireProtocol protocol, YuccagwException error) {
         exchange.setStatusCode(error.kind().status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         error.retryAfter()
-                .ifPresent(wait -> exchange.getResponseHeaders()
-                        .put(HttpString.tryFromString("Retry-After"), dialect.retryAfter(wait)));
+                .ifPresent(delay -> exchange.getResponseHeaders()
+                        .put(HttpString.tryFromString("Retry-After"), protocol.formatRetryAfter(delay)));
         exchange.getResponseSender().send(ErrorAnswers.body(error));
     }
 
@@ -237,7 +240,7 @@
                         .with("total_ms", (now - arrivedNanos) / 1_000_000));
         services.metrics()
                 .recordRequestEnd(request.service(), request.route().kind().name(), outcome);
-        ended.run();
+        onEnded.run();
     }
 
     private void cancel(TimerKind kind) {
@@ -247,62 +250,62 @@
         }
     }
 
-    // ---- The caller.
+    // Flow control of the caller's connection.
 
     @Override
     public void pause() {
-        if (present != null && present.call != null && !held) {
-            present.call.pause();
+        if (current != null && current.call != null && !heldByMachine) {
+            current.call.pause();
         }
     }
 
     @Override
-    public void goOn() {
-        if (present != null && present.call != null && !held) {
-            present.call.resume();
+    public void resume() {
+        if (current != null && current.call != null && !heldByMachine) {
+            current.call.resume();
         }
     }
 
     @Override
-    public void callerLeft() {
+    public void callerDisconnected() {
         machine.onCallerDisconnected();
     }
 
-    /** One attempt on its connection. */
-    private final class Leg implements HttpStreamListener {
-        private final long number;
+    /** The connection of one attempt. */
+    private final class Attempt implements HttpResponseListener {
+        private final long leg;
         private final EndpointId endpoint;
         private HttpCall call;
         private int status;
         private HeaderMap headers;
 
-        private Leg(long number, EndpointId endpoint) {
-            this.number = number;
+        private Attempt(long leg, EndpointId endpoint) {
+            this.leg = leg;
             this.endpoint = endpoint;
         }
 
         @Override
-        public void onHead(int answeredStatus, HeaderMap answeredHeaders) {
-            status = answeredStatus;
-            headers = answeredHeaders;
-            EndpointAnswerHead start = services.dialect().readAnswer(status, headers, request.id(), endpoint);
-            machine.onHead(number, start);
+        public void onHead(int receivedStatus, HeaderMap receivedHeaders) {
+            status = receivedStatus;
+            headers = receivedHeaders;
+            EndpointAnswerHead start = services.protocol().readAnswerStart(status, headers, request.id(), endpoint);
+            machine.onHead(leg, start);
         }
 
         @Override
         public void onBytes(ByteBuffer bytes) {
-            machine.onBytes(number, bytes);
+            machine.onBytes(leg, bytes);
         }
 
         @Override
         public void onEnd() {
-            machine.onEnd(number);
+            machine.onEnd(leg);
         }
 
         @Override
         public void onFailure(Phase phase, boolean silent, IOException cause) {
             End end = phase == Phase.CONNECT ? End.UNREACHED : silent ? End.SILENT : End.BROKEN;
-            machine.onFailure(number, end, String.valueOf(cause.getMessage()));
+            machine.onFailure(leg, end, String.valueOf(cause.getMessage()));
         }
     }
 }
--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -37,40 +37,41 @@
 import org.yuccagw.core.peers.PeersSnapshot;
 
 /**
- * The three addresses of an entry: callers, readiness and directory.
+ * HTTP server on the three addresses of an entry: callers, readiness and directory.
  *
- * <p>A request is read whole before it is placed. So a request whose body never arrives costs no endpoint anything, and
- * a second attempt can send the same bytes.
+ * <p>A request is read completely before it is placed. A request whose body never arrives therefore uses no capacity of
+ * an endpoint, and a second attempt can send the same bytes.
  */
 public final class ServingServer {
-    /** Above what operators allow; the exact limit is the configuration's and is looked at for each request. */
-    private static final int MOST_HEADER_BYTES = 64 * 1024;
+    /** Larger than any limit that operators configure. The configured limit is checked for each request. */
+    private static final int MAX_HEADER_BYTES = 64 * 1024;
 
-    private static final int HEAD_TIMEOUT_MILLIS = 5_000;
+    private static final int HEADER_TIMEOUT_MILLIS = 5_000;
 
     /** Callers reuse connections that were idle for up to four fifths of the configured idle timeout. */
     private static final int IDLE_TIMEOUT_MILLIS = 75_000;
 
-    private static final Duration NOT_READY_WAIT = Duration.ofMillis(300);
+    private static final Duration NOT_READY_RETRY_DELAY = Duration.ofMillis(300);
     private static final String METRICS_PATH = "/metrics";
 
     private final ServingServices services;
-    private final RunCount runs;
+    private final ActiveRequests activeRequests;
     private final Undertow server;
     private final Regions regions;
-    private volatile boolean stopping;
-    private volatile boolean refusingStreams;
-    private volatile boolean refusing;
+    private volatile boolean closingConnections;
+    private volatile boolean refusingNewStreams;
+    private volatile boolean refusingNewRequests;
 
-    private ServingServer(ServingServices services, GatewaySettings settings, XnioWorker worker, RunCount runs) {
+    private ServingServer(
+            ServingServices services, GatewaySettings settings, XnioWorker worker, ActiveRequests activeRequests) {
         this.services = services;
-        this.runs = runs;
+        this.activeRequests = activeRequests;
         this.regions = settings.regions();
         this.server = Undertow.builder()
                 .setWorker(worker)
                 .setSocketOption(Options.TCP_NODELAY, true)
-                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MOST_HEADER_BYTES)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_TIMEOUT_MILLIS)
+                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEADER_TIMEOUT_MILLIS)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
                 .setServerOption(UndertowOptions.DECODE_URL, false)
                 .setServerOption(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
@@ -84,63 +85,63 @@
                 .build();
     }
 
-    /** Listens on all three addresses with the I/O threads of the worker. */
+    /** Starts a server on all three addresses, on the I/O threads of the worker. */
     public static ServingServer start(
-            ServingServices services, GatewaySettings settings, XnioWorker worker, RunCount runs) {
-        ServingServer created = new ServingServer(services, settings, worker, runs);
-        created.server.start();
-        return created;
+            ServingServices services, GatewaySettings settings, XnioWorker worker, ActiveRequests activeRequests) {
+        ServingServer servingServer = new ServingServer(services, settings, worker, activeRequests);
+        servingServer.server.start();
+        return servingServer;
     }
 
-    /** From now on answers close their connections, so that callers connect elsewhere. */
+    /** Closes connections after their answers from now on, so that callers connect to other entries. */
     public void closeConnectionsAfterAnswers() {
-        stopping = true;
+        closingConnections = true;
     }
 
-    /** From now on new streams are refused as not run: they may outlast the time that is left. */
+    /** Refuses new streams from now on as not run, because they may outlast the time left until the stop. */
     public void refuseNewStreams() {
-        refusingStreams = true;
+        refusingNewStreams = true;
     }
 
-    /** From now on new requests are refused as not run. */
+    /** Refuses new requests from now on as not run. */
     public void refuseNewRequests() {
-        refusing = true;
+        refusingNewRequests = true;
     }
 
     public void stop() {
         server.stop();
     }
 
-    // ---- Requests.
+    // Requests.
 
     private void handleRequest(HttpServerExchange exchange) {
-        if (stopping) {
+        if (closingConnections) {
             exchange.setPersistent(false);
         }
         try {
             begin(exchange);
         } catch (YuccagwException error) {
-            explainRefusal(exchange, error);
+            logRefusal(exchange, error);
             if (error.kind() == ErrorKind.MALFORMED_HEAD) {
                 exchange.setPersistent(false);
             }
-            ServingRun.refuse(exchange, services.dialect(), error);
+            ServingRun.sendError(exchange, services.protocol(), error);
         }
     }
 
     private void begin(HttpServerExchange exchange) throws YuccagwException {
-        if (refusing) {
+        if (refusingNewRequests) {
             throw ErrorKind.STOPPING.raise().comeBackAfter(Duration.ZERO);
         }
-        Deployment deployment = confirmedDeployment();
-        CallerHead head = services.dialect().readHead(exchange.getRequestHeaders());
+        Deployment deployment = requireConfirmedDeployment();
+        CallerHead head = services.protocol().readCallerHead(exchange.getRequestHeaders());
         if (exchange.isHostIncludedInRequestURI()) {
             throw ErrorKind.MALFORMED_HEAD.raise("names a host in its path");
         }
         Route route =
                 deployment.route(head.host(), exchange.getRequestURI()).orElseThrow(ErrorKind.UNKNOWN_ROUTE::raise);
         Optional<WorkspaceAccess> workspace = workspaceOf(deployment, route, head);
-        if (refusingStreams && route.streamed()) {
+        if (refusingNewStreams && route.streamed()) {
             throw ErrorKind.STOPPING.raise().comeBackAfter(Duration.ZERO);
         }
         if (HttpContinue.requiresContinueResponse(exchange)) {
@@ -169,10 +170,10 @@
         BodyReader.of(
                         deployment.limits().bodyBytes(),
                         deployment.limits().headerTimeout().toMillis())
-                .read(exchange, body -> run(exchange, head, route, workspace, body));
+                .read(exchange, body -> startRun(exchange, head, route, workspace, body));
     }
 
-    private void run(
+    private void startRun(
             HttpServerExchange exchange,
             CallerHead head,
             Route route,
@@ -184,31 +185,35 @@
                 route.pick(ThreadLocalRandom.current().nextDouble()),
                 workspace,
                 head.prompt(),
-                head.patience().orElse(route.timeout()),
+                head.timeout().orElse(route.timeout()),
                 fingerprint(exchange, head, body),
                 head.afterEvent());
-        runs.begin();
-        ServingRun.begin(services, exchange, head, request, body, runs::end);
+        activeRequests.begin();
+        ServingRun.begin(services, exchange, head, request, body, activeRequests::end);
     }
 
     /**
-     * The configuration, if it may be used. Where keys that are taken away must stop working even on an entry that is
-     * cut off, knowledge that nobody confirmed for too long is as good as none.
+     * Returns the configuration if it may be used.
+     *
+     * <p>Where revoked keys must stop working even on an entry that is partitioned from the others, a configuration
+     * that has not been confirmed for too long is treated as missing.
+     *
+     * @throws YuccagwException of kind NOT_READY
      */
-    private Deployment confirmedDeployment() throws YuccagwException {
+    private Deployment requireConfirmedDeployment() throws YuccagwException {
         Deployment deployment = services.snapshot()
                 .get()
                 .part(Deployment.class)
                 .orElseThrow(() ->
-                        ErrorKind.NOT_READY.raise("has no configuration yet").comeBackAfter(NOT_READY_WAIT));
-        if (services.keysUnconfirmed().isPresent()) {
+                        ErrorKind.NOT_READY.raise("has no configuration yet").comeBackAfter(NOT_READY_RETRY_DELAY));
+        if (services.maxUnconfirmedKeyAge().isPresent()) {
             FollowSnapshot follow =
                     services.snapshot().get().part(FollowSnapshot.class).orElse(FollowSnapshot.none());
             long ageNanos = System.nanoTime() - follow.confirmedNanos();
-            if (ageNanos > services.keysUnconfirmed().get().toNanos()) {
+            if (ageNanos > services.maxUnconfirmedKeyAge().get().toNanos()) {
                 throw ErrorKind.NOT_READY
                         .raise("could not confirm its configuration")
-                        .comeBackAfter(NOT_READY_WAIT);
+                        .comeBackAfter(NOT_READY_RETRY_DELAY);
             }
         }
         return deployment;
@@ -233,7 +238,7 @@
         return hasher.hash().toString();
     }
 
-    private void explainRefusal(HttpServerExchange exchange, YuccagwException error) {
+    private void logRefusal(HttpServerExchange exchange, YuccagwException error) {
         long version = services.snapshot()
                 .get()
                 .part(Deployment.class)
@@ -247,7 +252,7 @@
                         .with("configuration", version));
     }
 
-    // ---- Readiness and directory.
+    // Readiness and directory.
 
     private void handleReadiness(HttpServerExchange exchange) {
         if (exchange.getRequestURI().equals(METRICS_PATH)) {
@@ -256,36 +261,39 @@
                     .send(java.nio.ByteBuffer.wrap(services.metrics().exposition()));
             return;
         }
-        PeersSnapshot peers = peers();
-        boolean ready = services.dialect().isReadiness(exchange.getRequestURI()) && peers.ready() && !stopping;
+        PeersSnapshot peersSnapshot = peersSnapshot();
+        boolean ready = services.protocol().isReadinessPath(exchange.getRequestURI())
+                && peersSnapshot.ready()
+                && !closingConnections;
         exchange.setStatusCode(ready ? 200 : 503);
         exchange.endExchange();
     }
 
     private void handleDirectory(HttpServerExchange exchange) {
-        if (!services.dialect().isDirectory(exchange.getRequestURI())) {
+        if (!services.protocol().isDirectoryPath(exchange.getRequestURI())) {
             exchange.setStatusCode(404);
             exchange.endExchange();
             return;
         }
         Deque<String> domain =
-                exchange.getQueryParameters().get(services.dialect().domainParameter());
-        List<EntryContact> chosen = new ArrayList<>(DirectoryChoice.choose(
-                peers().serving(),
+                exchange.getQueryParameters().get(services.protocol().domainParameter());
+        List<EntryContact> directoryEntries = new ArrayList<>(DirectoryChoice.choose(
+                peersSnapshot().serving(),
                 domain == null ? Optional.empty() : Optional.of(FailureDomain.of(domain.getFirst())),
                 regions,
                 ThreadLocalRandom.current().nextInt()));
-        if (chosen.isEmpty()) {
+        if (directoryEntries.isEmpty()) {
             exchange.setStatusCode(503);
             exchange.endExchange();
             return;
         }
-        Collections.shuffle(chosen, ThreadLocalRandom.current());
+        Collections.shuffle(directoryEntries, ThreadLocalRandom.current());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        exchange.getResponseSender().send(services.dialect().directory(chosen, services.directoryTimeToLive()));
+        exchange.getResponseSender()
+                .send(services.protocol().directoryBody(directoryEntries, services.directoryTimeToLive()));
     }
 
-    private PeersSnapshot peers() {
+    private PeersSnapshot peersSnapshot() {
         return services.snapshot().get().part(PeersSnapshot.class).orElse(PeersSnapshot.none());
     }
 }
--- a/src/main/java/org/yuccagw/adapters/serving/package-info.java
+++ b/src/main/java/org/yuccagw/adapters/serving/package-info.java
@@ -1,2 +1,2 @@
-/** Serves callers over HTTP: requests in, attempts to endpoints out, the directory and the readiness of this entry. */
+/** Serves callers over HTTP: forwards their requests to endpoints, and answers directory and readiness requests. */
 package org.yuccagw.adapters.serving;
--- a/src/main/java/org/yuccagw/bench/demo/Demo.java
+++ b/src/main/java/org/yuccagw/bench/demo/Demo.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
@@ -157,10 +157,10 @@
         progress.accept("one non-idempotent call, sent twice");
         for (int i = 0; i < 2; i++) {
             NetworkAddress entry = system.callerAddresses().get(i);
-            HttpQuery call = HttpQuery.json("POST", entry, "/" + LocalCatalogue.PLAIN + "/label", "{\"cell\":7}")
+            HttpRequest call = HttpRequest.json("POST", entry, "/" + LocalCatalogue.PLAIN + "/label", "{\"cell\":7}")
                     .withHeader("Authorization", "Bearer " + LocalCatalogue.workspaceKey(WORKSPACES.get(0)))
                     .withHeader("Idempotency-Key", "label-cell-7");
-            HttpAnswer answer = system.send(call);
+            HttpResponse answer = system.send(call);
             if (!answer.isSuccess()) {
                 problems.add("the labelling call was refused with status " + answer.status() + ": " + answer.text());
             }
@@ -194,9 +194,9 @@
     /** The client chose the entry, so each is asked. */
     private JsonNode trace(String request) throws YuccagwException {
         for (NetworkAddress admin : system.adminAddresses()) {
-            HttpQuery query = HttpQuery.get(admin, "/admin/trace/" + request)
+            HttpRequest query = HttpRequest.get(admin, "/admin/trace/" + request)
                     .withHeader("Authorization", "Bearer " + LocalCatalogue.OPERATOR_KEY);
-            HttpAnswer answer = system.send(query);
+            HttpResponse answer = system.send(query);
             if (answer.isSuccess()) {
                 return parse(answer);
             }
@@ -205,7 +205,7 @@
         return MAPPER.createObjectNode();
     }
 
-    private static JsonNode parse(HttpAnswer answer) throws YuccagwException {
+    private static JsonNode parse(HttpResponse answer) throws YuccagwException {
         try {
             return MAPPER.readTree(answer.body());
         } catch (IOException e) {
--- a/src/main/java/org/yuccagw/bench/local/RequestCost.java
+++ b/src/main/java/org/yuccagw/bench/local/RequestCost.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.bench.Experiment;
 import org.yuccagw.bench.ExperimentOptions;
 import org.yuccagw.bench.ExperimentReport;
@@ -196,13 +196,13 @@
                     + number + " of " + tokens + "\",\"max_tokens\":" + tokens
                     + ",\"stream\":true,\"cache_salt\":\"x\",\"weight_version\":\""
                     + LocalCatalogue.VERSION + "\"}";
-            HttpQuery query = HttpQuery.json("POST", target, "/v1/completions", body)
+            HttpRequest query = HttpRequest.json("POST", target, "/v1/completions", body)
                     .withHeader("Authorization", "Bearer " + LocalCatalogue.workspaceKey("statistics"))
                     .withTimeouts(LONGEST, LONGEST);
             deployment.http().stream(query, deployment.http().worker().getIoThread(number), new Watch());
         }
 
-        private final class Watch implements HttpStreamListener {
+        private final class Watch implements HttpResponseListener {
             private final long sentNanos = System.nanoTime();
             private boolean first = true;
             private int status;
--- a/src/main/java/org/yuccagw/cli/AdminClient.java
+++ b/src/main/java/org/yuccagw/cli/AdminClient.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.concurrent.ExecutionException;
 import javax.net.ssl.SSLContext;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.NetworkAddress;
 
 /** Calls the admin API of an entry. A refusal and a missing answer end the command with their own exit codes. */
@@ -21,9 +21,9 @@
 
     private final NetworkAddress address;
     private final String key;
-    private final HttpCaller caller;
+    private final HttpClient caller;
 
-    private AdminClient(NetworkAddress address, String key, HttpCaller caller) {
+    private AdminClient(NetworkAddress address, String key, HttpClient caller) {
         this.address = address;
         this.key = key;
         this.caller = caller;
@@ -31,7 +31,7 @@
 
     static AdminClient start(NetworkAddress address, String key, Optional<SSLContext> tls) {
         try {
-            HttpCaller caller = tls.isPresent() ? HttpCaller.start(1, tls.get()) : HttpCaller.start(1);
+            HttpClient caller = tls.isPresent() ? HttpClient.start(1, tls.get()) : HttpClient.start(1);
             return new AdminClient(address, key, caller);
         } catch (IOException e) {
             throw CommandFailure.failed("no I/O thread: " + e.getMessage());
@@ -48,28 +48,28 @@
     }
 
     String getText(String path) {
-        return accepted(send(HttpQuery.get(address, path)));
+        return accepted(send(HttpRequest.get(address, path)));
     }
 
     JsonNode post(String path) {
-        return parse(accepted(send(HttpQuery.of("POST", address, path))));
+        return parse(accepted(send(HttpRequest.of("POST", address, path))));
     }
 
     JsonNode put(String path, String document) {
-        return parse(accepted(send(HttpQuery.json("PUT", address, path, document))));
+        return parse(accepted(send(HttpRequest.json("PUT", address, path, document))));
     }
 
     /** The answer of another entry to {@code GET /readyz}, ready or not; empty if it doesn't answer. */
     Optional<JsonNode> readiness(NetworkAddress other) {
         try {
-            return Optional.of(parse(send(HttpQuery.get(other, "/readyz")).text()));
+            return Optional.of(parse(send(HttpRequest.get(other, "/readyz")).text()));
         } catch (CommandFailure ignored) {
             return Optional.empty();
         }
     }
 
-    private HttpAnswer send(HttpQuery query) {
-        HttpQuery whole = query.withHeader("Authorization", "Bearer " + key).withTimeouts(CONNECT, SILENCE);
+    private HttpResponse send(HttpRequest query) {
+        HttpRequest whole = query.withHeader("Authorization", "Bearer " + key).withTimeouts(CONNECT, SILENCE);
         try {
             return caller.send(whole).get();
         } catch (ExecutionException e) {
@@ -81,7 +81,7 @@
         }
     }
 
-    private static String accepted(HttpAnswer answer) {
+    private static String accepted(HttpResponse answer) {
         if (answer.isSuccess()) {
             return answer.text();
         }
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.adapters.http.SseParser;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
@@ -52,7 +52,7 @@
     private static final int OK = 200;
 
     private final ClientSettings settings;
-    private final HttpCaller http;
+    private final HttpClient http;
     private final Directory directory;
     private final RetryPolicy policy;
     private final Completion completion;
@@ -72,7 +72,7 @@
 
     private ClientCall(
             ClientSettings settings,
-            HttpCaller http,
+            HttpClient http,
             Directory directory,
             RetryPolicy policy,
             Completion completion,
@@ -88,7 +88,7 @@
 
     static ClientCall of(
             ClientSettings settings,
-            HttpCaller http,
+            HttpClient http,
             Directory directory,
             RetryPolicy policy,
             Completion completion,
@@ -108,28 +108,28 @@
 
     private void send(List<NetworkAddress> entries) {
         NetworkAddress entry = entries.get(entryOffset % entries.size());
-        HttpQuery query = token.isEmpty() ? firstQuery(entry) : resumeQuery(entry);
-        HttpQuery withKey = query.withHeader("Authorization", "Bearer " + settings.key())
+        HttpRequest query = token.isEmpty() ? firstQuery(entry) : resumeQuery(entry);
+        HttpRequest withKey = query.withHeader("Authorization", "Bearer " + settings.key())
                 .withTimeouts(CONNECT_TIMEOUT, settings.silenceTimeout());
         http.stream(withKey, thread, new Attempt());
     }
 
-    private HttpQuery firstQuery(NetworkAddress entry) {
-        HttpQuery query = HttpQuery.json(
+    private HttpRequest firstQuery(NetworkAddress entry) {
+        HttpRequest query = HttpRequest.json(
                 "POST", entry, "/v1/completions", completion.toJson().toString());
         return completion.key().isPresent()
                 ? query.withHeader("Idempotency-Key", completion.key().get().value())
                 : query;
     }
 
-    private HttpQuery resumeQuery(NetworkAddress entry) {
+    private HttpRequest resumeQuery(NetworkAddress entry) {
         resumes++;
         ObjectNode body = JSON.createObjectNode();
         body.put("token", token);
         body.put("from", lastPiece);
         body.put("text", text.toString());
         body.set("request", completion.toJson());
-        return HttpQuery.json("POST", entry, "/v1/resume", body.toString());
+        return HttpRequest.json("POST", entry, "/v1/resume", body.toString());
     }
 
     private void failed(FailureClass failure, Optional<Duration> comeBack, YuccagwException finalError) {
@@ -195,7 +195,7 @@
     }
 
     /** One connection to one entry. */
-    private final class Attempt implements HttpStreamListener {
+    private final class Attempt implements HttpResponseListener {
         private final SseParser parser = SseParser.of(this::onEvent);
         private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
         private int status;
--- a/src/main/java/org/yuccagw/daemon/EntryMetrics.java
+++ b/src/main/java/org/yuccagw/daemon/EntryMetrics.java
@@ -9,22 +9,22 @@
 /** Puts what requests tell into the Prometheus metrics. */
 record EntryMetrics(Metrics metrics) implements CallerMetrics {
     @Override
-    public void firstToken(String className, Duration sinceArrival) {
+    public void recordFirstToken(String className, Duration sinceArrival) {
         metrics.recordFirstToken(className, sinceArrival);
     }
 
     @Override
-    public void ended(ServiceName service, String className, String end) {
+    public void recordEnd(ServiceName service, String className, String end) {
         metrics.recordRequestEnd(service, className, end);
     }
 
     @Override
-    public void promptTokens(ServiceName service, long reused, long recomputed) {
+    public void recordPromptTokens(ServiceName service, long reused, long recomputed) {
         metrics.recordPromptTokens(service, reused, recomputed);
     }
 
     @Override
-    public void attemptFailed(ServiceName service, AttemptFailure failure) {
+    public void recordAttemptFailure(ServiceName service, AttemptFailure failure) {
         metrics.recordRetry(service, failure.name().toLowerCase(java.util.Locale.ROOT));
     }
 }
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -11,9 +11,9 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.yuccagw.adapters.control.ControlRunner;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.peer.PeerTransport;
-import org.yuccagw.adapters.serving.RunCount;
+import org.yuccagw.adapters.serving.ActiveRequests;
 import org.yuccagw.adapters.serving.ServingServer;
 import org.yuccagw.adapters.serving.ServingServices;
 import org.yuccagw.adapters.settings.GatewaySettings;
@@ -58,10 +58,10 @@
     private final GatewaySettings settings;
     private final EntryIdentity self;
     private final DecisionLog decisions = DecisionLog.start();
-    private final RunCount runs = RunCount.create();
+    private final ActiveRequests runs = ActiveRequests.create();
     private final XnioWorker worker;
-    private final HttpCaller traffic;
-    private final HttpCaller platform;
+    private final HttpClient traffic;
+    private final HttpClient platform;
     private final PeerTransport peers;
     private final ControlRunner control;
     private final ServingServer server;
@@ -80,8 +80,8 @@
                 settings.capacity());
         Metrics metrics = Metrics.create();
         worker = makeWorker();
-        traffic = HttpCaller.on(worker);
-        platform = HttpCaller.on(worker);
+        traffic = HttpClient.onWorker(worker);
+        platform = HttpClient.onWorker(worker);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
         GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
         ControlInputs inputs = new ControlInputs();
@@ -120,7 +120,7 @@
     }
 
     private void addGauges(Metrics metrics, KeyValueClient keyValue) {
-        metrics.registerGauge("yuccagw_requests_in_progress", "Requests in progress on this entry", runs::value);
+        metrics.registerGauge("yuccagw_requests_in_progress", "Requests in progress on this entry", runs::count);
         metrics.registerGauge(
                 "yuccagw_control_failures", "Control events whose handling failed", control::failureCount);
         metrics.registerGauge(
@@ -178,7 +178,7 @@
         }
         stopped = true;
         long begunNanos = System.nanoTime();
-        decisions.write(Decision.of("stopping").with("running", runs.value()));
+        decisions.write(Decision.of("stopping").with("running", runs.count()));
         server.closeConnectionsAfterAnswers();
         control.offer(new StopRequested());
         Duration grace = settings.bounds().stopGrace();
@@ -189,7 +189,7 @@
         awaitUntil(begunNanos + open.toNanos(), false);
         server.refuseNewRequests();
         awaitUntil(begunNanos + grace.minus(END_MARGIN).toNanos(), true);
-        decisions.write(Decision.of("stopped").with("running", runs.value()));
+        decisions.write(Decision.of("stopped").with("running", runs.count()));
         close();
         end.countDown();
     }
@@ -208,7 +208,7 @@
     }
 
     private void awaitUntil(long nanos, boolean orIdle) {
-        while (System.nanoTime() - nanos < 0 && !(orIdle && runs.value() == 0)) {
+        while (System.nanoTime() - nanos < 0 && !(orIdle && runs.count() == 0)) {
             LockSupport.parkNanos(POLL_NANOS);
         }
     }
--- a/src/main/java/org/yuccagw/platform/EndpointHeads.java
+++ b/src/main/java/org/yuccagw/platform/EndpointHeads.java
@@ -40,7 +40,7 @@
             Duration left,
             long afterEvent) {
         HeaderMap headers = new HeaderMap();
-        head.forwarded().forEach(values -> headers.putAll(values.getHeaderName(), values));
+        head.forwardedHeaders().forEach(values -> headers.putAll(values.getHeaderName(), values));
         put(headers, PlatformNames.DEADLINE, Long.toString(Math.max(1, left.toMillis())));
         put(headers, PlatformNames.EXPECT_ENDPOINT, placed.endpoint().id().value());
         workspace.ifPresent(
--- a/src/main/java/org/yuccagw/platform/EngineCaller.java
+++ b/src/main/java/org/yuccagw/platform/EngineCaller.java
@@ -5,9 +5,9 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.LongSupplier;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
@@ -30,17 +30,17 @@
     /** Running requests go on with the newer weights. */
     private static final String UNDER_RUNNING_REQUESTS = "retain";
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final EntryId self;
     private final LongSupplier nanoTime;
 
-    private EngineCaller(HttpCaller caller, EntryId self, LongSupplier nanoTime) {
+    private EngineCaller(HttpClient caller, EntryId self, LongSupplier nanoTime) {
         this.caller = caller;
         this.self = self;
         this.nanoTime = nanoTime;
     }
 
-    public static EngineCaller of(HttpCaller caller, EntryId self, LongSupplier nanoTime) {
+    public static EngineCaller of(HttpClient caller, EntryId self, LongSupplier nanoTime) {
         return new EngineCaller(caller, self, nanoTime);
     }
 
@@ -58,7 +58,7 @@
     }
 
     private void askState(EngineCall.AskState ask, ControlInput input) {
-        HttpQuery query = to(ask, HttpQuery.get(ask.endpoint().address(), PlatformNames.REPORT_PATH));
+        HttpRequest query = to(ask, HttpRequest.get(ask.endpoint().address(), PlatformNames.REPORT_PATH));
         caller.send(query).whenComplete((answer, failure) -> {
             hearNotice(ask, answer, input);
             Optional<EngineState> state = failure == null ? readState(answer) : Optional.empty();
@@ -66,7 +66,7 @@
         });
     }
 
-    private static Optional<EngineState> readState(HttpAnswer answer) {
+    private static Optional<EngineState> readState(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return Optional.empty();
         }
@@ -92,13 +92,13 @@
         });
     }
 
-    private static void hearNotice(EngineCall call, HttpAnswer answer, ControlInput input) {
+    private static void hearNotice(EngineCall call, HttpResponse answer, ControlInput input) {
         if (answer != null) {
             EndpointNotices.heard(call.endpoint().incarnation(), answer).ifPresent(input::offer);
         }
     }
 
-    private HttpQuery orderQuery(EngineCall.OrderWeights order) {
+    private HttpRequest orderQuery(EngineCall.OrderWeights order) {
         ObjectNode body = JsonText.object()
                 .put("op", "version")
                 .put("model", order.weights().model())
@@ -107,16 +107,16 @@
                 .put("holder", self.value())
                 .put("fence", order.fence())
                 .put("expected", order.expectedOrders());
-        HttpQuery query =
-                HttpQuery.json("POST", order.endpoint().address(), PlatformNames.ORDER_PATH, JsonText.write(body));
+        HttpRequest query =
+                HttpRequest.json("POST", order.endpoint().address(), PlatformNames.ORDER_PATH, JsonText.write(body));
         return to(order, query);
     }
 
-    private static HttpQuery to(EngineCall call, HttpQuery query) {
+    private static HttpRequest to(EngineCall call, HttpRequest query) {
         return query.withHeader(
                         PlatformNames.EXPECT_ENDPOINT, call.endpoint().id().value())
                 .withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT)
-                .overFreshConnection();
+                .withNewConnection();
     }
 
     private static Outcome outcome(int status) {
--- a/src/main/java/org/yuccagw/platform/KeyValueClient.java
+++ b/src/main/java/org/yuccagw/platform/KeyValueClient.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.port.KeyValueAnswer;
@@ -48,19 +48,19 @@
     private static final int TOO_LARGE = 413;
     private static final int OVER_RATE = 429;
     private static final int UNAVAILABLE = 503;
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final NetworkAddress address;
     private final CircuitBreaker breaker = new CircuitBreaker();
     private final CallBudget budget = CallBudget.of(CALLS_PER_SECOND);
     private final LongAdder sent = new LongAdder();
     private final LongAdder refusedHere = new LongAdder();
 
-    private KeyValueClient(HttpCaller caller, NetworkAddress address) {
+    private KeyValueClient(HttpClient caller, NetworkAddress address) {
         this.caller = caller;
         this.address = address;
     }
 
-    public static KeyValueClient of(HttpCaller caller, NetworkAddress address) {
+    public static KeyValueClient of(HttpClient caller, NetworkAddress address) {
         return new KeyValueClient(caller, address);
     }
 
@@ -100,7 +100,7 @@
     /** One page of a list. */
     private record Page(List<Item> items, long revision, boolean truncated) implements KeyValueAnswer {}
 
-    private void send(KeyValueCall call, HttpQuery query, Consumer<KeyValueAnswer> answer) {
+    private void send(KeyValueCall call, HttpRequest query, Consumer<KeyValueAnswer> answer) {
         if (!breaker.permits(System.nanoTime())) {
             refusedHere.increment();
             answer.accept(new KeyValueAnswer.Refused("the key-value service at " + address + " is not reachable"));
@@ -221,7 +221,7 @@
         return value.asLong();
     }
 
-    private final class CallListener implements HttpStreamListener {
+    private final class CallListener implements HttpResponseListener {
         private final KeyValueCall call;
         private final Consumer<KeyValueAnswer> answer;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/src/main/java/org/yuccagw/platform/KeyValueRequests.java
+++ b/src/main/java/org/yuccagw/platform/KeyValueRequests.java
@@ -5,7 +5,7 @@
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.port.KeyValueCall;
@@ -15,17 +15,17 @@
     private KeyValueRequests() {}
 
     /** One page of the keys under a prefix, those after {@code afterKey}, empty for the first page. */
-    static HttpQuery page(NetworkAddress address, String prefix, String afterKey) {
+    static HttpRequest page(NetworkAddress address, String prefix, String afterKey) {
         String after = afterKey.isEmpty() ? "" : "&after=" + escape(afterKey);
-        return HttpQuery.get(address, PlatformNames.RANGE_PATH + "?pathPrefix=" + escape(prefix) + after);
+        return HttpRequest.get(address, PlatformNames.RANGE_PATH + "?pathPrefix=" + escape(prefix) + after);
     }
 
-    static HttpQuery query(NetworkAddress address, KeyValueCall call) {
+    static HttpRequest query(NetworkAddress address, KeyValueCall call) {
         if (call instanceof KeyValueCall.Read read) {
-            return HttpQuery.get(address, PlatformNames.KEY_PATH + "?key=" + escape(read.key()));
+            return HttpRequest.get(address, PlatformNames.KEY_PATH + "?key=" + escape(read.key()));
         }
         if (call instanceof KeyValueCall.Watch watch) {
-            return HttpQuery.get(
+            return HttpRequest.get(
                     address,
                     PlatformNames.WATCH_PATH + "?pathPrefix=" + escape(watch.prefix()) + "&after="
                             + watch.afterRevision() + "&waitMs="
@@ -49,7 +49,7 @@
             return post(address, PlatformNames.RENEW_PATH + renew.lease().value(), JsonText.object());
         }
         if (call instanceof KeyValueCall.RevokeLease revoke) {
-            return HttpQuery.of(
+            return HttpRequest.of(
                     "DELETE",
                     address,
                     PlatformNames.REVOKE_PATH + revoke.lease().value());
@@ -57,7 +57,7 @@
         throw new IllegalArgumentException("no such call: " + call);
     }
 
-    private static HttpQuery transaction(NetworkAddress address, KeyValueCall.CompareAndSwap swap) {
+    private static HttpRequest transaction(NetworkAddress address, KeyValueCall.CompareAndSwap swap) {
         ObjectNode body = conditions(swap.key(), swap.expectedRevision());
         ArrayNode puts = body.putArray("puts");
         ObjectNode put = puts.addObject();
@@ -74,8 +74,8 @@
         return body;
     }
 
-    private static HttpQuery post(NetworkAddress address, String path, ObjectNode body) {
-        return HttpQuery.json("POST", address, path, JsonText.write(body));
+    private static HttpRequest post(NetworkAddress address, String path, ObjectNode body) {
+        return HttpRequest.json("POST", address, path, JsonText.write(body));
     }
 
     private static String escape(String text) {
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformDialect.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.yuccagw.adapters.serving.CallerHead;
-import org.yuccagw.adapters.serving.Dialect;
+import org.yuccagw.adapters.serving.WireProtocol;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
@@ -15,7 +15,7 @@
 import org.yuccagw.core.placing.PlacementDecision;
 
 /** How callers and endpoints of the platform spell requests and answers. */
-public final class PlatformDialect implements Dialect {
+public final class PlatformDialect implements WireProtocol {
     private PlatformDialect() {}
 
     public static PlatformDialect create() {
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public CallerHead readHead(HeaderMap headers) throws YuccagwException {
+    public CallerHead readCallerHead(HeaderMap headers) throws YuccagwException {
         return CallerHeads.read(headers);
     }
 
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public EndpointAnswerHead readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
+    public EndpointAnswerHead readAnswerStart(int status, HeaderMap headers, RequestId request, EndpointId expected) {
         return EndpointHeads.answer(status, headers, request, expected);
     }
 
@@ -48,17 +48,17 @@
     }
 
     @Override
-    public String retryAfter(Duration wait) {
+    public String formatRetryAfter(Duration wait) {
         return EndpointHeads.retryAfter(wait);
     }
 
     @Override
-    public boolean isReadiness(String path) {
+    public boolean isReadinessPath(String path) {
         return EntryPages.isReadiness(path);
     }
 
     @Override
-    public boolean isDirectory(String path) {
+    public boolean isDirectoryPath(String path) {
         return EntryPages.isDirectory(path);
     }
 
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public String directory(List<EntryContact> entries, Duration timeToLive) {
+    public String directoryBody(List<EntryContact> entries, Duration timeToLive) {
         return EntryPages.directory(entries, timeToLive);
     }
 }
--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreCaller.java
@@ -7,9 +7,9 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.Optional;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
@@ -27,20 +27,20 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration ANSWER_MARGIN = Duration.ofMillis(600);
     private static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
-    private final HttpCaller caller;
+    private final HttpClient caller;
 
-    private StoreCaller(HttpCaller caller) {
+    private StoreCaller(HttpClient caller) {
         this.caller = caller;
     }
 
-    public static StoreCaller of(HttpCaller caller) {
+    public static StoreCaller of(HttpClient caller) {
         return new StoreCaller(caller);
     }
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
         if (action instanceof StoreCall.AskChanges ask) {
-            HttpQuery query = HttpQuery.get(ask.store().address(), "/kv-events?since=" + ask.since())
+            HttpRequest query = HttpRequest.get(ask.store().address(), "/kv-events?since=" + ask.since())
                     .withHeader("Wait-Ms", Long.toString(ask.longestWait().toMillis()))
                     .withTimeouts(CONNECT_TIMEOUT, ask.longestWait().plus(ANSWER_MARGIN));
             send(ask, query, input);
@@ -61,8 +61,8 @@
         return false;
     }
 
-    private static HttpQuery listOf(CacheStore store) {
-        return HttpQuery.get(store.address(), "/kv-list").withTimeouts(CONNECT_TIMEOUT, LIST_TIMEOUT);
+    private static HttpRequest listOf(CacheStore store) {
+        return HttpRequest.get(store.address(), "/kv-list").withTimeouts(CONNECT_TIMEOUT, LIST_TIMEOUT);
     }
 
     private void inspect(StoreCall.Inspect inspect, ControlInput input) {
@@ -72,7 +72,7 @@
         });
     }
 
-    private static Optional<StoreAnswer.Contents> readContents(HttpAnswer answer) {
+    private static Optional<StoreAnswer.Contents> readContents(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return Optional.empty();
         }
@@ -92,7 +92,7 @@
         ObjectNode body = JsonText.object().put("bootEpoch", free.epoch());
         ArrayNode parts = body.putArray("parts");
         free.parts().forEach(name -> parts.addArray().add(name.salt()).add(name.part()));
-        HttpQuery query = HttpQuery.json("POST", free.store().address(), "/kv-free", JsonText.write(body))
+        HttpRequest query = HttpRequest.json("POST", free.store().address(), "/kv-free", JsonText.write(body))
                 .withTimeouts(CONNECT_TIMEOUT, LIST_TIMEOUT);
         caller.send(query).whenComplete((answer, failure) -> {
             boolean done = failure == null && answer.isSuccess();
@@ -101,7 +101,7 @@
         });
     }
 
-    private void send(StoreCall call, HttpQuery query, ControlInput input) {
+    private void send(StoreCall call, HttpRequest query, ControlInput input) {
         StoreId store = call.store().id();
         caller.send(query).whenComplete((answer, failure) -> {
             if (failure != null) {
@@ -116,7 +116,7 @@
         });
     }
 
-    private static StoreAnswer read(StoreCall call, HttpAnswer answer) {
+    private static StoreAnswer read(StoreCall call, HttpResponse answer) {
         StoreId store = call.store().id();
         if (!answer.isSuccess()) {
             return new StoreAnswer.Silent(store, "status " + answer.status());
--- a/src/main/java/org/yuccagw/standins/engine/BlockExport.java
+++ b/src/main/java/org/yuccagw/standins/engine/BlockExport.java
@@ -9,9 +9,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.StandInJson;
@@ -24,7 +24,7 @@
     private static final int AT_ONCE = 4;
     private static final int FULL = 507;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final NetworkAddress store;
     private final String writer;
     private final Source source;
@@ -44,7 +44,7 @@
      */
     record Source(Predicate<BlockKey> isCached, int blockBytes, BooleanSupplier beforeSeal) {}
 
-    private BlockExport(HttpCaller caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
+    private BlockExport(HttpClient caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
         this.caller = caller;
         this.store = NetworkAddress.parse(order.path("store").asText());
         this.writer = order.path("writer").asText();
@@ -53,7 +53,7 @@
         order.path("blocks").forEach(key -> waiting.add(BlockKey.parse(key.asText())));
     }
 
-    static void start(HttpCaller caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
+    static void start(HttpClient caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
         new BlockExport(caller, order, source, reply).next();
     }
 
@@ -75,7 +75,7 @@
     private void write(BlockKey key) {
         byte[] bytes = BlockBytes.of(key, source.blockBytes());
         String path = "/v1/blocks/" + key + "?writer=" + writer;
-        caller.send(HttpQuery.of("PUT", store, path, bytes)).whenComplete((written, failure) -> {
+        caller.send(HttpRequest.of("PUT", store, path, bytes)).whenComplete((written, failure) -> {
             if (failure != null || !written.isSuccess()) {
                 skip(key, failure == null && written.status() == FULL);
             } else if (source.beforeSeal().getAsBoolean()) {
@@ -84,12 +84,12 @@
         });
     }
 
-    private void seal(BlockKey key, byte[] bytes, HttpAnswer written) {
+    private void seal(BlockKey key, byte[] bytes, HttpResponse written) {
         long generation = StandInJson.parse(written.body()).path("generation").asLong();
         long checksum = Hashing.crc32c().hashBytes(bytes).padToLong();
         String path = "/v1/blocks/" + key + "/seal?generation=" + generation + "&length=" + bytes.length + "&checksum="
                 + checksum;
-        caller.send(HttpQuery.of("POST", store, path)).whenComplete((answered, failure) -> {
+        caller.send(HttpRequest.of("POST", store, path)).whenComplete((answered, failure) -> {
             if (failure != null || !answered.isSuccess()) {
                 skip(key, false);
             } else {
--- a/src/main/java/org/yuccagw/standins/platform/SmallDeployment.java
+++ b/src/main/java/org/yuccagw/standins/platform/SmallDeployment.java
@@ -5,7 +5,7 @@
 import java.net.ServerSocket;
 import java.util.ArrayList;
 import java.util.List;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.StandInJson;
 import org.yuccagw.standins.keyvalue.KeyValueStandIn;
@@ -119,15 +119,15 @@
     }
 
     /** A request as a caller sends it. */
-    public static HttpQuery request(NetworkAddress entry, String path) {
-        return HttpQuery.get(entry, path)
+    public static HttpRequest request(NetworkAddress entry, String path) {
+        return HttpRequest.get(entry, path)
                 .withHeader("Host", HOST)
                 .withHeader("Yuccagw-Request-Id", "request-1")
                 .withHeader("Yuccagw-Deadline-Ms", "500");
     }
 
     /** A prompt of two parts as a caller sends it. */
-    public static HttpQuery prompt(NetworkAddress entry, String path) {
+    public static HttpRequest prompt(NetworkAddress entry, String path) {
         return request(entry, path)
                 .withHeader("Yuccagw-Model", MODEL)
                 .withHeader("Yuccagw-Token-Usage", "900,50")
--- a/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
+++ b/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
@@ -15,8 +15,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.CacheCommand;
@@ -39,20 +39,20 @@
 import org.yuccagw.standins.store.CacheStoreStandIn;
 import org.yuccagw.standins.store.ReadFaults;
 
-/** Orders against the stand-ins of an engine and a store, over HTTP in one process. */
+/** Runs cache commands against stand-ins of an engine and a store, over HTTP in one process. */
 public class CacheMovementTest {
     private static final WeightVersion VERSION = WeightVersion.of("v1");
     private static final String SALT = BlockChain.salt("secret", "assistant", "v1", "");
     private static final String PROMPT = "a notebook's context, cell after cell. ".repeat(60);
-    private static final Duration LIMIT = Duration.ofSeconds(30);
-    private static final Duration SHORT = Duration.ofMillis(400);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration SHORT_DEADLINE = Duration.ofMillis(400);
 
     private final List<ControlEvent> events = new CopyOnWriteArrayList<>();
     private EngineStandIn engine;
     private CacheStoreStandIn store;
-    private HttpCaller caller;
-    private ImportClient imports;
-    private CacheActions actions;
+    private HttpClient httpClient;
+    private ImportClient importClient;
+    private CacheCommandHandler commandHandler;
 
     @BeforeMethod
     public void start() throws Exception {
@@ -60,41 +60,41 @@
                 .withCosts(EngineCosts.usual().faster(10))
                 .withLags(new EngineSettings.Lags(Duration.ZERO, Duration.ZERO, 0)));
         store = CacheStoreStandIn.start(CacheStoreSettings.usual("store-0"));
-        caller = HttpCaller.start(2);
+        httpClient = HttpClient.start(2);
         events.clear();
-        imports = ImportClient.of(caller, events::add);
-        actions = CacheActions.of(caller, imports);
+        importClient = ImportClient.of(httpClient, events::add);
+        commandHandler = CacheCommandHandler.of(httpClient, importClient);
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        caller.stop();
+        httpClient.stop();
         engine.stop();
         store.stop();
     }
 
     @Test
-    public void blocksGoToTheStoreAndComeBackAfterEviction() throws Exception {
+    public void exportedBlocksAreImportedAfterAnEviction() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
-        assertEquals(importNow(plan(stored, LIMIT, false)).blocks(), stored.size());
+        assertEquals(importNow(plan(stored, TIMEOUT, false)).blocks(), stored.size());
         assertTrue(engine.cached().containsAll(keys()));
-        EngineCacheUpdate.ImportEnded ended = only(EngineCacheUpdate.ImportEnded.class);
+        EngineCacheUpdate.ImportEnded ended = awaitEvent(EngineCacheUpdate.ImportEnded.class);
         assertEquals(ended.imported(), stored.size());
         assertTrue(ended.failed().isEmpty());
     }
 
     @Test
-    public void whatTheStoreAndTheEngineTellIsRead() throws Exception {
+    public void answersOfTheStoreAndTheEngineAreParsed() throws Exception {
         List<StoredBlock> stored = export();
         perform(new CacheCommand.LookUpBlocks(7, storeAddress(), keys()));
-        assertEquals(only(StoreUpdate.BlocksFound.class).found().size(), stored.size());
+        assertEquals(awaitEvent(StoreUpdate.BlocksFound.class).found().size(), stored.size());
         perform(new CacheCommand.ReadStoreStatus(storeAddress()));
-        assertTrue(only(StoreUpdate.StatusRead.class).memory().usedBytes() > 0);
+        assertTrue(awaitEvent(StoreUpdate.StatusRead.class).memory().usedBytes() > 0);
         perform(new CacheCommand.ReadCacheEvents(endpoint().id(), engine.address(), 0));
-        assertTrue(only(EngineCacheUpdate.EventsRead.class).lastSequence() > 0);
+        assertTrue(awaitEvent(EngineCacheUpdate.EventsRead.class).lastSequence() > 0);
         perform(new CacheCommand.ReadCacheSnapshot(endpoint().id(), engine.address()));
-        assertTrue(only(EngineCacheUpdate.SnapshotRead.class).blocks().containsAll(keys()));
+        assertTrue(awaitEvent(EngineCacheUpdate.SnapshotRead.class).blocks().containsAll(keys()));
     }
 
     @Test
@@ -105,97 +105,101 @@
                 .toList();
         for (int i = 0; i < 2; i++) {
             perform(new CacheCommand.DeleteBlocks(storeAddress(), generations));
-            await().atMost(LIMIT).until(() -> {
+            await().atMost(TIMEOUT).until(() -> {
                 events.clear();
                 perform(new CacheCommand.LookUpBlocks(1, storeAddress(), keys()));
-                return only(StoreUpdate.BlocksFound.class).found().isEmpty();
+                return awaitEvent(StoreUpdate.BlocksFound.class).found().isEmpty();
             });
         }
     }
 
-    // A byte of a stored block changed in the store's memory. The analyst must never get an answer made from it. The
-    // engine compares the checksum before it commits the block, and says which one failed.
+    // Guards against answers computed from a corrupted block. A byte of a stored block changes in the store's memory.
+    // The engine must compare the checksum before it commits the block, and report the block that failed.
     @Test
     public void aBlockWithAWrongChecksumIsNotCommitted() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
         store.order(new ReadFaults(1, 0, 0));
-        assertEquals(importNow(plan(stored, LIMIT, false)).blocks(), stored.size() - 1);
-        EngineCacheUpdate.ImportEnded ended = only(EngineCacheUpdate.ImportEnded.class);
+        assertEquals(importNow(plan(stored, TIMEOUT, false)).blocks(), stored.size() - 1);
+        EngineCacheUpdate.ImportEnded ended = awaitEvent(EngineCacheUpdate.ImportEnded.class);
         assertEquals(ended.failed().size(), 1);
         assertEquals(ended.failed().get(0).reason(), ImportFailure.DAMAGED);
         assertTrue(!engine.cached().contains(ended.failed().get(0).key()));
     }
 
-    // The store dies while an engine fetches from it. The request must go on, with whatever has arrived. The outcome
-    // says how many blocks are there, and none of the others was committed.
+    // Guards against requests that fail with their store. The store terminates while an engine fetches from it. The
+    // outcome must state how many blocks were imported, and no other block may be committed.
     @Test
-    public void aStoreThatDiesEndsTheImportWithWhatArrived() throws Exception {
+    public void aStoreThatTerminatesEndsTheImportWithTheBlocksReceived() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
         store.setLink(20_000);
-        CompletableFuture<ImportOutcome> outcome = begin(plan(stored, LIMIT, false));
+        CompletableFuture<ImportOutcome> outcome = begin(plan(stored, TIMEOUT, false));
         store.kill();
-        int arrived = outcome.get(LIMIT.toSeconds(), TimeUnit.SECONDS).blocks();
+        int arrived = outcome.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).blocks();
         assertTrue(arrived < stored.size());
         assertTrue(engine.cached().stream().filter(keys()::contains).count() <= arrived);
     }
 
-    // A link falls silent in the middle of a fetch: no error, no end. The request would wait for good. The deadline of
-    // the plan ends the wait at the entry and at the engine.
+    // Guards against requests that wait forever on a silent link. The link stops in the middle of a fetch without an
+    // error or an end. The deadline of the plan must end the wait at the entry and at the engine.
     @Test
-    public void aSilentLinkEndsAtTheDeadline() throws Exception {
+    public void anImportOverASilentLinkEndsAtTheDeadline() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
         store.order(new ReadFaults(0, 0, stored.size()));
-        ImportOutcome outcome = importNow(plan(stored, SHORT, false));
+        ImportOutcome outcome = importNow(plan(stored, SHORT_DEADLINE, false));
         assertEquals(outcome.blocks(), 0);
-        assertTrue(only(EngineCacheUpdate.ImportEnded.class).failed().stream()
+        assertTrue(awaitEvent(EngineCacheUpdate.ImportEnded.class).failed().stream()
                 .allMatch(block -> block.reason() == ImportFailure.LATE));
     }
 
-    // Two callers return to one notebook at the same time. The second must not put the same bytes on the link again.
+    // Guards against transferring the same blocks twice. Two callers send a prompt with the same prefix at the same
+    // time; the second import must wait for the first.
     @Test
-    public void aPlanThatJoinsMovesNothingTwice() throws Exception {
+    public void aPlanThatJoinsTransfersNoBlockTwice() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
         store.setLink(50_000);
-        CompletableFuture<ImportOutcome> first = begin(plan(stored, LIMIT, false));
-        CompletableFuture<ImportOutcome> second = begin(plan(stored, LIMIT, true));
-        assertEquals(first.get(LIMIT.toSeconds(), TimeUnit.SECONDS).blocks(), stored.size());
-        ImportOutcome joined = second.get(LIMIT.toSeconds(), TimeUnit.SECONDS);
+        CompletableFuture<ImportOutcome> first = begin(plan(stored, TIMEOUT, false));
+        CompletableFuture<ImportOutcome> second = begin(plan(stored, TIMEOUT, true));
+        assertEquals(first.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).blocks(), stored.size());
+        ImportOutcome joined = second.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         assertEquals(joined.blocks(), stored.size());
         assertEquals(joined.bytes(), 0);
         long length = stored.stream().mapToLong(StoredBlock::length).sum();
         assertEquals(store.readBytes(), length);
     }
 
-    // The replica goes over to new weights between the plan and the import. Blocks of the old ones must not come in.
+    // Guards against blocks of old weights in an engine. The engine switches to new weights between the plan and the
+    // import.
     @Test
-    public void anImportForOtherWeightsIsRefusedAsAWhole() throws Exception {
+    public void anImportForOtherWeightsIsRefusedCompletely() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
         CompletableFuture<ImportOutcome> done = new CompletableFuture<>();
-        imports.importBlocks(endpoint(), plan(stored, LIMIT, false), "v2", done::complete);
-        assertEquals(done.get(LIMIT.toSeconds(), TimeUnit.SECONDS).blocks(), 0);
+        importClient.importBlocks(endpoint(), plan(stored, TIMEOUT, false), "v2", done::complete);
+        assertEquals(done.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).blocks(), 0);
         assertTrue(engine.cached().isEmpty());
     }
 
-    // The store has no room in the middle of an export. What was sealed is of use, the order says that it is full.
+    // Guards against an export that hides a full store. The store has no free capacity left in the middle of an export.
+    // The sealed blocks remain usable, and the outcome must report that the store is full.
     @Test
-    public void anExportToAFullStoreSaysSo() throws Exception {
-        complete();
+    public void anExportToAFullStoreReportsIt() throws Exception {
+        runCompletion();
         store.setFull(true);
-        perform(exportOrder());
-        EngineCacheUpdate.ExportEnded ended = only(EngineCacheUpdate.ExportEnded.class);
+        perform(exportCommand());
+        EngineCacheUpdate.ExportEnded ended = awaitEvent(EngineCacheUpdate.ExportEnded.class);
         assertTrue(ended.full());
         assertTrue(ended.exported().isEmpty());
     }
 
     private List<StoredBlock> export() throws Exception {
-        complete();
-        perform(exportOrder());
-        List<StoredBlock> stored = only(EngineCacheUpdate.ExportEnded.class).exported();
+        runCompletion();
+        perform(exportCommand());
+        List<StoredBlock> stored =
+                awaitEvent(EngineCacheUpdate.ExportEnded.class).exported();
         assertEquals(stored.size(), keys().size());
         events.clear();
         return keys().stream()
@@ -206,20 +210,21 @@
                 .toList();
     }
 
-    private CacheCommand.ExportBlocks exportOrder() {
-        return new CacheCommand.ExportBlocks(1, endpoint(), storeAddress(), "writer-1", keys(), LIMIT);
+    private CacheCommand.ExportBlocks exportCommand() {
+        return new CacheCommand.ExportBlocks(1, endpoint(), storeAddress(), "writer-1", keys(), TIMEOUT);
     }
 
-    private void complete() throws Exception {
+    private void runCompletion() throws Exception {
         String body = CacheJson.write(CacheJson.object()
                 .put("model", "model")
                 .put("prompt", PROMPT)
                 .put("max_tokens", 2)
                 .put("cache_salt", SALT));
-        assertTrue(caller.send(HttpQuery.json("POST", engine.address(), "/v1/completions", body))
-                .get(LIMIT.toSeconds(), TimeUnit.SECONDS)
+        assertTrue(httpClient
+                .send(HttpRequest.json("POST", engine.address(), "/v1/completions", body))
+                .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS)
                 .isSuccess());
-        await().atMost(LIMIT).until(() -> engine.cached().containsAll(keys()));
+        await().atMost(TIMEOUT).until(() -> engine.cached().containsAll(keys()));
     }
 
     private List<BlockKey> keys() {
@@ -234,21 +239,21 @@
     }
 
     private ImportOutcome importNow(ImportPlan plan) throws Exception {
-        return begin(plan).get(LIMIT.toSeconds(), TimeUnit.SECONDS);
+        return begin(plan).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private CompletableFuture<ImportOutcome> begin(ImportPlan plan) {
         CompletableFuture<ImportOutcome> done = new CompletableFuture<>();
-        imports.importBlocks(endpoint(), plan, VERSION.value(), done::complete);
+        importClient.importBlocks(endpoint(), plan, VERSION.value(), done::complete);
         return done;
     }
 
-    private void perform(CacheCommand order) {
-        assertTrue(actions.perform(order, events::add));
+    private void perform(CacheCommand command) {
+        assertTrue(commandHandler.perform(command, events::add));
     }
 
-    private <T extends ControlEvent> T only(Class<T> kind) {
-        await().atMost(LIMIT).until(() -> events.stream().anyMatch(kind::isInstance));
+    private <T extends ControlEvent> T awaitEvent(Class<T> kind) {
+        await().atMost(TIMEOUT).until(() -> events.stream().anyMatch(kind::isInstance));
         return events.stream()
                 .filter(kind::isInstance)
                 .map(kind::cast)
--- a/src/test/java/org/yuccagw/adapters/cache/ExportedBlocksTest.java
+++ b/src/test/java/org/yuccagw/adapters/cache/ExportedBlocksTest.java
@@ -11,17 +11,17 @@
 import org.yuccagw.core.cache.StoredBlock;
 
 public class ExportedBlocksTest {
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final ObjectMapper JSON = new ObjectMapper();
     private static final BlockKey FIRST = BlockKey.of(9, 1);
     private static final BlockKey SECOND = BlockKey.of(1, 2);
     private static final BlockKey THIRD = BlockKey.of(5, 3);
 
-    // An operator sees a link that is used up by exports although few prompts come. The engine exports a prompt's
-    // blocks several at a time and names them as they end, first the second one. Taken in that order the copy seems to
-    // lack its beginning, and the whole prompt is exported again, and again.
+    // Guards against prompts that are exported again and again until the exports saturate the link although few prompts
+    // arrive. The engine exports several blocks concurrently and lists them in order of completion, here the second one
+    // first. In that order the copy seems to lack its beginning.
     @Test
-    public void blocksThatEndOutOfOrderAreTakenInTheOrderOfThePrompt() {
-        ObjectNode answer = MAPPER.createObjectNode();
+    public void blocksThatAreExportedOutOfOrderAreReturnedInTheOrderOfThePrompt() {
+        ObjectNode answer = JSON.createObjectNode();
         ArrayNode exported = answer.putArray("exported");
         for (BlockKey key : List.of(SECOND, THIRD, FIRST)) {
             exported.addObject()
--- a/src/test/java/org/yuccagw/adapters/endpoint/PlatformActionsTest.java
+++ b/src/test/java/org/yuccagw/adapters/endpoint/PlatformActionsTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.endpoint.EndpointReported;
 import org.yuccagw.core.endpoint.PlatformListed;
@@ -35,41 +35,42 @@
 
 public class PlatformActionsTest {
     private static final EndpointId ENDPOINT = EndpointId.of("assistant-00");
-    private static final long LONG_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
     private static final long NOW_NANOS = Duration.ofHours(1).toNanos();
 
     private final BlockingQueue<ControlEvent> events = new LinkedBlockingQueue<>();
-    private HttpCaller caller;
+    private HttpClient httpClient;
     private EngineStandIn engine;
     private NetworkAddress address;
-    private OrderSender sender;
+    private OrderSender orderSender;
 
     @BeforeMethod
-    public void startAnEngineThatChecksFencing() throws IOException {
+    public void startEngineThatChecksFencing() throws IOException {
         events.clear();
-        caller = HttpCaller.start(1);
+        httpClient = HttpClient.start(1);
         engine = EngineStandIn.start(EngineSettings.usual(ENDPOINT.value(), "assistant", WeightVersion.of("v1"))
                 .withFencingCheck(true));
         address = engine.address();
-        sender = OrderSender.of(caller, () -> NOW_NANOS);
+        orderSender = OrderSender.of(httpClient, () -> NOW_NANOS);
     }
 
     @AfterMethod(alwaysRun = true)
-    public void stopBoth() {
-        caller.stop();
+    public void stopEngineAndClient() {
+        httpClient.stop();
         engine.stop();
     }
 
     @Test
-    public void theListOfVmsIsReadWithKindsAndStates() throws Exception {
+    public void theListOfVmsIsParsedWithKindsAndStates() throws Exception {
         VmListStandIn list = VmListStandIn.start(0, 0);
         try {
-            NetworkAddress listed = NetworkAddress.of("127.0.0.1", 4000);
+            NetworkAddress vmAddress = NetworkAddress.of("127.0.0.1", 4000);
             list.set(List.of(
-                    VmRow.live("entry", "entry-1", "", "ulemiste", listed),
-                    VmRow.live("weight-store", "weights", "", "kadaka", listed).leaving()));
-            PlatformPoller.of(caller, list.address()).perform(new ReadPlatformList(), events::add);
-            List<PlatformListed.ListedVm> read = ((PlatformListed) next()).vms();
+                    VmRow.live("entry", "entry-1", "", "ulemiste", vmAddress),
+                    VmRow.live("weight-store", "weights", "", "kadaka", vmAddress)
+                            .leaving()));
+            PlatformPoller.of(httpClient, list.address()).perform(new ReadPlatformList(), events::add);
+            List<PlatformListed.ListedVm> read = ((PlatformListed) nextEvent()).vms();
             assertEquals(read.get(0).kind(), VmKind.ENTRY);
             assertEquals(read.get(0).name(), "entry-1");
             assertEquals(read.get(1).kind(), VmKind.WEIGHT_STORE);
@@ -80,41 +81,42 @@
     }
 
     @Test
-    public void aProbeBringsTheEndpointsOwnWord() throws Exception {
+    public void aProbeReportsTheStateOfTheEndpoint() throws Exception {
         poller().perform(new ProbeEndpoint(ENDPOINT, 1, address), events::add);
-        EndpointReported report = (EndpointReported) next();
+        EndpointReported report = (EndpointReported) nextEvent();
         assertEquals(report.version(), Optional.of(WeightVersion.of("v1")));
         assertEquals(report.incarnation(), 1);
     }
 
     @Test
-    public void aProbeOfADeadEndpointFailsAfterBothConnections() throws Exception {
+    public void aProbeOfATerminatedEndpointFailsAfterItsRetry() throws Exception {
         engine.kill();
         poller().perform(new ProbeEndpoint(ENDPOINT, 1, address), events::add);
-        assertEquals(next(), new ProbeFailed(ENDPOINT, 1));
+        assertEquals(nextEvent(), new ProbeFailed(ENDPOINT, 1));
     }
 
     @Test
     public void anOrderWithALowerFencingNumberIsRefusedByTheEngine() throws Exception {
-        assertEquals(order(20, NOW_NANOS + 1), Outcome.ACCEPTED);
-        assertEquals(order(10, NOW_NANOS + 1), Outcome.STALE_FENCING);
+        assertEquals(sendOrder(20, NOW_NANOS + 1), Outcome.ACCEPTED);
+        assertEquals(sendOrder(10, NOW_NANOS + 1), Outcome.STALE_FENCING);
     }
 
-    // The process was paused between deciding on an order and sending it. Its lease ran out meanwhile, the next owner
-    // ordered already. The engine of this pool might ignore fencing numbers, so the order must not leave the process.
+    // Guards against two owners giving orders to one engine, which might ignore fencing numbers. The process is
+    // suspended between deciding on an order and sending it; meanwhile its lease expires and the next owner sends its
+    // own order.
     @Test
-    public void anOrderWhoseAuthorityHasEndedIsNotSent() throws Exception {
-        assertEquals(order(20, NOW_NANOS), Outcome.NOT_SENT);
-        assertEquals(order(10, NOW_NANOS + 1), Outcome.ACCEPTED);
+    public void anOrderWhoseLeaseHasExpiredIsNotSent() throws Exception {
+        assertEquals(sendOrder(20, NOW_NANOS), Outcome.NOT_SENT);
+        assertEquals(sendOrder(10, NOW_NANOS + 1), Outcome.ACCEPTED);
     }
 
     @Test
-    public void anOrderToADeadEndpointIsNotSent() throws Exception {
+    public void anOrderToATerminatedEndpointIsNotSent() throws Exception {
         engine.kill();
-        assertEquals(order(20, NOW_NANOS + 1), Outcome.NOT_SENT);
+        assertEquals(sendOrder(20, NOW_NANOS + 1), Outcome.NOT_SENT);
     }
 
-    private Outcome order(long fencing, long authorityEndsNanos) throws InterruptedException {
+    private Outcome sendOrder(long fencing, long authorityEndsNanos) throws InterruptedException {
         OrderEndpoint order = new OrderEndpoint(
                 ENDPOINT,
                 address,
@@ -123,17 +125,17 @@
                 fencing,
                 authorityEndsNanos,
                 Optional.empty());
-        assertTrue(sender.perform(order, events::add));
-        return ((OrderEnded) next()).outcome();
+        assertTrue(orderSender.perform(order, events::add));
+        return ((OrderEnded) nextEvent()).outcome();
     }
 
     private PlatformPoller poller() {
-        return PlatformPoller.of(caller, address);
+        return PlatformPoller.of(httpClient, address);
     }
 
-    private ControlEvent next() throws InterruptedException {
-        ControlEvent event = events.poll(LONG_SECONDS, TimeUnit.SECONDS);
-        assertTrue(event != null, "nothing came");
+    private ControlEvent nextEvent() throws InterruptedException {
+        ControlEvent event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(event != null, "no event was reported");
         return event;
     }
 }
--- a/src/test/java/org/yuccagw/adapters/http/ErrorTableTest.java
+++ b/src/test/java/org/yuccagw/adapters/http/ErrorTableTest.java
@@ -17,9 +17,9 @@
 import org.yuccagw.core.error.ErrorKind.Ran;
 import org.yuccagw.core.error.ErrorKind.Retry;
 
-/** Walks the table of error kinds: what holds for every row. */
+/** Checks the rules that hold for every error kind. */
 public class ErrorTableTest {
-    private static final Pattern PLACE = Pattern.compile("%s");
+    private static final Pattern PLACEHOLDER = Pattern.compile("%s");
     private static final Set<String> TYPES = Set.of(
             "invalid_request_error",
             "authentication_error",
@@ -37,7 +37,7 @@
     }
 
     @Test(dataProvider = "kinds")
-    public void everyKindHasAnAnswerThatCallersOfCompletionsCanRead(ErrorKind kind) throws Exception {
+    public void everyKindIsAnsweredInTheFormatOfCompletionsApis(ErrorKind kind) throws Exception {
         JsonNode answer = new ObjectMapper().readTree(ErrorAnswers.body(kind.raise(arguments(kind))));
         assertEquals(answer.size(), 1);
         JsonNode error = answer.get("error");
@@ -49,7 +49,7 @@
     }
 
     @Test(dataProvider = "kinds")
-    public void everyTemplateTakesItsArgumentsAndNothingElseIsLeftOpen(ErrorKind kind) {
+    public void everyTemplateUsesAllArgumentsAndLeavesNoPlaceholder(ErrorKind kind) {
         Object[] arguments = arguments(kind);
         String message = kind.raise(arguments).getMessage();
         for (Object argument : arguments) {
@@ -59,34 +59,37 @@
     }
 
     @Test(dataProvider = "kinds")
-    public void everyStatusIsOneOfAnError(ErrorKind kind) {
+    public void everyStatusIsAnErrorStatus(ErrorKind kind) {
         assertTrue(kind.status() >= 400 && kind.status() < 600);
     }
 
     @Test(dataProvider = "kinds")
-    public void whatMayHaveRunIsNeverSentAgainByAnyoneWithoutCare(ErrorKind kind) {
+    public void aRequestThatMayHaveRunIsRetriedOnlyIfIdempotent(ErrorKind kind) {
         if (kind.ran() != Ran.NOT_RUN && kind != ErrorKind.ALREADY_RUNNING && kind != ErrorKind.EDIT_UNCONFIRMED) {
-            // The two exceptions carry a key or an edit id, under which sending again has no second effect.
+            // The two excluded kinds carry an idempotency key or an edit id, so a retry has no second effect.
             assertTrue(kind.retry() == Retry.NEVER || kind.retry() == Retry.CALLER_IF_IDEMPOTENT, kind.name());
         }
     }
 
     @Test(dataProvider = "kinds")
-    public void aRefusalForOverloadOrLimitsMayBeSentAgain(ErrorKind kind) {
+    public void aRequestRejectedForOverloadOrLimitsMayBeRetried(ErrorKind kind) {
         if (kind.status() == 429 || kind.status() == 503) {
             assertTrue(kind.retry() != Retry.NEVER, kind.name());
         }
     }
 
     @Test
-    public void theTimeToComeBackIsRoundedUp() {
+    public void retryAfterIsRoundedUpToSeconds() {
         assertEquals(ErrorAnswers.retryAfterSeconds(Duration.ZERO), 1);
         assertEquals(ErrorAnswers.retryAfterSeconds(Duration.ofSeconds(1)), 1);
         assertEquals(ErrorAnswers.retryAfterSeconds(Duration.ofMillis(1001)), 2);
     }
 
     private static Object[] arguments(ErrorKind kind) {
-        Matcher places = PLACE.matcher(kind.template());
-        return places.results().map(place -> "argument-" + place.start()).toArray();
+        Matcher placeholders = PLACEHOLDER.matcher(kind.template());
+        return placeholders
+                .results()
+                .map(placeholder -> "argument-" + placeholder.start())
+                .toArray();
     }
 }
--- a/src/test/java/org/yuccagw/adapters/http/HttpCallerTest.java
+++ b/src/test/java/org/yuccagw/adapters/http/HttpClientTest.java
@@ -18,21 +18,22 @@
 import org.testng.annotations.Test;
 import org.yuccagw.core.id.NetworkAddress;
 
-public class HttpCallerTest {
+public class HttpClientTest {
     private Undertow server;
-    private HttpCaller caller;
+    private HttpClient client;
     private NetworkAddress address;
 
     @BeforeClass
     public void start() throws Exception {
         server = Undertow.builder()
                 .addHttpListener(0, "127.0.0.1")
-                .setHandler(exchange -> exchange.getRequestReceiver().receiveFullBytes((received, body) -> {
-                    received.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
-                    received.getResponseSender()
-                            .send(received.getRequestMethod()
+                .setHandler(exchange -> exchange.getRequestReceiver().receiveFullBytes((exchangeWithBody, body) -> {
+                    exchangeWithBody.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
+                    exchangeWithBody
+                            .getResponseSender()
+                            .send(exchangeWithBody.getRequestMethod()
                                     + " "
-                                    + received.getRequestPath()
+                                    + exchangeWithBody.getRequestPath()
                                     + " "
                                     + new String(body, StandardCharsets.UTF_8));
                 }))
@@ -41,47 +42,48 @@
         InetSocketAddress bound =
                 (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
         address = NetworkAddress.of("127.0.0.1", bound.getPort());
-        caller = HttpCaller.start(2);
+        client = HttpClient.start(2);
     }
 
     @AfterClass
     public void stop() {
-        caller.stop();
+        client.stop();
         server.stop();
     }
 
     @Test
-    public void aGetIsAnswered() throws Exception {
-        HttpAnswer answer = caller.send(HttpQuery.get(address, "/a")).get(10, TimeUnit.SECONDS);
-        assertEquals(answer.text(), "GET /a ");
+    public void aGetRequestReceivesItsResponse() throws Exception {
+        HttpResponse response = client.send(HttpRequest.get(address, "/a")).get(10, TimeUnit.SECONDS);
+        assertEquals(response.text(), "GET /a ");
     }
 
     @Test
-    public void aLargeBodyArrivesWhole() throws Exception {
+    public void aLargeBodyArrivesComplete() throws Exception {
         String body = "x".repeat(1_000_000);
-        HttpAnswer answer =
-                caller.send(HttpQuery.json("POST", address, "/b", body)).get(10, TimeUnit.SECONDS);
-        assertEquals(answer.text().length(), "POST /b ".length() + body.length());
+        HttpResponse response =
+                client.send(HttpRequest.json("POST", address, "/b", body)).get(10, TimeUnit.SECONDS);
+        assertEquals(response.text().length(), "POST /b ".length() + body.length());
     }
 
     @Test
-    public void aKeptConnectionServesManyRequests() throws Exception {
+    public void aConnectionIsReusedForManyRequests() throws Exception {
         for (int i = 0; i < 200; i++) {
-            HttpAnswer answer =
-                    caller.send(HttpQuery.json("PUT", address, "/" + i, "{}")).get(10, TimeUnit.SECONDS);
-            assertEquals(answer.text(), "PUT /" + i + " {}");
+            HttpResponse response =
+                    client.send(HttpRequest.json("PUT", address, "/" + i, "{}")).get(10, TimeUnit.SECONDS);
+            assertEquals(response.text(), "PUT /" + i + " {}");
         }
     }
 
-    // A listener accepts the connection and never says a word: something between the two ends lost track of it.
-    // The user would wait for good. The watch for silence ends the call and says so.
+    // Guards against requests that wait forever on a connection whose state was dropped on the path. The listener here
+    // accepts the connection and never sends a byte; the silence timeout must fail the request and name the cause.
     @Test
-    public void aSilentConnectionEndsWithAFailure() throws Exception {
+    public void aSilentConnectionFailsAfterTheTimeout() throws Exception {
         try (ServerSocket silent = new ServerSocket(0)) {
-            NetworkAddress there = NetworkAddress.of("127.0.0.1", silent.getLocalPort());
-            HttpQuery query = HttpQuery.get(there, "/").withTimeouts(Duration.ofSeconds(5), Duration.ofMillis(100));
+            NetworkAddress silentAddress = NetworkAddress.of("127.0.0.1", silent.getLocalPort());
+            HttpRequest request =
+                    HttpRequest.get(silentAddress, "/").withTimeouts(Duration.ofSeconds(5), Duration.ofMillis(100));
             ExecutionException failure = expectThrows(
-                    ExecutionException.class, () -> caller.send(query).get(30, TimeUnit.SECONDS));
+                    ExecutionException.class, () -> client.send(request).get(30, TimeUnit.SECONDS));
             assertTrue(failure.getCause() instanceof IOException);
             assertTrue(failure.getCause().getMessage().contains("silent"));
         }
--- a/src/test/java/org/yuccagw/adapters/http/JsonTextTest.java
+++ b/src/test/java/org/yuccagw/adapters/http/JsonTextTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 public class JsonTextTest {
-    private static final ObjectMapper LIBRARY = new ObjectMapper();
+    private static final ObjectMapper OBJECT_MAPPER = new ObjectMapper();
 
     @DataProvider
     public Object[][] documents() {
@@ -27,31 +27,31 @@
     }
 
     @Test(dataProvider = "documents")
-    public void aDocumentIsReadAsTheLibraryReadsIt(String document) throws IOException {
+    public void aDocumentIsParsedAsByObjectMapper(String document) throws IOException {
         byte[] bytes = document.getBytes(StandardCharsets.UTF_8);
-        assertEquals(JsonText.read(bytes), LIBRARY.readTree(bytes));
+        assertEquals(JsonText.read(bytes), OBJECT_MAPPER.readTree(bytes));
     }
 
     @Test(dataProvider = "documents")
-    public void whatIsWrittenReadsAsTheSameDocument(String document) throws IOException {
+    public void aWrittenDocumentParsesToTheSameTree(String document) throws IOException {
         byte[] bytes = document.getBytes(StandardCharsets.UTF_8);
         String written = JsonText.write(JsonText.read(bytes));
-        assertEquals(LIBRARY.readTree(written), LIBRARY.readTree(bytes));
-        assertTrue(!written.contains("\n"), "in one line: " + written);
+        assertEquals(OBJECT_MAPPER.readTree(written), OBJECT_MAPPER.readTree(bytes));
+        assertTrue(!written.contains("\n"), "expected one line: " + written);
     }
 
     @Test
-    public void nothingIsReadAsMissing() throws IOException {
+    public void emptyInputGivesAMissingNode() throws IOException {
         assertTrue(JsonText.read(new byte[0]).isMissingNode());
     }
 
     @DataProvider
-    public Object[][] broken() {
+    public Object[][] invalidDocuments() {
         return new Object[][] {{"{"}, {"[1,"}, {"{\"a\"}"}, {"nul"}, {"{\"a\":}"}, {"\"open"}};
     }
 
-    @Test(dataProvider = "broken")
-    public void aBrokenDocumentIsRefused(String document) {
+    @Test(dataProvider = "invalidDocuments")
+    public void anInvalidDocumentIsRejected(String document) {
         assertThrows(IOException.class, () -> JsonText.read(document.getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
@@ -18,9 +18,9 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.platform.GatewaySettingsReader;
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
@@ -37,7 +37,7 @@
     private ScriptedEndpoint inNeed;
     private ScriptedEndpoint busy;
     private ScriptedEndpoint leaving;
-    private HttpCaller caller;
+    private HttpClient caller;
     private GatewaySettings settings;
     private GatewayDaemon daemon;
     private int requests;
@@ -46,7 +46,7 @@
     public void startAll() throws Exception {
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         endpoint = new ScriptedEndpoint();
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         keyValue.put(
                 PlatformDocuments.CONFIGURATION,
                 PlatformDocuments.configuration(3)
@@ -72,7 +72,8 @@
         settings = GatewaySettingsReader.parse(
                 SmallDeployment.settings("entry-1", keyValue.address(), SmallDeployment.freePorts(4)));
         daemon = GatewayDaemon.start(settings);
-        await().atMost(LONG).until(() -> status(HttpQuery.get(settings.readiness(), SmallDeployment.READINESS)) == 200);
+        await().atMost(LONG)
+                .until(() -> status(HttpRequest.get(settings.readiness(), SmallDeployment.READINESS)) == 200);
         await().atMost(LONG).until(() -> ask("/once/x").status() == 200);
     }
 
@@ -96,13 +97,13 @@
 
     @Test
     public void theDirectoryNamesTheEntry() throws Exception {
-        HttpAnswer answer = send(HttpQuery.get(settings.directory(), SmallDeployment.DIRECTORY));
+        HttpResponse answer = send(HttpRequest.get(settings.directory(), SmallDeployment.DIRECTORY));
         assertTrue(answer.text().contains("\"" + settings.callers() + "\""), answer.text());
     }
 
     @Test
     public void anAnswerComesWithTheEndpointsHeadersAndBody() throws Exception {
-        HttpAnswer answer = ask("/once/plain");
+        HttpResponse answer = ask("/once/plain");
         assertEquals(answer.status(), 200);
         assertEquals(answer.text(), "body");
         assertEquals(answer.header("Yuccagw-Response-Seal"), "seal-1");
@@ -132,7 +133,7 @@
 
     @Test
     public void aStreamArrivesWholeAndInOrder() throws Exception {
-        HttpAnswer answer = ask("/stream/stream");
+        HttpResponse answer = ask("/stream/stream");
         assertEquals(answer.text(), "id: 1\ndata: word1\n\nid: 2\ndata: word2\n\nid: 3\ndata: word3\n\n");
     }
 
@@ -151,7 +152,7 @@
     // A late answer to another request comes in place of the own one.
     @Test
     public void anAnswerToAnotherRequestIsNotPassedOn() throws Exception {
-        HttpAnswer answer = ask("/once/foreign");
+        HttpResponse answer = ask("/once/foreign");
         assertEquals(answer.status(), 502);
         assertFalse(answer.text().contains("forged"));
     }
@@ -239,7 +240,7 @@
         long begunNanos = System.nanoTime();
         int refused = 0;
         for (int index = 0; index < 20; index++) {
-            HttpAnswer answer = ask("/spared/limited");
+            HttpResponse answer = ask("/spared/limited");
             if (answer.status() == 503) {
                 refused++;
                 assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0, answer.text());
@@ -258,7 +259,7 @@
                 .until(() ->
                         ask("/busy/busy").status() == 503 && !busy.requests().isEmpty());
         for (int index = 0; index < 5; index++) {
-            HttpAnswer answer = ask("/busy/busy");
+            HttpResponse answer = ask("/busy/busy");
             assertEquals(answer.status(), 503);
             assertTrue(Double.parseDouble(answer.header("Retry-After")) > 20, answer.header("Retry-After"));
         }
@@ -275,20 +276,20 @@
         assertEquals(leaving.requests().size(), 1);
     }
 
-    private HttpAnswer ask(String path) throws Exception {
+    private HttpResponse ask(String path) throws Exception {
         return send(request(path, "key-1"));
     }
 
-    private HttpQuery request(String path, String key) {
+    private HttpRequest request(String path, String key) {
         requests++;
-        return HttpQuery.of("POST", settings.callers(), path, "question".getBytes(StandardCharsets.UTF_8))
+        return HttpRequest.of("POST", settings.callers(), path, "question".getBytes(StandardCharsets.UTF_8))
                 .withHeader("Host", "a.example")
                 .withHeader("Yuccagw-Request-Id", "r-" + requests)
                 .withHeader("Yuccagw-Deadline-Ms", "2000")
                 .withHeader("Authorization", "Bearer " + key);
     }
 
-    private int status(HttpQuery query) throws InterruptedException {
+    private int status(HttpRequest query) throws InterruptedException {
         try {
             return send(query).status();
         } catch (ExecutionException | java.util.concurrent.TimeoutException notYet) {
@@ -296,7 +297,7 @@
         }
     }
 
-    private HttpAnswer send(HttpQuery query)
+    private HttpResponse send(HttpRequest query)
             throws InterruptedException, ExecutionException, java.util.concurrent.TimeoutException {
         return caller.send(query).get(LONG.toSeconds(), TimeUnit.SECONDS);
     }
--- a/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
+++ b/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
@@ -15,8 +15,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
@@ -46,8 +46,8 @@
     @Test
     public void aSwapRollsOverThePoolWhileCallersAreServed() throws Exception {
         JsonNode wanted = catalogueWithVersion("v2");
-        HttpAnswer accepted =
-                deployment.send(HttpQuery.json("PUT", admin(), "/admin/catalogue?edit=swap", wanted.toString())
+        HttpResponse accepted =
+                deployment.send(HttpRequest.json("PUT", admin(), "/admin/catalogue?edit=swap", wanted.toString())
                         .withHeader("Authorization", OPERATOR));
         assertEquals(accepted.status(), 200, accepted.text());
         ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
@@ -60,8 +60,8 @@
     }
 
     private void ask(ConcurrentLinkedQueue<String> failures) throws Exception {
-        HttpAnswer answer = deployment.send(
-                HttpQuery.json("POST", deployment.callerAddresses().get(0), "/v1/completions", QUESTION)
+        HttpResponse answer = deployment.send(
+                HttpRequest.json("POST", deployment.callerAddresses().get(0), "/v1/completions", QUESTION)
                         .withHeader("Authorization", "Bearer " + LocalCatalogue.workspaceKey("statistics")));
         if (answer.status() != 200) {
             failures.add(answer.text());
@@ -72,7 +72,7 @@
         List<String> versions = new ArrayList<>();
         for (var engine : deployment.engines()) {
             JsonNode state = JSON.readTree(deployment
-                    .send(HttpQuery.get(engine.address(), "/v1/state"))
+                    .send(HttpRequest.get(engine.address(), "/v1/state"))
                     .body());
             versions.add(state.path("version").asText());
         }
@@ -80,8 +80,8 @@
     }
 
     private JsonNode catalogueWithVersion(String version) throws Exception {
-        HttpAnswer present =
-                deployment.send(HttpQuery.get(admin(), "/admin/catalogue").withHeader("Authorization", OPERATOR));
+        HttpResponse present =
+                deployment.send(HttpRequest.get(admin(), "/admin/catalogue").withHeader("Authorization", OPERATOR));
         JsonNode catalogue = JSON.readTree(present.body());
         ObjectNode model = (ObjectNode)
                 catalogue.path("services").path(LocalCatalogue.MODEL).path("model");
--- a/src/test/java/org/yuccagw/platform/CallerHeadsTest.java
+++ b/src/test/java/org/yuccagw/platform/CallerHeadsTest.java
@@ -27,7 +27,7 @@
                 "Yuccagw-Token-Usage", "1460,80",
                 "Yuccagw-Prefix-Hash", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"));
         assertEquals(head.id().value(), "r1");
-        assertEquals(head.patience(), Optional.of(Duration.ofSeconds(5)));
+        assertEquals(head.timeout(), Optional.of(Duration.ofSeconds(5)));
         assertEquals(head.bearerKey(), Optional.of("key-1"));
         assertEquals(head.afterEvent(), 12);
         assertEquals(head.prompt().orElseThrow().totalTokens(), 1540);
@@ -69,7 +69,7 @@
                         "Yuccagw-Hold", "1",
                         "Yuccagw-Expect-Instance", "i-1",
                         "X-Own", "stays"))
-                .forwarded();
+                .forwardedHeaders();
         for (String name : new String[] {
             "Authorization", "Yuccagw-Tenant", "Yuccagw-Cache-Salt", "Yuccagw-Kv-Fetch", "Kv-From", "Yuccagw-Hold"
         }) {
@@ -87,7 +87,7 @@
                         "Connection", "keep-alive, X-Hop, Yuccagw-Model, Yuccagw-Request-Id",
                         "Yuccagw-Model", "m",
                         "X-Hop", "goes"))
-                .forwarded();
+                .forwardedHeaders();
         assertTrue(forwarded.contains("Yuccagw-Model"));
         assertTrue(forwarded.contains("Yuccagw-Request-Id"));
         assertFalse(forwarded.contains("X-Hop"));
--- a/src/test/java/org/yuccagw/process/Callers.java
+++ b/src/test/java/org/yuccagw/process/Callers.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.bench.invariant.ObservedRequest;
 import org.yuccagw.bench.invariant.ObservedRequest.Sending;
 import org.yuccagw.standins.engine.EngineStandIn;
@@ -24,12 +24,12 @@
 
     private static final AtomicInteger NUMBERS = new AtomicInteger();
 
-    private final HttpCaller http;
+    private final HttpClient http;
     private final Map<String, List<Sending>> sendings = new LinkedHashMap<>();
     private final Map<String, Request> requests = new LinkedHashMap<>();
     private final Map<String, List<String>> notes = new LinkedHashMap<>();
 
-    Callers(HttpCaller http) {
+    Callers(HttpClient http) {
         this.http = http;
     }
 
@@ -48,10 +48,10 @@
         }
 
         /** The key of a request is its marker. */
-        private HttpQuery query(EntryProcess entry) {
+        private HttpRequest query(EntryProcess entry) {
             byte[] body = isPlain() ? marker.getBytes(StandardCharsets.UTF_8) : modelBody();
             String path = isPlain() ? "/letters/send" : "/v1/completions";
-            HttpQuery query = HttpQuery.of("POST", entry.callerAddress(), path, body)
+            HttpRequest query = HttpRequest.of("POST", entry.callerAddress(), path, body)
                     .withHeader("Content-Type", isPlain() ? "text/plain" : "application/json")
                     .withHeader("Authorization", "Bearer " + workspace + "-key");
             return nonIdempotent() ? query.withHeader("Idempotency-Key", marker) : query;
@@ -99,7 +99,7 @@
     StreamedCall resume(Request request, EntryProcess entry, StreamedCall first) {
         String path = "/v1/resume?token=" + first.header("X-Resume-Token") + "&from="
                 + first.events().lastId();
-        HttpQuery query = HttpQuery.get(entry.callerAddress(), path)
+        HttpRequest query = HttpRequest.get(entry.callerAddress(), path)
                 .withHeader("Authorization", "Bearer " + request.workspace() + "-key");
         return StreamedCall.begin(http, query, SILENCE);
     }
--- a/src/test/java/org/yuccagw/process/StreamedCall.java
+++ b/src/test/java/org/yuccagw/process/StreamedCall.java
@@ -9,14 +9,14 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.standins.engine.SseText;
 import org.yuccagw.standins.http.StandInJson;
 
 /** One call whose answer may be looked at while it comes. */
-final class StreamedCall implements HttpStreamListener {
+final class StreamedCall implements HttpResponseListener {
     private static final int NO_ANSWER = 0;
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -26,7 +26,7 @@
     private volatile boolean complete;
     private volatile String failure = "";
 
-    static StreamedCall begin(HttpCaller http, HttpQuery query, Duration silence) {
+    static StreamedCall begin(HttpClient http, HttpRequest query, Duration silence) {
         StreamedCall call = new StreamedCall();
         http.stream(
                 query.withTimeouts(Duration.ofSeconds(5), silence),
