--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -31,190 +31,195 @@
 import org.yuccagw.core.retry.RetrySituation;
 
 /**
- * One completion over whatever entries it takes, on one I/O thread.
+ * Runs one completion on one I/O thread, with as many attempts at different entries as it needs.
  *
- * <p>The client owns exactly the failures that only it can see: an entry that can't be reached, is lost in
- * mid-answer, or says that another entry should be asked. What fails behind an entry is the entry's to retry, so it is
- * final here. Cases after a failure:
+ * <p>The client handles only the failures that no entry can handle: an entry can't be reached, the connection to it is
+ * lost during the answer, or it answers that another entry should be used. Failures behind an entry are retried by the
+ * entry itself, so they are final here. The cases after a failure:
  *
  * <ol>
- *   <li>An error answer or error event: final, unless it names another entry, or a time to come back.
- *   <li>The entry was lost before the answer began: send the request to another entry. A keyed request carries the same
- *       key, and the claim of that key keeps it from running twice.
- *   <li>The entry was lost in mid-answer: resume at another entry after the last piece, with the token that the first
- *       entry gave and the text so far. No piece is passed on twice.
+ *   <li>An error answer or error event is final, unless its kind directs the client to another entry or the answer
+ *       gives a time after which to retry.
+ *   <li>If the entry was lost before the answer started, the request is sent to another entry. A request with an
+ *       idempotency key carries the same key, and the claim of that key prevents it from running twice.
+ *   <li>If the entry was lost during the answer, the stream is resumed at another entry after the last received event,
+ *       with the resume token from the first entry and the text received so far. No part of the text is passed to the
+ *       listener twice.
  * </ol>
  */
 final class ClientCall {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-    private static final String END_MARK = "[DONE]";
-    private static final int OK = 200;
+    private static final String END_MARKER = "[DONE]";
+    private static final int STATUS_OK = 200;
 
     private final ClientSettings settings;
-    private final HttpCaller http;
+    private final HttpCaller httpClient;
     private final Directory directory;
-    private final RetryPolicy policy;
-    private final Completion completion;
-    private final Consumer<String> pieces;
+    private final RetryPolicy retryPolicy;
+    private final CompletionRequest request;
+    private final Consumer<String> textListener;
     private final XnioIoThread thread;
-    private final CompletableFuture<CompletionAnswer> result = new CompletableFuture<>();
+    private final CompletableFuture<CompletionResult> result = new CompletableFuture<>();
     private final long startNanos = System.nanoTime();
 
     private final StringBuilder text = new StringBuilder();
-    private String token = "";
+    private String resumeToken = "";
     private String requestId = "";
-    private long lastPiece;
+    private long lastEventId;
     private int attempts;
     private int resumes;
-    private int entryOffset;
+    private int entryIndex;
     private JsonNode usage;
 
     private ClientCall(
             ClientSettings settings,
-            HttpCaller http,
+            HttpCaller httpClient,
             Directory directory,
-            RetryPolicy policy,
-            Completion completion,
-            Consumer<String> pieces) {
+            RetryPolicy retryPolicy,
+            CompletionRequest request,
+            Consumer<String> textListener) {
         this.settings = settings;
-        this.http = http;
+        this.httpClient = httpClient;
         this.directory = directory;
-        this.policy = policy;
-        this.completion = completion;
-        this.pieces = pieces;
-        this.thread = http.worker().getIoThread(ThreadLocalRandom.current().nextInt());
+        this.retryPolicy = retryPolicy;
+        this.request = request;
+        this.textListener = textListener;
+        this.thread =
+                httpClient.worker().getIoThread(ThreadLocalRandom.current().nextInt());
     }
 
     static ClientCall of(
             ClientSettings settings,
-            HttpCaller http,
+            HttpCaller httpClient,
             Directory directory,
-            RetryPolicy policy,
-            Completion completion,
-            Consumer<String> pieces) {
-        return new ClientCall(settings, http, directory, policy, completion, pieces);
+            RetryPolicy retryPolicy,
+            CompletionRequest request,
+            Consumer<String> textListener) {
+        return new ClientCall(settings, httpClient, directory, retryPolicy, request, textListener);
     }
 
-    CompletableFuture<CompletionAnswer> begin() {
-        attempt();
+    CompletableFuture<CompletionResult> start() {
+        startAttempt();
         return result;
     }
 
-    private void attempt() {
+    private void startAttempt() {
         attempts++;
         directory.entries().thenAccept(entries -> thread.execute(() -> send(entries)));
     }
 
     private void send(List<NetworkAddress> entries) {
-        NetworkAddress entry = entries.get(entryOffset % entries.size());
-        HttpQuery query = token.isEmpty() ? firstQuery(entry) : resumeQuery(entry);
-        HttpQuery withKey = query.withHeader("Authorization", "Bearer " + settings.key())
-                .withTimeouts(CONNECT_TIMEOUT, settings.silenceTimeout());
-        http.stream(withKey, thread, new Attempt());
+        NetworkAddress entry = entries.get(entryIndex % entries.size());
+        HttpQuery httpRequest = resumeToken.isEmpty() ? completionRequest(entry) : resumeRequest(entry);
+        HttpQuery authorized = httpRequest
+                .withHeader("Authorization", "Bearer " + settings.workspaceKey())
+                .withTimeouts(CONNECT_TIMEOUT, settings.readTimeout());
+        httpClient.stream(authorized, thread, new Attempt());
     }
 
-    private HttpQuery firstQuery(NetworkAddress entry) {
-        HttpQuery query = HttpQuery.json(
-                "POST", entry, "/v1/completions", completion.toJson().toString());
-        return completion.key().isPresent()
-                ? query.withHeader("Idempotency-Key", completion.key().get().value())
-                : query;
+    private HttpQuery completionRequest(NetworkAddress entry) {
+        HttpQuery httpRequest = HttpQuery.json(
+                "POST", entry, "/v1/completions", request.toJson().toString());
+        return request.idempotencyKey().isPresent()
+                ? httpRequest.withHeader(
+                        "Idempotency-Key", request.idempotencyKey().get().value())
+                : httpRequest;
     }
 
-    private HttpQuery resumeQuery(NetworkAddress entry) {
+    private HttpQuery resumeRequest(NetworkAddress entry) {
         resumes++;
         ObjectNode body = JSON.createObjectNode();
-        body.put("token", token);
-        body.put("from", lastPiece);
+        body.put("token", resumeToken);
+        body.put("from", lastEventId);
         body.put("text", text.toString());
-        body.set("request", completion.toJson());
+        body.set("request", request.toJson());
         return HttpQuery.json("POST", entry, "/v1/resume", body.toString());
     }
 
-    private void failed(FailureClass failure, Optional<Duration> comeBack, YuccagwException finalError) {
-        directory.doubt();
-        entryOffset++;
-        Duration spent = Duration.ofNanos(System.nanoTime() - startNanos);
+    private void retryOrFail(FailureClass failure, Optional<Duration> retryAfter, YuccagwException finalError) {
+        directory.expire();
+        entryIndex++;
+        Duration elapsed = Duration.ofNanos(System.nanoTime() - startNanos);
         RetrySituation situation = new RetrySituation(
                 RetryLayer.CLIENT,
-                completion.key().isEmpty(),
+                request.idempotencyKey().isEmpty(),
                 false,
                 attempts,
-                settings.deadline().minus(spent),
-                comeBack,
+                settings.totalTimeout().minus(elapsed),
+                retryAfter,
                 RetryBudget.unlimited());
-        RetryDecision decision = policy.decide(failure, situation, ThreadLocalRandom.current());
+        RetryDecision decision = retryPolicy.decide(failure, situation, ThreadLocalRandom.current());
         if (decision instanceof RetryDecision.Retry retry) {
-            thread.executeAfter(this::attempt, Math.max(1, retry.delay().toMillis()), TimeUnit.MILLISECONDS);
+            thread.executeAfter(this::startAttempt, Math.max(1, retry.delay().toMillis()), TimeUnit.MILLISECONDS);
         } else {
             result.completeExceptionally(finalError);
         }
     }
 
-    private void errorAnswer(String body, String retryAfter) {
-        YuccagwException error = readError(body);
-        Optional<Duration> comeBack = parseSeconds(retryAfter);
+    private void handleError(String body, String retryAfterHeader) {
+        YuccagwException error = parseError(body);
+        Optional<Duration> retryAfter = parseSeconds(retryAfterHeader);
         ErrorKind.Retry retry = error.kind().retry();
         if (retry == ErrorKind.Retry.OTHER_ENTRY) {
-            failed(FailureClass.ENTRY_NOT_READY, comeBack, error);
-        } else if (retry == ErrorKind.Retry.CALLER && comeBack.isPresent()) {
-            failed(FailureClass.ENTRY_REFUSED, comeBack, error.comeBackAfter(comeBack.get()));
+            retryOrFail(FailureClass.ENTRY_NOT_READY, retryAfter, error);
+        } else if (retry == ErrorKind.Retry.CALLER && retryAfter.isPresent()) {
+            retryOrFail(FailureClass.ENTRY_REFUSED, retryAfter, error.comeBackAfter(retryAfter.get()));
         } else {
             result.completeExceptionally(error);
         }
     }
 
-    private static YuccagwException readError(String body) {
+    private static YuccagwException parseError(String body) {
         try {
             JsonNode error = JSON.readTree(body).path("error");
             ErrorKind kind = ErrorKind.valueOf(error.path("code").asText().toUpperCase(Locale.ROOT));
             return kind.received(error.path("message").asText());
         } catch (IOException | IllegalArgumentException e) {
-            return ErrorKind.INTERNAL.raiseFrom(e, "the entry's error can't be read");
+            return ErrorKind.INTERNAL.raiseFrom(e, "the error body of the entry can't be parsed");
         }
     }
 
-    private static Optional<Duration> parseSeconds(String retryAfter) {
+    private static Optional<Duration> parseSeconds(String text) {
         try {
-            return retryAfter == null ? Optional.empty() : Optional.of(Duration.ofSeconds(Long.parseLong(retryAfter)));
+            return text == null ? Optional.empty() : Optional.of(Duration.ofSeconds(Long.parseLong(text)));
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
     }
 
-    private void finish() {
-        result.complete(new CompletionAnswer(
+    private void complete() {
+        result.complete(new CompletionResult(
                 requestId,
                 text.toString(),
-                lastPiece,
+                lastEventId,
                 usage.path("prompt_tokens").asLong(),
                 usage.path("completion_tokens").asLong(),
                 usage.path("prompt_tokens_details").path("cached_tokens").asLong(),
                 resumes));
     }
 
-    /** One connection to one entry. */
+    /** Handles the answer over one connection to one entry. */
     private final class Attempt implements HttpStreamListener {
         private final SseParser parser = SseParser.of(this::onEvent);
         private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
         private int status;
-        private String retryAfter;
-        private boolean over;
+        private String retryAfterHeader;
+        private boolean finished;
 
         @Override
-        public void onHead(int answeredStatus, HeaderMap headers) {
-            status = answeredStatus;
-            retryAfter = headers.getFirst("Retry-After");
-            if (status == OK) {
-                token = orElse(headers.getFirst("X-Resume-Token"), token);
+        public void onHead(int answerStatus, HeaderMap headers) {
+            status = answerStatus;
+            retryAfterHeader = headers.getFirst("Retry-After");
+            if (status == STATUS_OK) {
+                resumeToken = orElse(headers.getFirst("X-Resume-Token"), resumeToken);
                 requestId = requestId.isEmpty() ? orElse(headers.getFirst("X-Request-Id"), "") : requestId;
             }
         }
 
         @Override
         public void onBytes(ByteBuffer bytes) {
-            if (status != OK) {
+            if (status != STATUS_OK) {
                 while (bytes.hasRemaining()) {
                     errorBody.write(bytes.get());
                 }
@@ -223,59 +228,59 @@
             try {
                 parser.accept(bytes);
             } catch (IOException e) {
-                lost("the answer can't be read: " + e.getMessage());
+                connectionLost("the answer can't be parsed: " + e.getMessage());
             }
         }
 
         @Override
         public void onEnd() {
-            if (status != OK) {
-                errorAnswer(errorBody.toString(java.nio.charset.StandardCharsets.UTF_8), retryAfter);
+            if (status != STATUS_OK) {
+                handleError(errorBody.toString(java.nio.charset.StandardCharsets.UTF_8), retryAfterHeader);
             } else {
-                lost("the answer ended without its end mark");
+                connectionLost("the answer ended without its end marker");
             }
         }
 
         @Override
         public void onFailure(Phase phase, boolean silent, IOException cause) {
-            lost(String.valueOf(cause.getMessage()));
+            connectionLost(String.valueOf(cause.getMessage()));
         }
 
         private void onEvent(long id, String data) throws IOException {
-            if (over) {
+            if (finished) {
                 return;
             }
-            if (data.equals(END_MARK)) {
-                over = true;
-                finish();
+            if (data.equals(END_MARKER)) {
+                finished = true;
+                complete();
                 return;
             }
             JsonNode chunk = JSON.readTree(data);
             if (chunk.has("error")) {
-                over = true;
-                errorAnswer(data, null);
+                finished = true;
+                handleError(data, null);
             } else if (chunk.has("usage")) {
                 usage = chunk.get("usage");
-            } else if (id == lastPiece + 1) {
-                take(id, chunk.path("choices").path(0).path("text").asText());
+            } else if (id == lastEventId + 1) {
+                addText(id, chunk.path("choices").path(0).path("text").asText());
             }
         }
 
-        private void take(long id, String piece) {
-            lastPiece = id;
-            text.append(piece);
-            pieces.accept(piece);
+        private void addText(long id, String addedText) {
+            lastEventId = id;
+            text.append(addedText);
+            textListener.accept(addedText);
         }
 
-        private void lost(String detail) {
-            if (!over) {
-                over = true;
-                failed(FailureClass.ENTRY_LOST, Optional.empty(), ErrorKind.STREAM_LOST.raise(detail));
+        private void connectionLost(String detail) {
+            if (!finished) {
+                finished = true;
+                retryOrFail(FailureClass.ENTRY_LOST, Optional.empty(), ErrorKind.STREAM_LOST.raise(detail));
             }
         }
     }
 
-    private static String orElse(String value, String otherwise) {
-        return value == null ? otherwise : value;
+    private static String orElse(String value, String fallback) {
+        return value == null ? fallback : value;
     }
 }
--- a/src/main/java/org/yuccagw/client/ClientSettings.java
+++ b/src/main/java/org/yuccagw/client/ClientSettings.java
@@ -5,31 +5,36 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * What the client needs to begin.
+ * Settings of a {@link YuccagwClient}.
  *
- * @param firstEntries some entries to ask for the directory; one that answers is enough
- * @param key bearer key of the workspace
+ * @param seedEntries entries from which the directory is requested first; one that answers is sufficient
+ * @param workspaceKey bearer key of the workspace
  * @param domain failure domain of the caller, whose entries are preferred; empty if unknown
- * @param silenceTimeout longest silence of an entry before its connection is given up
- * @param deadline longest time for one whole answer over all attempts
+ * @param readTimeout longest time without a received byte before a connection to an entry is closed
+ * @param totalTimeout longest time for a complete answer, including all attempts
  */
 public record ClientSettings(
-        List<NetworkAddress> firstEntries, String key, String domain, Duration silenceTimeout, Duration deadline) {
-    private static final Duration USUAL_SILENCE = Duration.ofSeconds(30);
-    private static final Duration USUAL_DEADLINE = Duration.ofMinutes(5);
+        List<NetworkAddress> seedEntries,
+        String workspaceKey,
+        String domain,
+        Duration readTimeout,
+        Duration totalTimeout) {
+    private static final Duration DEFAULT_READ_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration DEFAULT_TOTAL_TIMEOUT = Duration.ofMinutes(5);
 
     public ClientSettings {
-        firstEntries = List.copyOf(firstEntries);
-        if (firstEntries.isEmpty()) {
-            throw new IllegalArgumentException("at least one entry is needed to ask for the directory");
+        seedEntries = List.copyOf(seedEntries);
+        if (seedEntries.isEmpty()) {
+            throw new IllegalArgumentException("at least one seed entry is required");
         }
     }
 
-    public static ClientSettings of(List<NetworkAddress> firstEntries, String key) {
-        return new ClientSettings(firstEntries, key, "", USUAL_SILENCE, USUAL_DEADLINE);
+    /** Returns settings with default timeouts for a caller whose failure domain is unknown. */
+    public static ClientSettings of(List<NetworkAddress> seedEntries, String workspaceKey) {
+        return new ClientSettings(seedEntries, workspaceKey, "", DEFAULT_READ_TIMEOUT, DEFAULT_TOTAL_TIMEOUT);
     }
 
-    public ClientSettings withTimes(Duration silence, Duration whole) {
-        return new ClientSettings(firstEntries, key, domain, silence, whole);
+    public ClientSettings withTimeouts(Duration newReadTimeout, Duration newTotalTimeout) {
+        return new ClientSettings(seedEntries, workspaceKey, domain, newReadTimeout, newTotalTimeout);
     }
 }
--- a/src/main/java/org/yuccagw/client/Directory.java
+++ b/src/main/java/org/yuccagw/client/Directory.java
@@ -16,59 +16,64 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * The entries to connect to, kept for as long as the directory says.
+ * Caches the directory, which lists the entries to connect to, for its time to live.
  *
- * <p>When no entry answers, the last directory stays in use: entries that it names may still serve, and an entry that
- * doesn't is found out by the connection itself.
+ * <p>If no entry answers a query for the directory, the previous directory stays in use. Its entries may still serve
+ * requests, and an entry that doesn't is detected when a connection to it fails.
  */
 final class Directory {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(2);
 
-    private final HttpCaller http;
+    private final HttpCaller httpClient;
     private final ClientSettings settings;
-    private volatile Known known = new Known(List.of(), 0);
+    private volatile CachedEntries cached = new CachedEntries(List.of(), 0);
 
-    private record Known(List<NetworkAddress> entries, long validUntilNanos) {}
+    private record CachedEntries(List<NetworkAddress> entries, long validUntilNanos) {}
 
-    Directory(HttpCaller http, ClientSettings settings) {
-        this.http = http;
+    Directory(HttpCaller httpClient, ClientSettings settings) {
+        this.httpClient = httpClient;
         this.settings = settings;
     }
 
-    /** Entries, the best first; asks for them anew when the kept ones are old. Never empty. */
+    /**
+     * Returns the entries, the preferred one first. Queries the directory if the cached one has expired. The list is
+     * never empty.
+     */
     CompletableFuture<List<NetworkAddress>> entries() {
-        Known present = known;
-        if (!present.entries().isEmpty() && System.nanoTime() < present.validUntilNanos()) {
-            return CompletableFuture.completedFuture(present.entries());
+        CachedEntries current = cached;
+        if (!current.entries().isEmpty() && System.nanoTime() < current.validUntilNanos()) {
+            return CompletableFuture.completedFuture(current.entries());
         }
-        return ask(candidates().iterator());
+        return queryNext(candidates().iterator());
     }
 
-    /** An entry failed: ask anew before the next use. */
-    void doubt() {
-        known = new Known(known.entries(), System.nanoTime());
+    /** Marks the cached directory as expired. Called when an entry has failed. */
+    void expire() {
+        cached = new CachedEntries(cached.entries(), System.nanoTime());
     }
 
     private Set<NetworkAddress> candidates() {
-        Set<NetworkAddress> all = new LinkedHashSet<>(known.entries());
-        all.addAll(settings.firstEntries());
-        return all;
+        Set<NetworkAddress> addresses = new LinkedHashSet<>(cached.entries());
+        addresses.addAll(settings.seedEntries());
+        return addresses;
     }
 
-    private CompletableFuture<List<NetworkAddress>> ask(Iterator<NetworkAddress> candidates) {
+    private CompletableFuture<List<NetworkAddress>> queryNext(Iterator<NetworkAddress> candidates) {
         if (!candidates.hasNext()) {
             return CompletableFuture.completedFuture(new ArrayList<>(candidates()));
         }
-        HttpQuery query = HttpQuery.get(candidates.next(), "/v1/directory?domain=" + settings.domain())
+        HttpQuery request = HttpQuery.get(candidates.next(), "/v1/directory?domain=" + settings.domain())
                 .withTimeouts(CONNECT_TIMEOUT, ANSWER_TIMEOUT);
-        return http.send(query)
-                .handle((answer, failure) -> failure == null && take(answer))
-                .thenCompose(taken -> taken ? CompletableFuture.completedFuture(known.entries()) : ask(candidates));
+        return httpClient
+                .send(request)
+                .handle((answer, failure) -> failure == null && update(answer))
+                .thenCompose(updated ->
+                        updated ? CompletableFuture.completedFuture(cached.entries()) : queryNext(candidates));
     }
 
-    private boolean take(HttpAnswer answer) {
+    private boolean update(HttpAnswer answer) {
         if (!answer.isSuccess()) {
             return false;
         }
@@ -81,8 +86,9 @@
             if (entries.isEmpty()) {
                 return false;
             }
-            long validNanos = Duration.ofMillis(body.path("ttl_ms").asLong()).toNanos();
-            known = new Known(List.copyOf(entries), System.nanoTime() + validNanos);
+            long timeToLiveNanos =
+                    Duration.ofMillis(body.path("ttl_ms").asLong()).toNanos();
+            cached = new CachedEntries(List.copyOf(entries), System.nanoTime() + timeToLiveNanos);
             return true;
         } catch (IOException | IllegalArgumentException e) {
             return false;
--- a/src/main/java/org/yuccagw/client/YuccagwClient.java
+++ b/src/main/java/org/yuccagw/client/YuccagwClient.java
@@ -10,47 +10,47 @@
 import org.yuccagw.core.id.IdempotencyKey;
 import org.yuccagw.core.retry.RetryPolicy;
 
-/** A caller of yuccagw. One for each process is enough; all methods may be called from any thread. */
+/** A client of yuccagw. One client per process is sufficient. All methods may be called from any thread. */
 public final class YuccagwClient {
     private static final int IO_THREADS = 2;
 
     private final ClientSettings settings;
-    private final HttpCaller http;
+    private final HttpCaller httpClient;
     private final Directory directory;
-    private final RetryPolicy policy = RetryPolicy.defaults();
+    private final RetryPolicy retryPolicy = RetryPolicy.defaults();
 
-    private YuccagwClient(ClientSettings settings, HttpCaller http) {
+    private YuccagwClient(ClientSettings settings, HttpCaller httpClient) {
         this.settings = settings;
-        this.http = http;
-        this.directory = new Directory(http, settings);
+        this.httpClient = httpClient;
+        this.directory = new Directory(httpClient, settings);
     }
 
-    /** Makes a client with I/O threads of its own; {@link #stop} ends them. */
+    /** Creates a client with its own I/O threads, which {@link #stop} ends. */
     public static YuccagwClient start(ClientSettings settings) throws IOException {
         return new YuccagwClient(settings, HttpCaller.start(IO_THREADS));
     }
 
     public void stop() {
-        http.stop();
+        httpClient.stop();
     }
 
-    /** A fresh idempotency key. Make one for each intended effect and keep it until the answer is known. */
-    public static IdempotencyKey newKey() {
+    /** Returns a new random idempotency key. Use one key per intended effect, and keep it until the answer is known. */
+    public static IdempotencyKey newIdempotencyKey() {
         return IdempotencyKey.of(java.util.UUID.randomUUID().toString());
     }
 
     /**
      * Completes a prompt and waits for the whole answer.
      *
-     * @param pieces gets each piece of text once, in order, as it comes
-     * @throws YuccagwException the final error; its kind tells whether the request ran and who may send it again
+     * @param textListener receives each part of the text exactly once and in order, as soon as it arrives
+     * @throws YuccagwException the final error; its kind says whether the request ran and whether it may be retried
      */
-    public CompletionAnswer complete(Completion completion, Consumer<String> pieces) throws YuccagwException {
+    public CompletionResult complete(CompletionRequest request, Consumer<String> textListener) throws YuccagwException {
         try {
-            return begin(completion, pieces).get();
+            return startCompletion(request, textListener).get();
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof YuccagwException known) {
-                throw known;
+            if (e.getCause() instanceof YuccagwException finalError) {
+                throw finalError;
             }
             throw ErrorKind.INTERNAL.raiseFrom(e.getCause(), e.getCause().getMessage());
         } catch (InterruptedException e) {
@@ -59,9 +59,10 @@
         }
     }
 
-    /** Begins to complete a prompt; the future fails with a {@link YuccagwException}. */
-    public CompletableFuture<CompletionAnswer> begin(Completion completion, Consumer<String> pieces) {
-        ClientCall call = ClientCall.of(settings, http, directory, policy, completion, pieces);
-        return call.begin();
+    /** Starts to complete a prompt. On an error, the future fails with a {@link YuccagwException}. */
+    public CompletableFuture<CompletionResult> startCompletion(
+            CompletionRequest request, Consumer<String> textListener) {
+        ClientCall call = ClientCall.of(settings, httpClient, directory, retryPolicy, request, textListener);
+        return call.start();
     }
 }
--- a/src/main/java/org/yuccagw/client/package-info.java
+++ b/src/main/java/org/yuccagw/client/package-info.java
@@ -1,10 +1,11 @@
 /**
- * The caller's library: keeps the directory, goes to another entry when one is lost, makes idempotency keys, resumes
- * a stream where it broke.
+ * The client library for callers. It caches the directory of entries, fails over to another entry when a connection is
+ * lost, creates idempotency keys, and resumes an interrupted stream at its last received event.
  *
  * <pre>{@code
  * YuccagwClient client = YuccagwClient.start(ClientSettings.of(List.of(NetworkAddress.parse("10.0.0.7:8080")), "KEY"));
- * CompletionAnswer answer = client.complete(Completion.of("assistant", "Explain cell 7:\n..."), System.out::print);
+ * CompletionRequest request = CompletionRequest.of("assistant", "Explain cell 7:\n...");
+ * CompletionResult result = client.complete(request, System.out::print);
  * client.stop();
  * }</pre>
  */
--- a/src/test/java/org/yuccagw/daemon/WholePathTest.java
+++ b/src/test/java/org/yuccagw/daemon/WholePathTest.java
@@ -16,8 +16,8 @@
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
 import org.yuccagw.client.ClientSettings;
-import org.yuccagw.client.Completion;
-import org.yuccagw.client.CompletionAnswer;
+import org.yuccagw.client.CompletionRequest;
+import org.yuccagw.client.CompletionResult;
 import org.yuccagw.client.YuccagwClient;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.IdempotencyKey;
@@ -59,11 +59,11 @@
     public void aStreamedAnswerArrivesWhole() throws Exception {
         String prompt = "Explain cell 7 of the notebook. ".repeat(20);
         StringBuilder streamed = new StringBuilder();
-        CompletionAnswer answer =
-                client.complete(Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
+        CompletionResult answer = client.complete(
+                CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
         assertEquals(answer.text(), EngineStandIn.expectedAnswer(prompt, 20));
         assertEquals(streamed.toString(), answer.text());
-        assertEquals(answer.answerTokens(), 20);
+        assertEquals(answer.completionTokens(), 20);
     }
 
     @Test
@@ -123,12 +123,12 @@
 
     @Test
     public void aKeyedCompletionRunsOnceForTheClientLibrary() throws Exception {
-        IdempotencyKey key = YuccagwClient.newKey();
-        Completion once = Completion.of(LocalCatalogue.MODEL, "call the referee")
+        IdempotencyKey key = YuccagwClient.newIdempotencyKey();
+        CompletionRequest once = CompletionRequest.of(LocalCatalogue.MODEL, "call the referee")
                 .withMaxTokens(4)
-                .once(key);
-        CompletionAnswer first = client.complete(once, piece -> {});
-        CompletionAnswer second = client.complete(once, piece -> {});
+                .withIdempotencyKey(key);
+        CompletionResult first = client.complete(once, piece -> {});
+        CompletionResult second = client.complete(once, piece -> {});
         assertEquals(second.text(), first.text());
     }
 
@@ -137,7 +137,8 @@
     @Test
     public void aPromptThatReturnsAfterEvictionIsMostlyReused() throws Exception {
         String prompt = "The whole notebook context of the budget tables. ".repeat(100);
-        Completion question = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
+        CompletionRequest question =
+                CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
         client.complete(question, piece -> {});
         client.complete(question, piece -> {});
         long wholeBlocks = prompt.length() / 64 * 1024L;
@@ -155,8 +156,8 @@
     }
 
     /** Asked at intervals over the lag of cache events: an entry that hasn't heard of the eviction imports nothing. */
-    private boolean returnsReused(Completion question) throws YuccagwException {
-        CompletionAnswer answer = client.complete(question, piece -> {});
+    private boolean returnsReused(CompletionRequest question) throws YuccagwException {
+        CompletionResult answer = client.complete(question, piece -> {});
         boolean mostly = answer.cachedTokens() > answer.promptTokens() * 3 / 4 && storeBytesRead() > 0;
         deployment.engines().forEach(EngineStandIn::evictAll);
         return mostly;
