--- a/src/main/java/org/yuccagw/cli/AdminClient.java
+++ b/src/main/java/org/yuccagw/cli/AdminClient.java
@@ -13,34 +13,37 @@
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.id.NetworkAddress;
 
-/** Calls the admin API of an entry. A refusal and a missing answer end the command with their own exit codes. */
+/**
+ * Calls the admin API of an entry. A refused request and a missing answer throw a {@link CommandException}, each with
+ * its own exit code.
+ */
 final class AdminClient implements AutoCloseable {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final Duration CONNECT = Duration.ofSeconds(3);
-    private static final Duration SILENCE = Duration.ofSeconds(20);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(20);
 
     private final NetworkAddress address;
     private final String key;
-    private final HttpCaller caller;
+    private final HttpCaller httpClient;
 
-    private AdminClient(NetworkAddress address, String key, HttpCaller caller) {
+    private AdminClient(NetworkAddress address, String key, HttpCaller httpClient) {
         this.address = address;
         this.key = key;
-        this.caller = caller;
+        this.httpClient = httpClient;
     }
 
     static AdminClient start(NetworkAddress address, String key, Optional<SSLContext> tls) {
         try {
-            HttpCaller caller = tls.isPresent() ? HttpCaller.start(1, tls.get()) : HttpCaller.start(1);
-            return new AdminClient(address, key, caller);
+            HttpCaller httpClient = tls.isPresent() ? HttpCaller.start(1, tls.get()) : HttpCaller.start(1);
+            return new AdminClient(address, key, httpClient);
         } catch (IOException e) {
-            throw CommandFailure.failed("no I/O thread: " + e.getMessage());
+            throw CommandException.failed("the I/O thread can't be started: " + e.getMessage());
         }
     }
 
     @Override
     public void close() {
-        caller.stop();
+        httpClient.stop();
     }
 
     JsonNode get(String path) {
@@ -48,52 +51,53 @@
     }
 
     String getText(String path) {
-        return accepted(send(HttpQuery.get(address, path)));
+        return requireSuccess(send(HttpQuery.get(address, path)));
     }
 
     JsonNode post(String path) {
-        return parse(accepted(send(HttpQuery.of("POST", address, path))));
+        return parse(requireSuccess(send(HttpQuery.of("POST", address, path))));
     }
 
     JsonNode put(String path, String document) {
-        return parse(accepted(send(HttpQuery.json("PUT", address, path, document))));
+        return parse(requireSuccess(send(HttpQuery.json("PUT", address, path, document))));
     }
 
-    /** The answer of another entry to {@code GET /readyz}, ready or not; empty if it doesn't answer. */
+    /** Returns the answer of another entry to {@code GET /readyz}, ready or not; empty if there is no answer. */
     Optional<JsonNode> readiness(NetworkAddress other) {
         try {
             return Optional.of(parse(send(HttpQuery.get(other, "/readyz")).text()));
-        } catch (CommandFailure ignored) {
+        } catch (CommandException ignored) {
             return Optional.empty();
         }
     }
 
-    private HttpAnswer send(HttpQuery query) {
-        HttpQuery whole = query.withHeader("Authorization", "Bearer " + key).withTimeouts(CONNECT, SILENCE);
+    private HttpAnswer send(HttpQuery request) {
+        HttpQuery authorized =
+                request.withHeader("Authorization", "Bearer " + key).withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
         try {
-            return caller.send(whole).get();
+            return httpClient.send(authorized).get();
         } catch (ExecutionException e) {
-            throw CommandFailure.unreachable(
-                    query.address() + " did not answer: " + e.getCause().getMessage());
+            throw CommandException.unreachable(
+                    request.address() + " did not answer: " + e.getCause().getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw CommandFailure.failed("interrupted");
+            throw CommandException.failed("interrupted");
         }
     }
 
-    private static String accepted(HttpAnswer answer) {
+    private static String requireSuccess(HttpAnswer answer) {
         if (answer.isSuccess()) {
             return answer.text();
         }
         String message = parse(answer.text()).path("error").path("message").asText("status " + answer.status());
-        throw answer.status() >= 500 ? CommandFailure.failed(message) : CommandFailure.refused(message);
+        throw answer.status() >= 500 ? CommandException.failed(message) : CommandException.refused(message);
     }
 
     private static JsonNode parse(String text) {
         try {
             return MAPPER.readTree(text);
         } catch (JsonProcessingException e) {
-            throw CommandFailure.failed("the answer isn't JSON; is this an admin address?");
+            throw CommandException.failed("the answer isn't JSON; check that the address is an admin address");
         }
     }
 }
--- a/src/main/java/org/yuccagw/cli/AdminOptions.java
+++ b/src/main/java/org/yuccagw/cli/AdminOptions.java
@@ -10,7 +10,7 @@
 import org.yuccagw.core.id.NetworkAddress;
 import picocli.CommandLine.Option;
 
-/** Options of every subcommand that speaks to the admin address of an entry. */
+/** Options of all subcommands that connect to the admin address of an entry. */
 final class AdminOptions {
     @Option(
             names = "--admin",
@@ -25,19 +25,19 @@
             description = "File with the operator's key. Default: the environment variable YUCCAGW_OPERATOR_KEY.")
     private Path keyFile;
 
-    @Option(names = "--tls", description = "Speak TLS to the admin address.")
+    @Option(names = "--tls", description = "Use TLS to connect to the admin address.")
     private boolean tls;
 
     @Option(
             names = "--trust",
             paramLabel = "FILE",
             description = "PEM file of trusted certificates for --tls. Default: those of the Java installation.")
-    private String trusted;
+    private String trustFile;
 
-    /** A client of the chosen entry; to be closed. */
+    /** Returns a client of the chosen entry, which the command has to close. */
     AdminClient connect() throws YuccagwException {
         Optional<SSLContext> context =
-                tls ? Optional.of(ReloadingTls.clientContext(Optional.ofNullable(trusted))) : Optional.empty();
+                tls ? Optional.of(ReloadingTls.clientContext(Optional.ofNullable(trustFile))) : Optional.empty();
         return AdminClient.start(address, readKey(), context);
     }
 
@@ -48,7 +48,7 @@
         try {
             return Files.readString(keyFile).strip();
         } catch (IOException e) {
-            throw CommandFailure.failed("the key file can't be read: " + e.getMessage());
+            throw CommandException.failed("the key file can't be read: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/org/yuccagw/cli/CatalogueApplyCommand.java
+++ b/src/main/java/org/yuccagw/cli/CatalogueApplyCommand.java
@@ -23,10 +23,11 @@
 @Command(
         name = "apply",
         mixinStandardHelpOptions = true,
-        description = "Makes a file the catalogue. Its field \"revision\" says which revision the edit began from; if"
-                + " another edit was accepted since, this one is refused and the fields that both change are named.")
+        description = "Replaces the catalogue by a file. Its field \"revision\" is the revision that the edit is"
+                + " based on. If another edit was accepted since, this one is refused and the fields that both change"
+                + " are listed.")
 final class CatalogueApplyCommand implements Callable<Integer> {
-    private static final long PAUSE_MILLIS = 200;
+    private static final long POLL_INTERVAL_MILLIS = 200;
 
     @Mixin
     private AdminOptions admin;
@@ -34,8 +35,10 @@
     @Parameters(paramLabel = "FILE", description = "The catalogue file.")
     private Path file;
 
-    @Option(names = "--wait", description = "Wait until it is in force on every entry, and list them.")
-    private boolean wait;
+    @Option(
+            names = "--wait",
+            description = "Wait until the catalogue is in force on every entry, and list the entries.")
+    private boolean waitForEntries;
 
     @Option(
             names = "--timeout",
@@ -47,15 +50,16 @@
     @Option(
             names = "--edit",
             paramLabel = "ID",
-            description = "Id of this edit. Asked again under the same id it is not made twice. Default: a new one.")
+            description = "Id of this edit. An edit that is sent again with the same id is applied only once."
+                    + " Default: a new id.")
     private String editId;
 
     @Spec
     private CommandSpec spec;
 
-    /** What one entry says of its catalogue. */
-    private record Answer(String entry, String admin, Optional<Long> revision) {
-        boolean has(long wanted) {
+    /** The revision of the catalogue that one entry reports; empty if it doesn't answer. */
+    private record EntryRevision(String entry, String admin, Optional<Long> revision) {
+        boolean hasReached(long wanted) {
             return revision.isPresent() && revision.get() >= wanted;
         }
 
@@ -67,37 +71,39 @@
     @Override
     public Integer call() throws YuccagwException, InterruptedException {
         Catalogue wanted = CatalogueFile.read(file);
-        String edit = editId == null ? UUID.randomUUID().toString() : editId;
+        String usedEditId = editId == null ? UUID.randomUUID().toString() : editId;
         PrintWriter out = spec.commandLine().getOut();
         try (AdminClient client = admin.connect()) {
-            // Asked before: a first catalogue ends the bootstrap key, and this one may be it.
-            List<NetworkAddress> entries = wait ? entries(client) : List.of();
-            JsonNode accepted = client.put(
-                    "/admin/catalogue?edit=" + edit, CatalogueJson.create().encodeReadable(wanted));
-            long revision = accepted.path("revision").asLong();
-            out.println("accepted as revision " + revision + ", edit " + edit);
+            // Queried before the edit, since the first catalogue disables the bootstrap key, which may be in use here.
+            List<NetworkAddress> entries = waitForEntries ? remainingEntries(client) : List.of();
+            JsonNode answer = client.put(
+                    "/admin/catalogue?edit=" + usedEditId,
+                    CatalogueJson.create().encodeReadable(wanted));
+            long revision = answer.path("revision").asLong();
+            out.println("accepted as revision " + revision + ", edit " + usedEditId);
             out.flush();
-            return wait ? await(client, entries, revision, out) : ExitCode.OK;
+            return waitForEntries ? awaitRevision(client, entries, revision, out) : ExitCode.OK;
         }
     }
 
-    private int await(AdminClient client, List<NetworkAddress> entries, long revision, PrintWriter out)
+    private int awaitRevision(AdminClient client, List<NetworkAddress> entries, long revision, PrintWriter out)
             throws InterruptedException {
-        long begin = System.nanoTime();
-        long limit = Duration.ofSeconds(timeoutSeconds).toNanos();
-        List<Answer> answers = ask(client, entries);
-        while (!answers.stream().allMatch(answer -> answer.has(revision)) && System.nanoTime() - begin < limit) {
-            Thread.sleep(PAUSE_MILLIS);
-            answers = ask(client, entries);
+        long startNanos = System.nanoTime();
+        long timeoutNanos = Duration.ofSeconds(timeoutSeconds).toNanos();
+        List<EntryRevision> revisions = queryRevisions(client, entries);
+        while (!revisions.stream().allMatch(entry -> entry.hasReached(revision))
+                && System.nanoTime() - startNanos < timeoutNanos) {
+            Thread.sleep(POLL_INTERVAL_MILLIS);
+            revisions = queryRevisions(client, entries);
         }
         TextTable table = TextTable.of("entry", "admin", "revision");
-        answers.forEach(answer -> table.row(answer.cells()));
+        revisions.forEach(entry -> table.row(entry.cells()));
         out.print(table);
-        return answers.stream().allMatch(answer -> answer.has(revision)) ? ExitCode.OK : ExitCode.FAILED;
+        return revisions.stream().allMatch(entry -> entry.hasReached(revision)) ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    /** The admin addresses of all entries that the asked one knows and that stay. */
-    private static List<NetworkAddress> entries(AdminClient client) {
+    /** Returns the admin addresses of all entries that the queried entry knows, except those that are leaving. */
+    private static List<NetworkAddress> remainingEntries(AdminClient client) {
         List<NetworkAddress> addresses = new ArrayList<>();
         for (JsonNode entry : client.get("/admin/status").path("entries")) {
             if (!entry.path("state").asText().equals("leaving")) {
@@ -107,15 +113,15 @@
         return addresses;
     }
 
-    private static List<Answer> ask(AdminClient client, List<NetworkAddress> entries) {
-        List<Answer> answers = new ArrayList<>();
+    private static List<EntryRevision> queryRevisions(AdminClient client, List<NetworkAddress> entries) {
+        List<EntryRevision> revisions = new ArrayList<>();
         for (NetworkAddress address : entries) {
             Optional<JsonNode> readiness = client.readiness(address);
-            answers.add(new Answer(
+            revisions.add(new EntryRevision(
                     readiness.map(node -> node.path("entry").asText()).orElse("?"),
                     address.toString(),
                     readiness.map(node -> node.path("revision").asLong())));
         }
-        return answers;
+        return revisions;
     }
 }
--- a/src/main/java/org/yuccagw/cli/CatalogueCommand.java
+++ b/src/main/java/org/yuccagw/cli/CatalogueCommand.java
@@ -21,6 +21,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "name a subcommand: get, diff, apply or history");
+        throw new ParameterException(spec.commandLine(), "a subcommand is required: get, diff, apply or history");
     }
 }
--- a/src/main/java/org/yuccagw/cli/CatalogueDiffCommand.java
+++ b/src/main/java/org/yuccagw/cli/CatalogueDiffCommand.java
@@ -18,7 +18,7 @@
 @Command(
         name = "diff",
         mixinStandardHelpOptions = true,
-        description = "Names the fields in which a file differs from the catalogue in force.")
+        description = "Lists the fields in which a file differs from the catalogue in force.")
 final class CatalogueDiffCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
--- a/src/main/java/org/yuccagw/cli/CatalogueFile.java
+++ b/src/main/java/org/yuccagw/cli/CatalogueFile.java
@@ -7,7 +7,7 @@
 import org.yuccagw.core.catalogue.Catalogue;
 import org.yuccagw.core.error.YuccagwException;
 
-/** Reads a catalogue file of an operator. */
+/** Reads a catalogue from a file. */
 final class CatalogueFile {
     private CatalogueFile() {}
 
@@ -15,9 +15,9 @@
         try {
             return CatalogueJson.create().decode(Files.readAllBytes(file));
         } catch (IOException e) {
-            throw CommandFailure.failed(file + ": the file can't be read");
+            throw CommandException.failed(file + ": the file can't be read");
         } catch (YuccagwException e) {
-            throw CommandFailure.failed(file + ": " + e.getMessage());
+            throw CommandException.failed(file + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/org/yuccagw/cli/CatalogueGetCommand.java
+++ b/src/main/java/org/yuccagw/cli/CatalogueGetCommand.java
@@ -11,12 +11,12 @@
 @Command(
         name = "get",
         mixinStandardHelpOptions = true,
-        description = "Prints the catalogue in force, ready to be changed and applied.")
+        description = "Prints the catalogue in force, in the form that the command apply reads.")
 final class CatalogueGetCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
 
-    @Option(names = "--revision", paramLabel = "N", description = "An earlier revision instead.")
+    @Option(names = "--revision", paramLabel = "N", description = "Print an earlier revision instead.")
     private Long revision;
 
     @Spec
--- a/src/main/java/org/yuccagw/cli/CatalogueHistoryCommand.java
+++ b/src/main/java/org/yuccagw/cli/CatalogueHistoryCommand.java
@@ -15,8 +15,8 @@
 @Command(
         name = "history",
         mixinStandardHelpOptions = true,
-        description = "Lists the latest accepted edits, the newest last. To go back to one: catalogue get --revision N"
-                + " > F, set its field revision to the present one, catalogue apply F.")
+        description = "Lists the latest accepted edits, the newest last. To restore one: catalogue get --revision N >"
+                + " F, set its field revision to the current revision, catalogue apply F.")
 final class CatalogueHistoryCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
--- a/src/main/java/org/yuccagw/cli/DecisionFiles.java
+++ b/src/main/java/org/yuccagw/cli/DecisionLogReader.java
@@ -9,25 +9,25 @@
 import java.util.List;
 import org.yuccagw.adapters.decisions.DecisionLine;
 
-/** Reads the decisions in files that hold the output of entries. */
-final class DecisionFiles {
-    private DecisionFiles() {}
+/** Reads the decisions that entries have logged from files with their output. */
+final class DecisionLogReader {
+    private DecisionLogReader() {}
 
     /**
-     * All decisions of the files; other lines are passed over.
+     * Returns the decisions of all files, in the order of the lines. Lines that contain no decision are skipped.
      *
-     * <p>Fails the command if a file can't be read.
+     * @throws CommandException if a file can't be read
      */
     static List<DecisionLine> read(List<Path> files) {
         List<DecisionLine> decisions = new ArrayList<>();
         for (Path file : files) {
-            try (BufferedReader lines = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
+            try (BufferedReader reader = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
                 String source = file.getFileName().toString();
-                for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+                for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                     DecisionLine.parse(line, source).ifPresent(decisions::add);
                 }
             } catch (IOException e) {
-                throw CommandFailure.failed("can't read " + file + ": " + e.getMessage());
+                throw CommandException.failed("the file " + file + " can't be read: " + e.getMessage());
             }
         }
         return decisions;
--- a/src/main/java/org/yuccagw/cli/DemoCommand.java
+++ b/src/main/java/org/yuccagw/cli/DemoCommand.java
@@ -13,19 +13,19 @@
         name = "demo",
         mixinStandardHelpOptions = true,
         description = "Runs the whole system in one JVM on stand-ins of the platform, with prompts that return after"
-                + " eviction, and prints what a caller and an operator see. Fails if something didn't hold.")
+                + " their eviction, and prints the results for a caller and an operator. Fails if a check fails.")
 final class DemoCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws YuccagwException {
-        EmbeddedLogs.quiet();
+        EmbeddedLogLevel.setDefaultLevel();
         ProgressLine progress = ProgressLine.onStandardError();
         Demo demo = Demo.start(progress);
         try {
             DemoOutcome outcome = demo.run();
-            progress.end();
+            progress.clear();
             return print(outcome, spec.commandLine().getOut());
         } finally {
             demo.stop();
--- a/src/main/java/org/yuccagw/cli/DevCommand.java
+++ b/src/main/java/org/yuccagw/cli/DevCommand.java
@@ -15,17 +15,17 @@
 @Command(
         name = "dev",
         mixinStandardHelpOptions = true,
-        description = "Keeps the system of the demo running until Ctrl-C, and prints its addresses and a curl line.")
+        description = "Runs the system of the demo until Ctrl-C, and prints its addresses and a curl command.")
 final class DevCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws YuccagwException, InterruptedException {
-        EmbeddedLogs.quiet();
+        EmbeddedLogLevel.setDefaultLevel();
         ProgressLine progress = ProgressLine.onStandardError();
         Demo demo = Demo.start(progress);
-        progress.end();
+        progress.clear();
         print(demo, spec.commandLine().getOut());
         Runtime.getRuntime().addShutdownHook(new Thread(demo::stop, "stop"));
         new CountDownLatch(1).await();
--- a/src/main/java/org/yuccagw/cli/DrainCommand.java
+++ b/src/main/java/org/yuccagw/cli/DrainCommand.java
@@ -10,8 +10,8 @@
 @Command(
         name = "drain",
         mixinStandardHelpOptions = true,
-        description = "Lets an entry leave the directory and hand over its shards. It finishes what runs and takes no"
-                + " new work until its process is started again.")
+        description = "Removes an entry from the directory and hands over its shards. The entry completes the"
+                + " requests in progress and accepts no new ones until its process is restarted.")
 final class DrainCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
--- a/src/main/java/org/yuccagw/cli/EndpointsCommand.java
+++ b/src/main/java/org/yuccagw/cli/EndpointsCommand.java
@@ -11,7 +11,7 @@
 @Command(
         name = "endpoints",
         mixinStandardHelpOptions = true,
-        description = "Lists the endpoints that an entry knows and whether they take new work.")
+        description = "Lists the endpoints that an entry knows, and whether they accept new requests.")
 final class EndpointsCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
@@ -25,7 +25,7 @@
     @Override
     public Integer call() throws YuccagwException {
         try (AdminClient client = admin.connect()) {
-            ViewPrinter.print(spec.commandLine().getOut(), client.get("/admin/endpoints"), "endpoints", json);
+            ListPrinter.print(spec.commandLine().getOut(), client.get("/admin/endpoints"), "endpoints", json);
         }
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/EntryCommand.java
+++ b/src/main/java/org/yuccagw/cli/EntryCommand.java
@@ -13,10 +13,10 @@
 @Command(
         name = "entry",
         mixinStandardHelpOptions = true,
-        description = "Runs an entry daemon until SIGTERM, which begins a graceful stop: it leaves the directory, hands"
-                + " over its shards, finishes what runs, and exits with 0.")
+        description = "Runs an entry daemon until SIGTERM, which starts a graceful stop: the entry leaves the"
+                + " directory, hands over its shards, completes the requests in progress, and exits with 0.")
 final class EntryCommand implements Callable<Integer> {
-    private static final String LOG_STYLE = "yuccagw.log";
+    private static final String LOG_STYLE_PROPERTY = "yuccagw.log";
 
     @Option(names = "--settings", required = true, paramLabel = "FILE", description = "The entry's settings file.")
     private Path file;
@@ -24,17 +24,17 @@
     @Override
     public Integer call() throws YuccagwException, InterruptedException {
         EntrySettings settings = EntrySettingsReader.read(file);
-        chooseLogStyle(settings);
+        setLogStyle(settings);
         EntryDaemon daemon = EntryDaemon.start(settings);
         GracefulExit.onSignal(daemon::stop);
         daemon.awaitStopped();
         return ExitCode.OK;
     }
 
-    /** Before the first line is logged, since the logging library reads it once. */
-    private static void chooseLogStyle(EntrySettings settings) {
-        if (System.getProperty(LOG_STYLE) == null) {
-            System.setProperty(LOG_STYLE, settings.log().name().toLowerCase(Locale.ROOT));
+    /** Must be called before the first line is logged, since the logging library reads the style only once. */
+    private static void setLogStyle(EntrySettings settings) {
+        if (System.getProperty(LOG_STYLE_PROPERTY) == null) {
+            System.setProperty(LOG_STYLE_PROPERTY, settings.log().name().toLowerCase(Locale.ROOT));
         }
     }
 }
--- a/src/main/java/org/yuccagw/cli/ExitCode.java
+++ b/src/main/java/org/yuccagw/cli/ExitCode.java
@@ -1,17 +1,17 @@
 package org.yuccagw.cli;
 
-/** What the process tells the shell; the same for every subcommand. */
+/** Exit codes of the process, the same for all subcommands. */
 final class ExitCode {
-    /** Done. */
+    /** The command succeeded. */
     static final int OK = 0;
 
-    /** It was tried and failed, or a checked file is wrong. */
+    /** The command failed, or a checked file is invalid. */
     static final int FAILED = 1;
 
-    /** The command line makes no sense. */
+    /** The command line is invalid. */
     static final int USAGE = 2;
 
-    /** The entry refused: wrong key, invalid catalogue, or somebody else's edit was faster. */
+    /** The entry refused the request: wrong key, invalid catalogue, or another edit was accepted first. */
     static final int REFUSED = 3;
 
     /** The entry did not answer. */
--- a/src/main/java/org/yuccagw/cli/ExperimentCommand.java
+++ b/src/main/java/org/yuccagw/cli/ExperimentCommand.java
@@ -22,21 +22,25 @@
 @Command(
         name = "experiment",
         mixinStandardHelpOptions = true,
-        description = "Runs a measurement that its seed repeats. Without a name it lists all. Options of the experiment"
-                + " follow as --NAME VALUE.")
+        description = "Runs an experiment, which is reproducible by its seed. Without a name, lists all experiments."
+                + " Options of the experiment follow as --NAME VALUE.")
 final class ExperimentCommand implements Callable<Integer> {
-    private static final String PREFIX = "--";
+    private static final String OPTION_PREFIX = "--";
 
-    /** How a report is printed. */
+    /** Output format of a report. */
     enum Format {
         TEXT,
         JSON
     }
 
-    @Parameters(paramLabel = "NAME", arity = "0..1", description = "The experiment.")
+    @Parameters(paramLabel = "NAME", arity = "0..1", description = "Name of the experiment.")
     private String name;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "Seed of the experiment. Default: ${DEFAULT-VALUE}.")
     private long seed;
 
     @Option(
@@ -46,7 +50,7 @@
     private Format format;
 
     @Unmatched
-    private List<String> further = new ArrayList<>();
+    private List<String> experimentArguments = new ArrayList<>();
 
     @Spec
     private CommandSpec spec;
@@ -62,29 +66,30 @@
         }
         Experiment experiment = Experiments.named(name)
                 .orElseThrow(() -> new ParameterException(
-                        spec.commandLine(), "no experiment is named '" + name + "'; yuccagw experiment lists all"));
-        ExperimentReport report = experiment.run(new ExperimentOptions(seed, furtherOptions()));
+                        spec.commandLine(), "unknown experiment '" + name + "'; yuccagw experiment lists all"));
+        ExperimentReport report = experiment.run(new ExperimentOptions(seed, parseExperimentOptions()));
         out.print(format == Format.JSON ? ReportText.json(report) : ReportText.text(report));
         return ExitCode.OK;
     }
 
-    /** Reads {@code --name value}, {@code --name=value}, and {@code --name} alone, which means {@code true}. */
-    private Map<String, String> furtherOptions() {
+    /** Parses {@code --name value}, {@code --name=value}, and {@code --name} alone, which means {@code true}. */
+    private Map<String, String> parseExperimentOptions() {
         Map<String, String> options = new LinkedHashMap<>();
-        for (int i = 0; i < further.size(); i++) {
-            String word = further.get(i);
-            if (!word.startsWith(PREFIX)) {
-                throw new ParameterException(spec.commandLine(), "expected --NAME VALUE, found '" + word + "'");
+        for (int i = 0; i < experimentArguments.size(); i++) {
+            String argument = experimentArguments.get(i);
+            if (!argument.startsWith(OPTION_PREFIX)) {
+                throw new ParameterException(spec.commandLine(), "expected --NAME VALUE, found '" + argument + "'");
             }
-            int equals = word.indexOf('=');
-            boolean valueFollows = i + 1 < further.size() && !further.get(i + 1).startsWith(PREFIX);
+            int equals = argument.indexOf('=');
+            boolean valueFollows = i + 1 < experimentArguments.size()
+                    && !experimentArguments.get(i + 1).startsWith(OPTION_PREFIX);
             if (equals > 0) {
-                options.put(word.substring(PREFIX.length(), equals), word.substring(equals + 1));
+                options.put(argument.substring(OPTION_PREFIX.length(), equals), argument.substring(equals + 1));
             } else if (valueFollows) {
                 i++;
-                options.put(word.substring(PREFIX.length()), further.get(i));
+                options.put(argument.substring(OPTION_PREFIX.length()), experimentArguments.get(i));
             } else {
-                options.put(word.substring(PREFIX.length()), "true");
+                options.put(argument.substring(OPTION_PREFIX.length()), "true");
             }
         }
         return options;
--- a/src/main/java/org/yuccagw/cli/ExplainCommand.java
+++ b/src/main/java/org/yuccagw/cli/ExplainCommand.java
@@ -13,7 +13,8 @@
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
-        description = "Tells what entries decided on one request, and what they believed then, from their logs.")
+        description = "Prints what entries decided on one request, and the state as known to them then, from their"
+                + " logs.")
 final class ExplainCommand implements Callable<Integer> {
     @Option(names = "--request", required = true, paramLabel = "ID", description = "Id of the request.")
     private String request;
@@ -26,9 +27,9 @@
 
     @Override
     public Integer call() {
-        RequestStory story = RequestStory.of(request, DecisionFiles.read(files));
+        RequestStory story = RequestStory.of(request, DecisionLogReader.read(files));
         if (!story.isKnown()) {
-            throw CommandFailure.failed("no line of the files is about request " + request);
+            throw CommandException.failed("the files contain no decision on request " + request);
         }
         spec.commandLine().getOut().print(story.text());
         return ExitCode.OK;
--- a/src/main/java/org/yuccagw/cli/GatewayCommand.java
+++ b/src/main/java/org/yuccagw/cli/GatewayCommand.java
@@ -13,19 +13,19 @@
 @Command(
         name = "gateway",
         mixinStandardHelpOptions = true,
-        description = "Runs an entry on the users' platform until SIGTERM, which begins a graceful stop: it leaves the"
-                + " directory, finishes what runs, and exits with 0.")
+        description = "Runs an entry on the users' platform until SIGTERM, which starts a graceful stop: the entry"
+                + " leaves the directory, completes the requests in progress, and exits with 0.")
 final class GatewayCommand implements Callable<Integer> {
-    private static final String LOG_LEVEL = "yuccagw.log.level";
+    private static final String LOG_LEVEL_PROPERTY = "yuccagw.log.level";
 
     @Option(
             names = "--settings",
             defaultValue = "${env:YUCCAGW_CONFIG}",
             paramLabel = "FILE",
-            description = "The settings file; by default the one that YUCCAGW_CONFIG names.")
+            description = "The settings file. Default: the file that the environment variable YUCCAGW_CONFIG names.")
     private Path file;
 
-    /** The command with its option given. */
+    /** Creates the command with its option set. */
     static GatewayCommand of(Path settings) {
         GatewayCommand command = new GatewayCommand();
         command.file = settings;
@@ -35,10 +35,10 @@
     @Override
     public Integer call() throws YuccagwException, InterruptedException {
         GatewaySettings settings = GatewaySettingsReader.read(file);
-        if (System.getProperty(LOG_LEVEL) == null) {
-            System.setProperty(LOG_LEVEL, settings.logLevel());
+        if (System.getProperty(LOG_LEVEL_PROPERTY) == null) {
+            System.setProperty(LOG_LEVEL_PROPERTY, settings.logLevel());
         }
-        PlainLog.choose(System.getProperty(LOG_LEVEL));
+        SimpleLogging.configure(System.getProperty(LOG_LEVEL_PROPERTY));
         GatewayDaemon daemon = GatewayDaemon.start(settings);
         GracefulExit.onSignal(daemon::stop);
         HangUpSignal.handle(() -> reload(daemon));
@@ -46,12 +46,13 @@
         return ExitCode.OK;
     }
 
-    /** Reads the settings again; nothing that runs is touched, whatever they say. */
+    /** Reads the settings file again and logs the result. The daemon keeps running with its settings unchanged. */
     private void reload(GatewayDaemon daemon) {
         try {
-            daemon.noteReload(GatewaySettingsReader.read(file));
+            daemon.logSettingsRead(GatewaySettingsReader.read(file));
         } catch (YuccagwException e) {
-            LogManager.getLogger(GatewayCommand.class).warn("the settings stay as they were: {}", e.getMessage());
+            LogManager.getLogger(GatewayCommand.class)
+                    .warn("the settings file can't be read again: {}", e.getMessage());
         }
     }
 }
--- a/src/main/java/org/yuccagw/cli/GatewayMain.java
+++ b/src/main/java/org/yuccagw/cli/GatewayMain.java
@@ -6,48 +6,49 @@
 import java.nio.file.Path;
 import org.yuccagw.bench.local.Rehearsal;
 import org.yuccagw.core.error.YuccagwException;
-import org.yuccagw.daemon.NoManagementServer;
+import org.yuccagw.daemon.DisabledMBeanServerBuilder;
 import picocli.CommandLine;
 
 /**
- * The program of an entry on the users' platform: the command {@code gateway} alone.
+ * The main class of an entry on the users' platform. It runs only the command {@code gateway}.
  *
- * <p>A restart after the loss of all VMs is paid by every caller, so what isn't needed to serve isn't loaded. With the
- * single argument {@code rehearse} it serves a few requests of its own on loopback and ends, for the build that
- * archives the classes of a start.
+ * <p>After a loss of all VMs, every caller waits until the entries have started, so classes that aren't needed for
+ * serving aren't loaded. With the single argument {@code rehearse}, the process serves a few requests of its own on the
+ * loopback interface and exits. The build uses this to archive the classes that are loaded at startup.
  */
 public final class GatewayMain {
-    private static final String REHEARSE = "rehearse";
-    private static final String SETTINGS = "--settings";
+    private static final String REHEARSE_ARGUMENT = "rehearse";
+    private static final String SETTINGS_OPTION = "--settings";
 
     private GatewayMain() {}
 
-    /** Runs the program; ends with the exit code of the command. */
+    /** Runs the command and ends the process with its exit code. */
     public static void main(String[] arguments) throws YuccagwException, InterruptedException, IOException {
-        NoManagementServer.keepOut();
+        DisabledMBeanServerBuilder.install();
         System.setProperty("log4j2.disable.jmx", "true");
-        // The libraries below log through the JDK, which costs a start nothing; see DecisionLog on what Log4j costs it.
+        // The libraries below log through the JDK, which doesn't slow down the start; see DecisionLog on the cost of
+        // Log4j.
         System.setProperty("org.jboss.logging.provider", "jdk");
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        // A random identity would be made from the network interfaces, which takes long to look through.
+        // By default, the machine id is derived from the network interfaces, whose enumeration is slow.
         System.setProperty("io.netty.machineId", "00:00:00:00:00:01");
-        if (arguments.length == 1 && arguments[0].equals(REHEARSE)) {
+        if (arguments.length == 1 && arguments[0].equals(REHEARSE_ARGUMENT)) {
             new CommandLine(new GatewayCommand()).parseArgs("--settings", "none");
-            PlainLog.choose("info");
+            SimpleLogging.configure("info");
             Rehearsal.run();
             System.exit(ExitCode.OK);
         }
-        if (arguments.length == 2 && arguments[0].equals(SETTINGS)) {
-            System.exit(runWith(Path.of(arguments[1])));
+        if (arguments.length == 2 && arguments[0].equals(SETTINGS_OPTION)) {
+            System.exit(runWithSettings(Path.of(arguments[1])));
         }
         System.exit(new CommandLine(new GatewayCommand()).execute(arguments));
     }
 
     /**
-     * Runs an entry without the command line's parser, whose classes are of an age that the archive can't hold: loading
-     * them took 0.19 of the 1.1 s of processor time until callers could connect.
+     * Runs an entry without the command-line parser. The class file version of its classes is too old for the class
+     * archive; loading them took 0.19 s of the 1.1 s of processor time until callers could connect.
      */
-    private static int runWith(Path settings) throws InterruptedException {
+    private static int runWithSettings(Path settings) throws InterruptedException {
         try {
             return GatewayCommand.of(settings).call();
         } catch (YuccagwException e) {
--- a/src/main/java/org/yuccagw/cli/GracefulExit.java
+++ b/src/main/java/org/yuccagw/cli/GracefulExit.java
@@ -2,14 +2,14 @@
 
 import org.apache.logging.log4j.LogManager;
 
-/** Ends the process with 0 after SIGTERM: Java would exit with 143, which a supervisor takes for a failure. */
+/** Ends the process with exit code 0 after SIGTERM. Java would exit with 143, which supervisors treat as a failure. */
 final class GracefulExit {
     private GracefulExit() {}
 
     /**
-     * From now on SIGTERM runs {@code stop} and then ends the process.
+     * Installs a shutdown hook that runs {@code stop} after SIGTERM and then ends the process.
      *
-     * @param stop ends the daemon, returning once it has; when it throws, the process exits with a failure
+     * @param stop stops the daemon and returns once it has stopped; if it throws, the process exits with a failure
      */
     static void onSignal(Runnable stop) {
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stopAndExit(stop), "graceful-stop"));
@@ -21,13 +21,13 @@
             stop.run();
             exitCode = ExitCode.OK;
         } finally {
-            endLogging();
+            shutDownLogging();
             Runtime.getRuntime().halt(exitCode);
         }
     }
 
-    /** Whatever comes of it, the process has to end with its own exit code. */
-    private static void endLogging() {
+    /** Shuts down logging. A failure is only printed, since the process has to end with its own exit code. */
+    private static void shutDownLogging() {
         try {
             LogManager.shutdown();
         } catch (RuntimeException | LinkageError e) {
--- a/src/main/java/org/yuccagw/cli/ViewPrinter.java
+++ b/src/main/java/org/yuccagw/cli/ListPrinter.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Prints a list of alike JSON objects as a table, or the whole document as JSON. */
-final class ViewPrinter {
-    private ViewPrinter() {}
+/** Prints a list of JSON objects with equal fields as a table, or the whole document as JSON. */
+final class ListPrinter {
+    private ListPrinter() {}
 
-    /** Prints the objects of the list under {@code field}; the columns are the fields of the first one. */
+    /** Prints the objects of the list in {@code field}. The columns are the fields of the first object. */
     static void print(PrintWriter out, JsonNode document, String field, boolean asJson) {
         if (asJson) {
             out.println(document.toPrettyString());
--- a/src/main/java/org/yuccagw/cli/ProgressLine.java
+++ b/src/main/java/org/yuccagw/cli/ProgressLine.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import picocli.CommandLine.Help.Ansi;
 
-/** Shows what is going on: one line that is written over on a terminal, a line each elsewhere. */
+/** Prints the current step: on a terminal to a single line that is overwritten, elsewhere to one line per step. */
 final class ProgressLine implements Consumer<String> {
     private static final String CLEAR_LINE = "\r\u001b[K";
 
@@ -21,17 +21,17 @@
     }
 
     @Override
-    public void accept(String words) {
+    public void accept(String step) {
         if (terminal) {
-            err.print(CLEAR_LINE + words + " ... ");
+            err.print(CLEAR_LINE + step + " ... ");
         } else {
-            err.println(words + " ...");
+            err.println(step + " ...");
         }
         err.flush();
     }
 
-    /** Removes the line, so that the results stand alone. */
-    void end() {
+    /** Clears the line before results are printed. */
+    void clear() {
         if (terminal) {
             err.print(CLEAR_LINE);
             err.flush();
--- a/src/main/java/org/yuccagw/cli/ReportText.java
+++ b/src/main/java/org/yuccagw/cli/ReportText.java
@@ -7,7 +7,7 @@
 import org.yuccagw.bench.ExperimentReport;
 import org.yuccagw.bench.ExperimentReport.Table;
 
-/** Writes the report of an experiment for people or as JSON. */
+/** Formats the report of an experiment as text or as JSON. */
 final class ReportText {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -16,14 +16,14 @@
     static String text(ExperimentReport report) {
         StringBuilder text = new StringBuilder(report.name() + ", seed " + report.seed() + "\n");
         for (Table table : report.tables()) {
-            TextTable lines = TextTable.of(table.columns());
-            table.rows().forEach(lines::row);
-            text.append('\n').append(table.title()).append('\n').append(lines);
+            TextTable textTable = TextTable.of(table.columns());
+            table.rows().forEach(textTable::row);
+            text.append('\n').append(table.title()).append('\n').append(textTable);
         }
         return text.toString();
     }
 
-    /** Each row is an object from column name to text. */
+    /** Returns the report as JSON, where each table row is an object that maps column names to texts. */
     static String json(ExperimentReport report) {
         ObjectNode root = MAPPER.createObjectNode().put("experiment", report.name());
         root.put("seed", report.seed());
--- a/src/main/java/org/yuccagw/cli/SettingsCommand.java
+++ b/src/main/java/org/yuccagw/cli/SettingsCommand.java
@@ -17,7 +17,7 @@
 @Command(
         name = "settings",
         mixinStandardHelpOptions = true,
-        description = "Works on settings files.",
+        description = "Checks settings files.",
         subcommands = SettingsCommand.Check.class)
 final class SettingsCommand implements Runnable {
     @Spec
@@ -25,10 +25,10 @@
 
     @Override
     public void run() {
-        throw new picocli.CommandLine.ParameterException(spec.commandLine(), "name a subcommand: check");
+        throw new picocli.CommandLine.ParameterException(spec.commandLine(), "a subcommand is required: check");
     }
 
-    /** What a file is meant to be. */
+    /** Kinds of files that can be checked. */
     enum Kind {
         ENTRY,
         GATEWAY,
@@ -39,17 +39,18 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Checks a settings file of an entry or a gateway, or a catalogue. An error names file, line,"
-                    + " column, field and what was expected.")
+            description = "Checks a settings file of an entry or a gateway, or a catalogue. An error is reported with"
+                    + " file, line, column, field and expected value.")
     static final class Check implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "The file.")
+        @Parameters(paramLabel = "FILE", description = "The file to check.")
         private Path file;
 
         @Option(
                 names = "--kind",
                 defaultValue = "AUTO",
-                description = "What the file is: ${COMPLETION-CANDIDATES}. AUTO takes a file with a field"
-                        + " \"services\" or \"workspaces\" for a catalogue, one with \"platform\" for a gateway's.")
+                description = "Kind of the file: ${COMPLETION-CANDIDATES}. With AUTO, a file with a field"
+                        + " \"services\" or \"workspaces\" is a catalogue, and one with \"platform\" is a gateway's"
+                        + " settings file.")
         private Kind kind;
 
         @Spec
@@ -61,21 +62,21 @@
             try {
                 check(document);
             } catch (YuccagwException e) {
-                throw CommandFailure.failed(file + ": " + e.getMessage());
+                throw CommandException.failed(file + ": " + e.getMessage());
             }
             spec.commandLine().getOut().println(file + ": fine");
             return ExitCode.OK;
         }
 
         private void check(byte[] document) throws YuccagwException {
-            switch (kind == Kind.AUTO ? guess(document) : kind) {
+            switch (kind == Kind.AUTO ? detectKind(document) : kind) {
                 case CATALOGUE -> CatalogueJson.create().decode(document);
                 case GATEWAY -> GatewaySettingsReader.parse(document);
                 default -> EntrySettingsReader.parse(document);
             }
         }
 
-        private static Kind guess(byte[] document) throws YuccagwException {
+        private static Kind detectKind(byte[] document) throws YuccagwException {
             if (GatewaySettingsReader.looksLikeOne(document)) {
                 return Kind.GATEWAY;
             }
@@ -86,7 +87,7 @@
             try {
                 return Files.readAllBytes(file);
             } catch (IOException e) {
-                throw CommandFailure.failed(file + ": the file can't be read");
+                throw CommandException.failed(file + ": the file can't be read");
             }
         }
     }
--- a/src/main/java/org/yuccagw/cli/StandInCommand.java
+++ b/src/main/java/org/yuccagw/cli/StandInCommand.java
@@ -15,16 +15,17 @@
 @Command(
         name = "stand-in",
         mixinStandardHelpOptions = true,
-        description = "Runs one stand-in of the platform until it is ended: key-value, vm-list, engine, store,"
-                + " weight-store or plain. Prints its addresses once it listens.")
+        description = "Runs one stand-in of the platform until the process is ended: key-value, vm-list, engine,"
+                + " store, weight-store or plain. Prints its addresses once it listens.")
 final class StandInCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "NAME", description = "Which one.")
+    @Parameters(index = "0", paramLabel = "NAME", description = "Name of the stand-in.")
     private String name;
 
     @Parameters(
             index = "1..*",
             paramLabel = "OPTION=VALUE",
-            description = "Its options, such as port=7001. An unknown one is refused with the list of known ones.")
+            description = "Options of the stand-in, such as port=7001. An unknown option is rejected with a list of"
+                    + " the known ones.")
     private List<String> options = new ArrayList<>();
 
     @Spec
@@ -32,8 +33,8 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        StandIn started = start();
-        Runtime.getRuntime().addShutdownHook(new Thread(started::stop, "stop"));
+        StandIn standIn = start();
+        Runtime.getRuntime().addShutdownHook(new Thread(standIn::stop, "stop"));
         new CountDownLatch(1).await();
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/StatusCommand.java
+++ b/src/main/java/org/yuccagw/cli/StatusCommand.java
@@ -13,7 +13,7 @@
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "Shows whether an entry is ready, and all entries that it knows.")
+        description = "Prints whether an entry is ready, and lists all entries that it knows.")
 final class StatusCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
@@ -36,7 +36,7 @@
                 out.println(status.path("entry").asText() + " is " + state + ", catalogue revision "
                         + status.path("revision").asLong());
             }
-            ViewPrinter.print(out, status, "entries", json);
+            ListPrinter.print(out, status, "entries", json);
         }
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/StoresCommand.java
+++ b/src/main/java/org/yuccagw/cli/StoresCommand.java
@@ -11,7 +11,7 @@
 @Command(
         name = "stores",
         mixinStandardHelpOptions = true,
-        description = "Lists the cache stores, how full they are and what moves on their links.")
+        description = "Lists the cache stores with their fill levels and the traffic on their links.")
 final class StoresCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
@@ -25,7 +25,7 @@
     @Override
     public Integer call() throws YuccagwException {
         try (AdminClient client = admin.connect()) {
-            ViewPrinter.print(spec.commandLine().getOut(), client.get("/admin/stores"), "stores", json);
+            ListPrinter.print(spec.commandLine().getOut(), client.get("/admin/stores"), "stores", json);
         }
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/SummarizeCommand.java
+++ b/src/main/java/org/yuccagw/cli/SummarizeCommand.java
@@ -17,11 +17,11 @@
 @Command(
         name = "summarize",
         mixinStandardHelpOptions = true,
-        description = "Counts from logs how requests ended and why they were refused, and tells when answers began and"
-                + " what prompts waited for.")
+        description = "Prints statistics from logs: outcomes of requests, reasons of refusals, times to the first"
+                + " byte of answers, and waiting times of prompts.")
 final class SummarizeCommand implements Callable<Integer> {
-    private static final double MEDIAN = 50;
-    private static final double NINE_IN_TEN = 90;
+    private static final double MEDIAN_PERCENTILE = 50;
+    private static final double HIGH_PERCENTILE = 90;
 
     @Parameters(arity = "1..*", paramLabel = "FILE", description = "Output of one or several entries.")
     private List<Path> files;
@@ -31,23 +31,23 @@
 
     @Override
     public Integer call() {
-        List<DecisionLine> lines = DecisionFiles.read(files);
+        List<DecisionLine> lines = DecisionLogReader.read(files);
         LogSummary summary = LogSummary.of(lines);
         PromptSummary prompts = PromptSummary.of(lines);
         PrintWriter out = spec.commandLine().getOut();
-        out.print(counts("outcome", summary.outcomes()));
+        out.print(countTable("outcome", summary.outcomes()));
         out.println();
-        out.print(counts("refused because", summary.refusals()));
+        out.print(countTable("refused because", summary.refusals()));
         out.println();
-        out.print(seconds(summary));
+        out.print(secondTable(summary));
         out.println();
-        out.print(groups("prompts of route", prompts.byRoute()));
+        out.print(groupTable("prompts of route", prompts.byRoute()));
         out.println();
-        out.print(groups("prompts from second", prompts.bySpan()));
+        out.print(groupTable("prompts from second", prompts.bySpan()));
         return ExitCode.OK;
     }
 
-    private static <K> TextTable groups(String name, Map<K, PromptSummary.Group> groups) {
+    private static <K> TextTable groupTable(String name, Map<K, PromptSummary.Group> groups) {
         TextTable table = TextTable.of(
                 name,
                 "prompts",
@@ -62,35 +62,35 @@
         groups.forEach((key, group) -> table.row(List.of(
                 key.toString(),
                 Long.toString(group.prompts()),
-                Long.toString(group.waitedMillis(MEDIAN)),
-                Long.toString(group.waitedMillis(NINE_IN_TEN)),
-                Long.toString(group.predictedMillis(MEDIAN)),
-                Long.toString(group.begunMillis(MEDIAN)),
-                Long.toString(group.begunMillis(NINE_IN_TEN)),
-                share(group.heldShare()),
-                share(group.fetchedShare()),
-                share(group.readShare()))));
+                Long.toString(group.waitedMillis(MEDIAN_PERCENTILE)),
+                Long.toString(group.waitedMillis(HIGH_PERCENTILE)),
+                Long.toString(group.predictedMillis(MEDIAN_PERCENTILE)),
+                Long.toString(group.begunMillis(MEDIAN_PERCENTILE)),
+                Long.toString(group.begunMillis(HIGH_PERCENTILE)),
+                formatShare(group.heldShare()),
+                formatShare(group.fetchedShare()),
+                formatShare(group.readShare()))));
         return table;
     }
 
-    private static String share(double share) {
+    private static String formatShare(double share) {
         return String.format(Locale.ROOT, "%.2f", share);
     }
 
-    private static TextTable counts(String cause, Map<String, Long> counted) {
-        TextTable table = TextTable.of(cause, "requests");
-        counted.forEach((name, count) -> table.row(List.of(name, count.toString())));
+    private static TextTable countTable(String title, Map<String, Long> counts) {
+        TextTable table = TextTable.of(title, "requests");
+        counts.forEach((name, count) -> table.row(List.of(name, count.toString())));
         return table;
     }
 
-    private static TextTable seconds(LogSummary summary) {
+    private static TextTable secondTable(LogSummary summary) {
         TextTable table = TextTable.of("second", "answers", "first byte median ms", "99 in 100 ms");
-        for (LogSummary.Second each : summary.seconds()) {
+        for (LogSummary.Second second : summary.seconds()) {
             table.row(List.of(
-                    Long.toString(each.secondsSinceFirst()),
-                    Long.toString(each.answers()),
-                    Long.toString(each.medianMillis()),
-                    Long.toString(each.lateMillis())));
+                    Long.toString(second.secondsSinceFirst()),
+                    Long.toString(second.answers()),
+                    Long.toString(second.medianMillis()),
+                    Long.toString(second.lateMillis())));
         }
         return table;
     }
--- a/src/main/java/org/yuccagw/cli/TextTable.java
+++ b/src/main/java/org/yuccagw/cli/TextTable.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lines up rows of text under column names. */
+/** A text table with aligned columns and a header row. */
 final class TextTable {
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     private final List<List<String>> rows = new ArrayList<>();
 
@@ -40,7 +40,7 @@
             for (int i = 0; i < widths.length; i++) {
                 line.append(row.get(i))
                         .append(" ".repeat(widths[i] - row.get(i).length()))
-                        .append(GAP);
+                        .append(COLUMN_SEPARATOR);
             }
             text.append(line.toString().stripTrailing()).append('\n');
         }
--- a/src/main/java/org/yuccagw/cli/TraceCommand.java
+++ b/src/main/java/org/yuccagw/cli/TraceCommand.java
@@ -13,12 +13,12 @@
 @Command(
         name = "trace",
         mixinStandardHelpOptions = true,
-        description = "Explains one recent request: its hops, what was weighed, chosen and retried.")
+        description = "Prints the hops of one recent request, with the routing decisions and retries.")
 final class TraceCommand implements Callable<Integer> {
     @Mixin
     private AdminOptions admin;
 
-    @Parameters(paramLabel = "ID", description = "Request id, from the answer's header X-Request-Id.")
+    @Parameters(paramLabel = "ID", description = "Id of the request, from the header X-Request-Id of its answer.")
     private String request;
 
     @Option(names = "--json", description = "Print the whole answer as JSON.")
--- a/src/main/java/org/yuccagw/cli/TraceText.java
+++ b/src/main/java/org/yuccagw/cli/TraceText.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Writes the hops of a request for people: start and length in milliseconds, indented under the hop that caused them.
+ * Formats the hops of a request as text: start and duration in milliseconds, indented below the parent hop.
  *
  * <p>Example:
  *
@@ -18,8 +18,8 @@
  */
 final class TraceText {
     private static final double MICROS_PER_MILLI = 1000;
-    private static final String REQUEST = "request";
-    private static final Pattern FRACTION = Pattern.compile("-?\\d+\\.\\d+(E-?\\d+)?");
+    private static final String REQUEST_ATTRIBUTE = "request";
+    private static final Pattern FRACTION_PATTERN = Pattern.compile("-?\\d+\\.\\d+(E-?\\d+)?");
 
     private TraceText() {}
 
@@ -28,51 +28,52 @@
         StringBuilder text =
                 new StringBuilder("request " + trace.path("request").asText() + ", trace "
                         + hops.path(0).path("trace").asText() + "\n");
-        long begin = hops.path(0).path("startMicros").asLong();
+        long startMicros = hops.path(0).path("startMicros").asLong();
         Map<String, Integer> depths = new HashMap<>();
         for (JsonNode hop : hops) {
             int depth = depths.getOrDefault(hop.path("parent").asText(), -1) + 1;
             depths.put(hop.path("span").asText(), depth);
-            long offset = hop.path("startMicros").asLong() - begin;
-            String length = "+" + millis(hop.path("durationMicros").asLong());
-            text.append(String.format(Locale.ROOT, "%10s %11s  ", millis(offset), length))
+            long offsetMicros = hop.path("startMicros").asLong() - startMicros;
+            String duration = "+" + formatMillis(hop.path("durationMicros").asLong());
+            text.append(String.format(Locale.ROOT, "%10s %11s  ", formatMillis(offsetMicros), duration))
                     .append("  ".repeat(depth))
                     .append(hop.path("name").asText())
                     .append(hop.path("ok").asBoolean() ? "" : " FAILED")
-                    .append(fields(hop.path("attributes")))
+                    .append(formatAttributes(hop.path("attributes")))
                     .append('\n');
             for (JsonNode event : hop.path("events")) {
-                String at = millis(offset + event.path("afterMicros").asLong());
+                String at =
+                        formatMillis(offsetMicros + event.path("afterMicros").asLong());
                 text.append(String.format(Locale.ROOT, "%10s %11s  ", at, ""))
                         .append("  ".repeat(depth + 1))
                         .append("- ")
                         .append(event.path("name").asText())
-                        .append(fields(event.path("attributes")))
+                        .append(formatAttributes(event.path("attributes")))
                         .append('\n');
             }
         }
         return text.toString();
     }
 
-    private static String millis(long micros) {
+    private static String formatMillis(long micros) {
         return String.format(Locale.ROOT, "%.1f ms", micros / MICROS_PER_MILLI);
     }
 
-    /** The attributes but for the request's id, which stands in the head line. */
-    private static String fields(JsonNode attributes) {
+    /** Formats the attributes, except for the request id, which the header line contains. */
+    private static String formatAttributes(JsonNode attributes) {
         StringBuilder text = new StringBuilder();
         attributes.fields().forEachRemaining(field -> {
-            if (!field.getKey().equals(REQUEST)) {
+            if (!field.getKey().equals(REQUEST_ATTRIBUTE)) {
                 text.append("  ").append(field.getKey()).append('=');
-                text.append(rounded(field.getValue().asText()));
+                text.append(roundFraction(field.getValue().asText()));
             }
         });
         return text.toString();
     }
 
-    /** Fractions with three digits behind the point; everything else as it is. */
-    private static String rounded(String value) {
-        return FRACTION.matcher(value).matches()
+    /** Rounds fractions to three decimal places. Other values are returned unchanged. */
+    private static String roundFraction(String value) {
+        return FRACTION_PATTERN.matcher(value).matches()
                 ? String.format(Locale.ROOT, "%.3f", Double.parseDouble(value))
                 : value;
     }
--- a/src/main/java/org/yuccagw/cli/YuccagwTool.java
+++ b/src/main/java/org/yuccagw/cli/YuccagwTool.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.HelpCommand;
 import picocli.CommandLine.TypeConversionException;
 
-/** The command {@code yuccagw}. */
+/** The command-line tool {@code yuccagw}. */
 @Command(
         name = "yuccagw",
         mixinStandardHelpOptions = true,
@@ -39,15 +39,15 @@
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:done",
-            "1:failed, or a checked file is wrong",
-            "2:the command line makes no sense",
+            "1:failed, or a checked file is invalid",
+            "2:invalid command line",
             "3:refused by the entry: wrong key, invalid catalogue, or a conflict with another edit",
             "4:the entry did not answer"
         })
 public final class YuccagwTool {
     private YuccagwTool() {}
 
-    /** Prints a completion script; {@code source <(yuccagw completion)} puts it to use in bash and zsh. */
+    /** Prints a completion script, which {@code source <(yuccagw completion)} enables in bash and zsh. */
     @Command(name = "completion", description = "Prints a script for shell completion: source <(yuccagw completion)")
     static final class Completion extends GenerateCompletion {}
 
@@ -55,7 +55,7 @@
     public static void main(String[] arguments) {
         PrintWriter out = new PrintWriter(System.out, true, StandardCharsets.UTF_8);
         int exitCode = commandLine().setOut(out).execute(arguments);
-        // Only whole lines are flushed on the way, and the end of the process would lose the rest.
+        // The writer flushes only at line ends, and text after the last line end would be lost at exit.
         out.flush();
         System.exit(exitCode);
     }
@@ -63,11 +63,11 @@
     static CommandLine commandLine() {
         return new CommandLine(new YuccagwTool())
                 .setCaseInsensitiveEnumValuesAllowed(true)
-                .registerConverter(NetworkAddress.class, YuccagwTool::parseAddress)
-                .setExecutionExceptionHandler((failure, command, result) -> explain(failure, command.getErr()));
+                .registerConverter(NetworkAddress.class, YuccagwTool::convertAddress)
+                .setExecutionExceptionHandler((failure, command, result) -> printFailure(failure, command.getErr()));
     }
 
-    private static NetworkAddress parseAddress(String text) {
+    private static NetworkAddress convertAddress(String text) {
         try {
             return NetworkAddress.parse(text);
         } catch (IllegalArgumentException e) {
@@ -75,10 +75,10 @@
         }
     }
 
-    private static int explain(Exception failure, PrintWriter err) {
-        if (failure instanceof CommandFailure told) {
-            err.println("yuccagw: " + told.getMessage());
-            return told.exitCode();
+    private static int printFailure(Exception failure, PrintWriter err) {
+        if (failure instanceof CommandException commandFailure) {
+            err.println("yuccagw: " + commandFailure.getMessage());
+            return commandFailure.exitCode();
         }
         if (failure instanceof YuccagwException error) {
             err.println("yuccagw: " + error.getMessage());
--- a/src/main/java/org/yuccagw/cli/package-info.java
+++ b/src/main/java/org/yuccagw/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line: one thin class for each subcommand. */
+/** The command-line tool, with one class per subcommand. */
 package org.yuccagw.cli;
--- a/src/main/java/org/yuccagw/daemon/ControlComponents.java
+++ b/src/main/java/org/yuccagw/daemon/ControlComponents.java
@@ -31,14 +31,14 @@
 import org.yuccagw.core.swap.SwapsComponent;
 
 /**
- * The parts of an entry's control core and the codecs of what they say to other entries.
+ * The control core of an entry and the codec of the messages that its components exchange with other entries.
  *
- * <p>The order matters in one way: an event goes through the parts in the order of the list, so those that others ask
- * about the catalogue, members and shards come first.
+ * <p>An event is passed to the components in the order of the list. Components whose state is read by others (the
+ * catalogue, the members and the shards) therefore come first.
  */
 public record ControlComponents(ControlCore core, PeerCodec codec) {
 
-    /** All parts of an entry. */
+    /** Creates all components of an entry, and the codec of their messages. */
     public static ControlComponents of(EntryIdentity self) {
         CatalogueComponent catalogue = CatalogueComponent.of(CatalogueJson.create());
         ShardsComponent shards = ShardsComponent.of();
@@ -61,7 +61,7 @@
         return new ControlComponents(core, codecs());
     }
 
-    /** The codecs of all parts. */
+    /** Returns a codec for the messages of all components. */
     public static PeerCodec codecs() {
         return PeerCodec.of(List.of(
                 GossipCodec.of(),
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -44,58 +44,64 @@
 import org.yuccagw.platform.KeyValueClient;
 
 /**
- * One entry: the control thread with its core, and the caller, admin and peer addresses.
+ * An entry daemon: the control thread with its core, and the caller, admin and peer addresses.
  *
- * <p>A graceful stop goes in this order, so that no request is cut: tell everybody that this entry is leaving and give
- * its shards up; keep serving for as long as callers may keep a directory that names it; refuse new requests as not
- * run; wait for those in progress, however long they take; close the addresses.
+ * <p>A graceful stop takes these steps, so that no request is interrupted:
+ *
+ * <ol>
+ *   <li>Announce to all entries that this entry is leaving, and release its shards.
+ *   <li>Keep serving for as long as callers may use a cached directory that contains this entry.
+ *   <li>Refuse new requests with an error that says they have not run.
+ *   <li>Wait for the requests in progress, without a time limit.
+ *   <li>Close the addresses.
+ * </ol>
  */
 public final class EntryDaemon {
     private static final Logger log = LogManager.getLogger(EntryDaemon.class);
-    private static final int MOST_IO_THREADS = 8;
+    private static final int MAX_IO_THREADS = 8;
     private static final int CONTROL_IO_THREADS = 1;
-    private static final Duration LOAD_INTERVAL = Duration.ofSeconds(1);
-    private static final long POLL_NANOS = Duration.ofMillis(20).toNanos();
+    private static final Duration LOAD_REPORT_INTERVAL = Duration.ofSeconds(1);
+    private static final long POLL_INTERVAL_NANOS = Duration.ofMillis(20).toNanos();
 
     private final EntryIdentity self;
     private final ControlRunner control;
     private final PeerTransport peers;
     private final XnioWorker worker;
-    private final HttpCaller traffic;
-    private final HttpCaller otherEntries;
-    private final HttpCaller platform;
-    private final CallerServer callers;
-    private final AdminServer admin;
-    private final EntrySecurity security;
+    private final HttpCaller endpointClient;
+    private final HttpCaller entryClient;
+    private final HttpCaller platformClient;
+    private final CallerServer callerServer;
+    private final AdminServer adminServer;
+    private final EntryTls tls;
     private final Traces traces;
     private final RunRegistry runs;
-    private final CountDownLatch end = new CountDownLatch(1);
+    private final CountDownLatch stoppedLatch = new CountDownLatch(1);
     private boolean stopped;
 
     private EntryDaemon(EntrySettings settings) throws YuccagwException, IOException {
         self = identity(settings);
-        security = EntrySecurity.start(settings);
+        tls = EntryTls.start(settings);
         traces = Traces.start(settings);
         Metrics metrics = Metrics.create();
         runs = RunRegistry.create();
-        worker = makeWorker();
-        traffic = HttpCaller.on(worker);
-        otherEntries = toOtherEntries(settings);
-        platform = HttpCaller.start(CONTROL_IO_THREADS);
-        KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
+        worker = createWorker();
+        endpointClient = HttpCaller.on(worker);
+        entryClient = createEntryClient(settings);
+        platformClient = HttpCaller.start(CONTROL_IO_THREADS);
+        KeyValueClient keyValue = KeyValueClient.of(platformClient, settings.keyValueService());
         ControlComponents components = ControlComponents.of(self);
-        ControlInputs inputs = new ControlInputs();
-        ImportClient imports = ImportClient.of(platform, inputs);
-        peers = PeerTransport.of(self, components.codec(), this::peerAddress, inputs::offer, security.peers());
+        DeferredControlInput controlInput = new DeferredControlInput();
+        ImportClient importClient = ImportClient.of(platformClient, controlInput);
+        peers = PeerTransport.of(self, components.codec(), this::peerAddress, controlInput::offer, tls.peers());
         control = ControlRunner.of(
                 components.core(),
                 keyValue::submit,
                 peers,
                 List.of(
-                        PlatformPoller.of(platform, settings.vmList()),
-                        OrderSender.of(platform, System::nanoTime),
-                        CacheActions.of(platform, imports)));
-        inputs.connect(control);
+                        PlatformPoller.of(platformClient, settings.vmList()),
+                        OrderSender.of(platformClient, System::nanoTime),
+                        CacheActions.of(platformClient, importClient)));
+        controlInput.connect(control);
         peers.start();
         control.start();
         CallerServices services = new CallerServices(
@@ -103,34 +109,35 @@
                 self,
                 control::snapshot,
                 control,
-                traffic,
-                otherEntries,
-                (endpoint, plan, version, done) -> imports.importBlocks(
+                endpointClient,
+                entryClient,
+                (endpoint, plan, version, onImported) -> importClient.importBlocks(
                         endpoint,
                         plan,
                         version,
-                        arrived -> done.accept(new Importer.Outcome(arrived.blocks(), arrived.bytes()))),
+                        imported -> onImported.accept(new Importer.Outcome(imported.blocks(), imported.bytes()))),
                 RetryGate.of(RetryPolicy.defaults(), this::systemLimits),
                 traces.tracer(),
                 new EntryMetrics(metrics),
                 runs);
-        callers = CallerServer.start(services, worker, security.caller(), new PrefetchHints());
-        admin = AdminServer.start(settings, security.admin(), control::snapshot, control, metrics, traces, this::drain);
+        callerServer = CallerServer.start(services, worker, tls.caller(), new PrefetchEventFactory());
+        adminServer =
+                AdminServer.start(settings, tls.admin(), control::snapshot, control, metrics, traces, this::drain);
         addGauges(metrics, keyValue);
-        tellLoad();
+        scheduleLoadReports();
     }
 
     /**
-     * Starts an entry and returns once its addresses listen. It takes work when {@code /readyz} of the admin address
-     * says so.
+     * Starts an entry and returns once it listens on its addresses. It accepts requests once {@code /readyz} of the
+     * admin address reports that it is ready.
      *
-     * @throws YuccagwException of kind SETTINGS_INVALID when an address or a certificate can't be used
+     * @throws YuccagwException of kind SETTINGS_INVALID if an address or a certificate can't be used
      */
     public static EntryDaemon start(EntrySettings settings) throws YuccagwException {
         try {
             EntryDaemon daemon = new EntryDaemon(settings);
             log.info(
-                    "entry {} incarnation {} listens for callers on {}, operators on {}, entries on {}",
+                    "entry {} incarnation {} listens for callers on {}, for operators on {}, for other entries on {}",
                     settings.entry(),
                     daemon.self.incarnation(),
                     settings.caller(),
@@ -138,11 +145,11 @@
                     settings.peer());
             return daemon;
         } catch (IOException | RuntimeException e) {
-            throw ErrorKind.SETTINGS_INVALID.raiseFrom(e, "the entry can't start: " + e.getMessage());
+            throw ErrorKind.SETTINGS_INVALID.raiseFrom(e, "the entry can't be started: " + e.getMessage());
         }
     }
 
-    /** Whether this entry takes new work. */
+    /** Returns whether this entry accepts new requests. */
     public boolean isReady() {
         return control.snapshot()
                 .part(DirectorySnapshot.class)
@@ -150,38 +157,38 @@
                 .orElse(false);
     }
 
-    /** Stops gracefully; returns when the last request has ended and all addresses are closed. */
+    /** Stops gracefully. Returns when the last request has ended and all addresses are closed. */
     public synchronized void stop() {
         if (stopped) {
             return;
         }
         stopped = true;
-        log.info("entry {} stops: {} requests in progress", self.entry(), runs.count());
+        log.info("entry {} is stopping, with {} requests in progress", self.entry(), runs.count());
         control.offer(new StopRequested());
-        Duration timeToLive = control.snapshot()
+        Duration directoryTimeToLive = control.snapshot()
                 .part(DirectorySnapshot.class)
                 .map(DirectorySnapshot::timeToLive)
                 .orElse(Duration.ZERO);
-        long until = System.nanoTime() + timeToLive.toNanos();
-        await(() -> System.nanoTime() - until >= 0);
-        callers.refuseNewRequests();
+        long untilNanos = System.nanoTime() + directoryTimeToLive.toNanos();
+        await(() -> System.nanoTime() - untilNanos >= 0);
+        callerServer.refuseNewRequests();
         await(() -> runs.count() == 0);
         close();
         log.info("entry {} has stopped", self.entry());
-        end.countDown();
+        stoppedLatch.countDown();
     }
 
-    /** Waits until a graceful stop, whoever asked for it, has come to its end. */
+    /** Waits until a graceful stop has completed, whether a signal or an operator requested it. */
     public void awaitStopped() throws InterruptedException {
-        end.await();
+        stoppedLatch.await();
     }
 
     private void drain() {
-        Thread stopping = new Thread(this::stop, "graceful-stop");
-        stopping.start();
+        Thread stopper = new Thread(this::stop, "graceful-stop");
+        stopper.start();
     }
 
-    /** Ends at once, as a crash would; for tests of what others do then. */
+    /** Stops immediately, like a crash. Used by tests of how other entries and callers react. */
     public synchronized void halt() {
         if (!stopped) {
             stopped = true;
@@ -190,24 +197,24 @@
     }
 
     private void close() {
-        callers.stop();
-        admin.stop();
+        callerServer.stop();
+        adminServer.stop();
         control.stop();
         peers.stop();
-        traffic.stop();
-        otherEntries.stop();
-        platform.stop();
+        endpointClient.stop();
+        entryClient.stop();
+        platformClient.stop();
         worker.shutdown();
         traces.stop();
-        security.stop();
+        tls.stop();
     }
 
-    private HttpCaller toOtherEntries(EntrySettings settings) throws YuccagwException {
+    private HttpCaller createEntryClient(EntrySettings settings) throws YuccagwException {
         return settings.callerTls().isPresent()
                 ? HttpCaller.on(
                         worker,
                         ReloadingTls.clientContext(settings.callerTls().get().trusted()))
-                : traffic;
+                : endpointClient;
     }
 
     private static EntryIdentity identity(EntrySettings settings) {
@@ -220,8 +227,8 @@
                 settings.admin());
     }
 
-    private static XnioWorker makeWorker() throws IOException {
-        int threads = Math.max(2, Math.min(MOST_IO_THREADS, Runtime.getRuntime().availableProcessors()));
+    private static XnioWorker createWorker() throws IOException {
+        int threads = Math.max(2, Math.min(MAX_IO_THREADS, Runtime.getRuntime().availableProcessors()));
         OptionMap options = OptionMap.builder()
                 .set(Options.WORKER_IO_THREADS, threads)
                 .set(Options.WORKER_TASK_CORE_THREADS, 1)
@@ -234,18 +241,18 @@
     }
 
     private Optional<org.yuccagw.core.id.NetworkAddress> peerAddress(org.yuccagw.core.id.EntryId entry) {
-        return control.snapshot().part(PeerAddresses.class).flatMap(known -> known.find(entry));
+        return control.snapshot().part(PeerAddresses.class).flatMap(addresses -> addresses.find(entry));
     }
 
     private SystemLimits systemLimits() {
         return control.snapshot().part(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.usual());
     }
 
-    private void tellLoad() {
+    private void scheduleLoadReports() {
         worker.getIoThread(0)
                 .executeAtInterval(
                         () -> control.offer(new OwnLoadReported(runs.count())),
-                        LOAD_INTERVAL.toMillis(),
+                        LOAD_REPORT_INTERVAL.toMillis(),
                         TimeUnit.MILLISECONDS);
     }
 
@@ -265,7 +272,7 @@
 
     private static void await(BooleanSupplier condition) {
         while (!condition.getAsBoolean()) {
-            LockSupport.parkNanos(POLL_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 }
--- a/src/main/java/org/yuccagw/daemon/EntryMetrics.java
+++ b/src/main/java/org/yuccagw/daemon/EntryMetrics.java
@@ -6,7 +6,7 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.request.AttemptFailure;
 
-/** Puts what requests tell into the Prometheus metrics. */
+/** Records the metrics of caller requests in Prometheus. */
 record EntryMetrics(Metrics metrics) implements CallerMetrics {
     @Override
     public void firstToken(String className, Duration sinceArrival) {
--- a/src/main/java/org/yuccagw/daemon/EntrySecurity.java
+++ b/src/main/java/org/yuccagw/daemon/EntryTls.java
@@ -12,26 +12,29 @@
 import org.yuccagw.adapters.tls.ReloadingTls;
 import org.yuccagw.core.error.YuccagwException;
 
-/** The certificates of the three addresses, as far as the settings name any. */
-final class EntrySecurity {
-    private final List<ReloadingTls> started = new ArrayList<>();
+/**
+ * The TLS contexts of the caller, admin and peer addresses. A context is absent if the settings name no certificate for
+ * the address.
+ */
+final class EntryTls {
+    private final List<ReloadingTls> contexts = new ArrayList<>();
     private final Optional<SSLContext> caller;
     private final Optional<SSLContext> admin;
     private final PeerSecurity peers;
 
-    private EntrySecurity(EntrySettings settings) throws YuccagwException {
-        caller = context(settings.callerTls());
-        admin = context(settings.adminTls());
-        Optional<SSLContext> peer = context(settings.peerTls());
-        peers = new PeerSecurity(peer.map(EntrySecurity::serverSide), peer.map(EntrySecurity::clientSide));
+    private EntryTls(EntrySettings settings) throws YuccagwException {
+        caller = startContext(settings.callerTls());
+        admin = startContext(settings.adminTls());
+        Optional<SSLContext> peer = startContext(settings.peerTls());
+        peers = new PeerSecurity(peer.map(EntryTls::serverEngines), peer.map(EntryTls::clientEngines));
     }
 
-    static EntrySecurity start(EntrySettings settings) throws YuccagwException {
-        return new EntrySecurity(settings);
+    static EntryTls start(EntrySettings settings) throws YuccagwException {
+        return new EntryTls(settings);
     }
 
     void stop() {
-        started.forEach(ReloadingTls::stop);
+        contexts.forEach(ReloadingTls::stop);
     }
 
     Optional<SSLContext> caller() {
@@ -46,17 +49,17 @@
         return peers;
     }
 
-    private Optional<SSLContext> context(Optional<TlsFiles> files) throws YuccagwException {
+    private Optional<SSLContext> startContext(Optional<TlsFiles> files) throws YuccagwException {
         if (files.isEmpty()) {
             return Optional.empty();
         }
         ReloadingTls tls = ReloadingTls.start(files.get());
-        started.add(tls);
+        contexts.add(tls);
         return Optional.of(tls.context());
     }
 
-    /** Peers prove themselves in both directions: a stranger must not speak for an entry. */
-    private static Supplier<SSLEngine> serverSide(SSLContext context) {
+    /** Requires a client certificate, since only an entry may send messages to the peer address. */
+    private static Supplier<SSLEngine> serverEngines(SSLContext context) {
         return () -> {
             SSLEngine engine = context.createSSLEngine();
             engine.setUseClientMode(false);
@@ -65,7 +68,7 @@
         };
     }
 
-    private static Supplier<SSLEngine> clientSide(SSLContext context) {
+    private static Supplier<SSLEngine> clientEngines(SSLContext context) {
         return () -> {
             SSLEngine engine = context.createSSLEngine();
             engine.setUseClientMode(true);
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -46,13 +46,13 @@
 import org.yuccagw.core.stores.StoresComponent;
 
 /**
- * The parts of the control core of an entry on the users' platform.
+ * The components of the control core of an entry on the users' platform.
  *
- * <p>Parts ask each other through this object, since each needs something of another: heartbeats carry loads, placing
- * needs the number of entries, orders announce themselves by a heartbeat.
+ * <p>Components depend on each other in cycles, which this class resolves: heartbeats carry the loads of endpoints,
+ * placement needs the number of entries, and a change of the outstanding orders triggers a heartbeat.
  */
 final class GatewayComponents implements PeersComponent.LocalState {
-    private static final String WEIGHTS_DUTY = "weights";
+    private static final String WEIGHT_ORDERS_DUTY = "weights";
 
     private final EntryId self;
     private final FailureDomain ownDomain;
@@ -72,18 +72,18 @@
                 codec,
                 settings.bounds().keysUnconfirmed().isPresent()
                         ? KeyValueFollowComponent.WatchRole.alwaysWatching()
-                        : new Following());
+                        : new GatewayWatchRole());
         configuration = ConfigurationComponent.create();
         peers = PeersComponent.of(this, settings.seeds());
         NamedWeightsComponent weights =
                 NamedWeightsComponent.of(settings.bounds().oldWeightsAllowed());
         stores = StoresComponent.of(peers::firstLeads);
-        Limiting fleet = new Limiting();
-        NoticesComponent notices = NoticesComponent.of(fleet);
-        RateLimitsComponent rateLimits = RateLimitsComponent.of(fleet);
+        RateLimitFleet rateLimitFleet = new RateLimitFleet();
+        NoticesComponent notices = NoticesComponent.of(rateLimitFleet);
+        RateLimitsComponent rateLimits = RateLimitsComponent.of(rateLimitFleet);
         EndpointConstraints constraints = new EndpointConstraints(rateLimits, notices);
-        InternalCalls calls = InternalCalls.of(constraints);
-        EngineCachesComponent caches = EngineCachesComponent.of(peers::ownLeads, calls);
+        InternalCalls internalCalls = InternalCalls.of(constraints);
+        EngineCachesComponent caches = EngineCachesComponent.of(peers::ownLeads, internalCalls);
         PlacementResponder responder = PlacementResponder.of(this::workOf, notices);
         placement = PlacementComponent.of(
                 new PlacementBounds(
@@ -93,17 +93,18 @@
                 stores,
                 caches,
                 constraints,
-                new Placing(),
+                new PlacementFleet(),
                 responder);
         PlacementClient client =
-                PlacementClient.of(this::placersOf, placement::usableEndpoint, placement::spared, notices);
+                PlacementClient.of(this::placingEntriesFor, placement::usableEndpoint, placement::spared, notices);
         duty = DutyComponent.of(
-                WEIGHTS_DUTY,
+                WEIGHT_ORDERS_DUTY,
                 codec,
                 peers::allLeads,
                 follow::isReachable,
                 settings.bounds().orderSeparation());
-        orders = WeightOrdersComponent.of(duty, weights, this::announceOrders, placement::requestsOn, calls);
+        orders = WeightOrdersComponent.of(
+                duty, weights, this::announceOrderChange, placement::requestsOn, internalCalls);
         RetiredPartsComponent retired = RetiredPartsComponent.of(duty::mayAct, weights, orders::lowestRunning, stores);
         components = List.of(
                 follow,
@@ -127,27 +128,29 @@
         return new GatewayComponents(settings, codec);
     }
 
-    /** In the order in which an event goes through them: those that others ask come first. */
-    List<ControlComponent> list() {
+    /** Returns the components in the order in which they receive an event. Those that others query come first. */
+    List<ControlComponent> inEventOrder() {
         return components;
     }
 
-    ControlCore core(EntryIdentity self) {
+    ControlCore core(EntryIdentity identity) {
         return ControlCore.of(
-                self, new SplittableRandom(self.incarnation() ^ self.entry().hashCode()), components);
+                identity,
+                new SplittableRandom(identity.incarnation() ^ identity.entry().hashCode()),
+                components);
     }
 
-    /** How many requests run on an endpoint, as far as this entry knows. */
+    /** Returns the number of requests that run on an endpoint, as known to this entry. */
     int requestsOn(EndpointId endpoint) {
         return placement.requestsOn(endpoint);
     }
 
-    /** Who leads the failure domain of this entry. */
+    /** Returns the leads of the failure domain of this entry. */
     List<EntryId> ownLeads() {
         return peers.ownLeads();
     }
 
-    /** Whether this entry may use the endpoint as far as it knows. */
+    /** Returns whether this entry may send requests to the endpoint, according to its local view. */
     boolean isUsable(EndpointIncarnation endpoint) {
         return placement.usableEndpoint(endpoint).isPresent();
     }
@@ -166,18 +169,20 @@
     }
 
     /**
-     * Leads; in a mesh, where every entry decides by what all tell each other, nobody but those that may send where
-     * this entry may not. Nobody either where no endpoint takes the request from this entry.
+     * Returns the entries that may place a request for this entry: the leads of its failure domain. In a mesh, every
+     * entry places its own requests by the state that all entries exchange; only entries that may send to an endpoint
+     * whose rate limit excludes this entry are returned. The list is empty if all endpoints reject the request from
+     * this entry.
      */
-    private List<EntryId> placersOf(PlacementRequest request) {
+    private List<EntryId> placingEntriesFor(PlacementRequest request) {
         if (placement.isTurnedAway(request)) {
             return List.of();
         }
         return peers.isMeshed() ? placement.othersWithinLimits(request) : peers.ownLeads();
     }
 
-    /** How this entry follows the key-value service. */
-    private final class Following implements KeyValueFollowComponent.WatchRole {
+    /** The role of this entry in following the key-value service. */
+    private final class GatewayWatchRole implements KeyValueFollowComponent.WatchRole {
         @Override
         public boolean reliesOnLeads() {
             return !peers.isMeshed() && !peers.isFirstLead();
@@ -194,15 +199,18 @@
         }
 
         @Override
-        public void sendToFollowers(FollowMessage.Changes tell) {
-            peers.sendToFollowers(tell);
+        public void sendToFollowers(FollowMessage.Changes changes) {
+            peers.sendToFollowers(changes);
         }
     }
 
-    /** Who places requests beside this entry. */
-    private final class Placing implements PlacementComponent.Fleet {
-        /** So much less of the slack has an entry that decides alone, of which there may be many for a moment. */
-        private static final int SHARES_OF_LONE_ENTRY = 5;
+    /** The entries that place requests, as the placement component needs them. */
+    private final class PlacementFleet implements PlacementComponent.Fleet {
+        /**
+         * Divides the share of the retry slack of an entry that isn't a lead but places requests alone, since there may
+         * be many such entries for a short time.
+         */
+        private static final int RETRY_SHARES_PER_LONE_ENTRY = 5;
 
         @Override
         public int placing() {
@@ -212,8 +220,9 @@
         }
 
         /**
-         * In a mesh one share each. Of leads each has one, the second ones too, since a part of the entries may have
-         * turned to them already: 10 shares at 95 entries in five failure domains, as at 300.
+         * In a mesh, each entry has one share. Otherwise each lead has one. Second leads are counted too, since some
+         * entries may already follow them. For example, there are 10 shares with 95 entries in five failure domains,
+         * and also with 300 entries.
          */
         @Override
         public int retryShares() {
@@ -221,17 +230,17 @@
                 return peers.aliveCount();
             }
             List<EntryId> leads = peers.allLeads();
-            boolean leading = leads.contains(self);
-            return leading ? leads.size() : SHARES_OF_LONE_ENTRY * peers.aliveCount();
+            boolean isLead = leads.contains(self);
+            return isLead ? leads.size() : RETRY_SHARES_PER_LONE_ENTRY * peers.aliveCount();
         }
 
-        /** One share for each known entry of a mesh; else one for each lead of the endpoint's failure domain. */
+        /** In a mesh, each known entry has one share. Otherwise each lead of the endpoint's failure domain has one. */
         @Override
         public int coldShares(FailureDomain domain) {
             if (peers.isMeshed()) {
                 return peers.knownCount();
             }
-            return leads(domain) ? PeersComponent.MAX_LEADS_PER_DOMAIN : 0;
+            return isConnectedLeadOf(domain) ? PeersComponent.MAX_LEADS_PER_DOMAIN : 0;
         }
 
         @Override
@@ -245,34 +254,36 @@
         }
     }
 
-    /** Whether this entry is a lead of the failure domain, and not cut off from it. */
-    private boolean leads(FailureDomain domain) {
+    /** Returns whether this entry is a lead of the failure domain and is not partitioned from most of its entries. */
+    private boolean isConnectedLeadOf(FailureDomain domain) {
         return domain.equals(ownDomain) && peers.ownLeads().contains(self) && peers.isMajorityOfOwnDomainAlive();
     }
 
-    /** Who sends to endpoints with a rate limit, and who hears what endpoints say of themselves. */
-    private final class Limiting implements RateLimitsComponent.Fleet {
+    /** The entries that send to rate-limited endpoints, and the receivers of endpoint updates. */
+    private final class RateLimitFleet implements RateLimitsComponent.Fleet {
         @Override
         public RateLimitShares sendersTo(ListedEndpoint endpoint) {
             if (peers.isMeshed()) {
                 return RateLimitShares.ofMesh(peers.servingOrRecentlySilent());
             }
-            return leads(endpoint.domain()) ? RateLimitShares.ofLeads(peers.ownLeads()) : RateLimitShares.nobody();
+            return isConnectedLeadOf(endpoint.domain())
+                    ? RateLimitShares.ofLeads(peers.ownLeads())
+                    : RateLimitShares.nobody();
         }
 
         @Override
-        public void broadcast(PeerMessage news) {
+        public void broadcast(PeerMessage update) {
             if (peers.allLeads().contains(self)) {
-                peers.sendToAllLeads(news);
+                peers.sendToAllLeads(update);
             } else {
-                peers.sendToOwnLeads(news);
+                peers.sendToOwnLeads(update);
             }
         }
 
         @Override
-        public void sendToFollowers(PeerMessage news) {
+        public void sendToFollowers(PeerMessage update) {
             if (peers.ownLeads().contains(self)) {
-                peers.sendToFollowers(news);
+                peers.sendToFollowers(update);
             }
         }
 
@@ -283,7 +294,7 @@
         }
     }
 
-    private void announceOrders() {
+    private void announceOrderChange() {
         placement.ownLoading(orders.loading());
         peers.sendStatusNow();
     }
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -34,38 +34,47 @@
 import org.yuccagw.platform.StoreCaller;
 
 /**
- * One entry on the users' platform: the control thread with its core, one I/O thread for traffic, and the addresses for
+ * An entry on the users' platform: the control thread with its core, one I/O thread for traffic, and the addresses for
  * callers, readiness, directory and other entries.
  *
- * <p>A graceful stop goes in this order, so that no request is cut: not ready any more, and out of every directory;
- * answers close their connections; requests of callers who kept an old directory are served for most of the grace time;
- * late ones are refused as not run; those in progress are waited for; then the process ends.
+ * <p>A graceful stop takes these steps, so that no request is interrupted:
+ *
+ * <ol>
+ *   <li>Report that this entry is not ready, which removes it from the directories of all entries, and close each
+ *       caller connection after its answer.
+ *   <li>Keep serving callers that use a cached directory, for most of the grace time. New streams are refused earlier
+ *       than other requests.
+ *   <li>Refuse new requests with an error that says they have not run.
+ *   <li>Wait for the requests in progress, until shortly before the end of the grace time.
+ *   <li>Close the addresses, after which the process ends.
+ * </ol>
  */
 public final class GatewayDaemon {
-    private static final long POLL_NANOS = Duration.ofMillis(10).toNanos();
+    private static final long POLL_INTERVAL_NANOS = Duration.ofMillis(10).toNanos();
 
-    /** Callers keep the directory for three times its time to live at most. */
-    private static final int DIRECTORY_KEPT = 3;
+    /** Callers cache the directory for at most three times its time to live. */
+    private static final int MAX_DIRECTORY_LIFETIMES_CACHED = 3;
 
-    /** Left at the end of the grace time for short requests in progress. */
-    private static final Duration LAST_REQUESTS = Duration.ofSeconds(2);
+    /** Reserved at the end of the grace time for the requests in progress. */
+    private static final Duration COMPLETION_TIME = Duration.ofSeconds(2);
 
-    /** A stream may take many seconds, so none begins once this part of the grace time has passed. */
-    private static final double STREAMS_SHARE_OF_GRACE = 0.34;
+    /** New streams are refused after this fraction of the grace time, since a stream may take many seconds. */
+    private static final double NEW_STREAMS_GRACE_FRACTION = 0.34;
 
-    private static final Duration END_MARGIN = Duration.ofMillis(250);
+    /** Reserved at the end of the grace time for closing the addresses. */
+    private static final Duration CLOSE_TIME = Duration.ofMillis(250);
 
     private final GatewaySettings settings;
     private final EntryIdentity self;
     private final DecisionLog decisions = DecisionLog.start();
     private final RunCount runs = RunCount.create();
     private final XnioWorker worker;
-    private final HttpCaller traffic;
-    private final HttpCaller platform;
+    private final HttpCaller endpointClient;
+    private final HttpCaller platformClient;
     private final PeerTransport peers;
     private final ControlRunner control;
     private final ServingServer server;
-    private final CountDownLatch end = new CountDownLatch(1);
+    private final CountDownLatch stoppedLatch = new CountDownLatch(1);
     private boolean stopped;
 
     private GatewayDaemon(GatewaySettings settings) throws IOException {
@@ -79,17 +88,17 @@
                 settings.readiness(),
                 settings.capacity());
         Metrics metrics = Metrics.create();
-        worker = makeWorker();
-        traffic = HttpCaller.on(worker);
-        platform = HttpCaller.on(worker);
-        KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
+        worker = createWorker();
+        endpointClient = HttpCaller.on(worker);
+        platformClient = HttpCaller.on(worker);
+        KeyValueClient keyValue = KeyValueClient.of(platformClient, settings.keyValueService());
         GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
-        ControlInputs inputs = new ControlInputs();
+        DeferredControlInput controlInput = new DeferredControlInput();
         peers = PeerTransport.of(
                 self,
                 GatewayComponents.codec(),
                 entry -> peersSnapshot().find(entry),
-                inputs::offer,
+                controlInput::offer,
                 PeerTransport.PeerSecurity.none());
         control = ControlRunner.of(
                 components.core(self),
@@ -97,16 +106,16 @@
                 peers,
                 List.of(
                         decisions,
-                        EngineCaller.of(platform, settings.entry(), System::nanoTime),
-                        StoreCaller.of(platform)));
-        inputs.connect(control);
+                        EngineCaller.of(platformClient, settings.entry(), System::nanoTime),
+                        StoreCaller.of(platformClient)));
+        controlInput.connect(control);
         peers.start();
         control.start();
         server = ServingServer.start(
                 new ServingServices(
                         control::snapshot,
                         control,
-                        traffic,
+                        endpointClient,
                         PlatformDialect.create(),
                         decisions,
                         metrics,
@@ -145,9 +154,9 @@
     }
 
     /**
-     * Starts an entry and returns once its addresses listen.
+     * Starts an entry and returns once it listens on its addresses.
      *
-     * @throws YuccagwException of kind SETTINGS_INVALID when an address can't be used
+     * @throws YuccagwException of kind SETTINGS_INVALID if an address can't be used
      */
     public static GatewayDaemon start(GatewaySettings settings) throws YuccagwException {
         try {
@@ -160,39 +169,40 @@
                     .with("seeds", settings.seeds()));
             return daemon;
         } catch (IOException | RuntimeException e) {
-            throw ErrorKind.SETTINGS_INVALID.raiseFrom(e, "the entry can't start: " + e.getMessage());
+            throw ErrorKind.SETTINGS_INVALID.raiseFrom(e, "the entry can't be started: " + e.getMessage());
         }
     }
 
-    /** Notes that the settings file was read again; what it tells of this VM can't change without a new start. */
-    public void noteReload(GatewaySettings read) {
-        decisions.write(Decision.of("settings-read").with("changed", !read.equals(settings)));
+    /** Logs that the settings file was read again. Settings of this VM don't change until the process is restarted. */
+    public void logSettingsRead(GatewaySettings reread) {
+        decisions.write(Decision.of("settings-read").with("changed", !reread.equals(settings)));
     }
 
-    /** Stops gracefully; returns when the last request has ended or the grace time is nearly over. */
+    /** Stops gracefully. Returns when the last request has ended, or shortly before the end of the grace time. */
     public synchronized void stop() {
         if (stopped) {
             return;
         }
         stopped = true;
-        long begunNanos = System.nanoTime();
+        long startNanos = System.nanoTime();
         decisions.write(Decision.of("stopping").with("running", runs.value()));
         server.closeConnectionsAfterAnswers();
         control.offer(new StopRequested());
         Duration grace = settings.bounds().stopGrace();
-        Duration open = Comparators.min(
-                settings.bounds().directoryTimeToLive().multipliedBy(DIRECTORY_KEPT), grace.minus(LAST_REQUESTS));
-        awaitUntil(begunNanos + (long) (grace.toNanos() * STREAMS_SHARE_OF_GRACE), false);
+        Duration acceptTime = Comparators.min(
+                settings.bounds().directoryTimeToLive().multipliedBy(MAX_DIRECTORY_LIFETIMES_CACHED),
+                grace.minus(COMPLETION_TIME));
+        awaitUntil(startNanos + (long) (grace.toNanos() * NEW_STREAMS_GRACE_FRACTION), false);
         server.refuseNewStreams();
-        awaitUntil(begunNanos + open.toNanos(), false);
+        awaitUntil(startNanos + acceptTime.toNanos(), false);
         server.refuseNewRequests();
-        awaitUntil(begunNanos + grace.minus(END_MARGIN).toNanos(), true);
+        awaitUntil(startNanos + grace.minus(CLOSE_TIME).toNanos(), true);
         decisions.write(Decision.of("stopped").with("running", runs.value()));
         close();
-        end.countDown();
+        stoppedLatch.countDown();
     }
 
-    /** Ends at once, as a crash would; for tests of what others do then. */
+    /** Stops immediately, like a crash. Used by tests of how other entries and callers react. */
     public synchronized void halt() {
         if (!stopped) {
             stopped = true;
@@ -200,14 +210,14 @@
         }
     }
 
-    /** Waits until a graceful stop has come to its end. */
+    /** Waits until a graceful stop has completed. */
     public void awaitStopped() throws InterruptedException {
-        end.await();
+        stoppedLatch.await();
     }
 
-    private void awaitUntil(long nanos, boolean orIdle) {
-        while (System.nanoTime() - nanos < 0 && !(orIdle && runs.value() == 0)) {
-            LockSupport.parkNanos(POLL_NANOS);
+    private void awaitUntil(long deadlineNanos, boolean orIdle) {
+        while (System.nanoTime() - deadlineNanos < 0 && !(orIdle && runs.value() == 0)) {
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
@@ -215,8 +225,8 @@
         server.stop();
         control.stop();
         peers.stop();
-        traffic.stop();
-        platform.stop();
+        endpointClient.stop();
+        platformClient.stop();
         worker.shutdown();
         decisions.stop();
     }
@@ -225,8 +235,11 @@
         return control.snapshot().part(PeersSnapshot.class).orElse(PeersSnapshot.none());
     }
 
-    /** One I/O thread: the VM has less than a core, and a second thread would only add switches. */
-    private static XnioWorker makeWorker() throws IOException {
+    /**
+     * Creates a worker with one I/O thread. The VM has less than one core, so a second thread would only add context
+     * switches.
+     */
+    private static XnioWorker createWorker() throws IOException {
         OptionMap options = OptionMap.builder()
                 .set(Options.WORKER_IO_THREADS, 1)
                 .set(Options.WORKER_TASK_CORE_THREADS, 1)
--- a/src/main/java/org/yuccagw/daemon/PrefetchHints.java
+++ b/src/main/java/org/yuccagw/daemon/PrefetchEventFactory.java
@@ -10,8 +10,8 @@
 import org.yuccagw.core.catalogue.Workspace;
 import org.yuccagw.core.control.ControlEvent;
 
-/** Makes the event for a caller's hint that a prompt will be asked for soon. */
-final class PrefetchHints implements Prefetcher {
+/** Converts a caller's hint that a prompt will be sent soon into an event for the control core. */
+final class PrefetchEventFactory implements Prefetcher {
     @Override
     public ControlEvent prefetch(Workspace workspace, Service service, EngineBody body) {
         ModelSettings model = service.model().orElseThrow();
@@ -20,6 +20,6 @@
                 workspace.cacheSecret(), service.name().value(), model.version().value(), model.adapter());
         PromptScope scope = new PromptScope(workspace.id(), className, service.name(), model.version());
         return new PrefetchRequested(
-                scope, BlockChain.keys(salt, body.promptBytes(), model.blockTokens()), brought -> {});
+                scope, BlockChain.keys(salt, body.promptBytes(), model.blockTokens()), prefetched -> {});
     }
 }
--- a/src/main/java/org/yuccagw/daemon/package-info.java
+++ b/src/main/java/org/yuccagw/daemon/package-info.java
@@ -1,2 +1,5 @@
-/** The entry daemon: wires the control core, its adapters and the three addresses into one service. */
+/**
+ * The daemons of an entry. {@link org.yuccagw.daemon.EntryDaemon} and {@link org.yuccagw.daemon.GatewayDaemon} connect
+ * the control core with its adapters and with the addresses on which the entry listens.
+ */
 package org.yuccagw.daemon;
--- a/src/test/java/org/yuccagw/cli/CommandLineTest.java
+++ b/src/test/java/org/yuccagw/cli/CommandLineTest.java
@@ -19,21 +19,21 @@
 import picocli.CommandLine;
 
 public class CommandLineTest {
-    private static final String SAMPLE = "config/samples/catalogue.json";
+    private static final String SAMPLE_CATALOGUE = "config/samples/catalogue.json";
 
     private AdminFixture fixture;
     private Path keyFile;
     private Path wrongKeyFile;
     private Path bootstrapKeyFile;
 
-    private record Outcome(int exitCode, String out, String err) {}
+    private record CommandResult(int exitCode, String out, String err) {}
 
     @BeforeClass
     public void start() throws Exception {
         fixture = AdminFixture.start();
-        keyFile = write(AdminFixture.OPERATOR_KEY + "\n");
-        wrongKeyFile = write("guess");
-        bootstrapKeyFile = write(AdminFixture.BOOTSTRAP_KEY);
+        keyFile = writeTempFile(AdminFixture.OPERATOR_KEY + "\n");
+        wrongKeyFile = writeTempFile("guess");
+        bootstrapKeyFile = writeTempFile(AdminFixture.BOOTSTRAP_KEY);
     }
 
     @AfterClass
@@ -43,13 +43,13 @@
 
     @DataProvider
     public Object[][] commands() {
-        List<Object[]> found = new ArrayList<>();
-        collect(YuccagwTool.commandLine(), found);
-        return found.toArray(new Object[0][]);
+        List<Object[]> commands = new ArrayList<>();
+        collect(YuccagwTool.commandLine(), commands);
+        return commands.toArray(new Object[0][]);
     }
 
     @Test(dataProvider = "commands")
-    public void everyCommandHasHelpThatExplainsItAndItsOptions(String name, CommandLine command) {
+    public void everyCommandAndOptionHasADescription(String name, CommandLine command) {
         assertTrue(command.getCommandSpec().usageMessage().description().length > 0, name);
         command.getCommandSpec()
                 .options()
@@ -58,28 +58,28 @@
     }
 
     @Test
-    public void aFineFileIsChecked() {
-        Outcome outcome = run("settings", "check", SAMPLE);
-        assertEquals(outcome.exitCode(), ExitCode.OK);
+    public void aValidFilePassesTheCheck() {
+        CommandResult result = run("settings", "check", SAMPLE_CATALOGUE);
+        assertEquals(result.exitCode(), ExitCode.OK);
         assertEquals(run("settings", "check", "config/samples/entry.json").exitCode(), ExitCode.OK);
     }
 
     @Test
-    public void aBrokenFileIsToldWithItsPlace() {
-        Outcome outcome = run("settings", "check", "src/test/resources/settings/entry/unknown-field.json");
-        assertEquals(outcome.exitCode(), ExitCode.FAILED);
-        assertTrue(outcome.err().contains("line 3, column 3"), outcome.err());
+    public void anInvalidFileIsReportedWithLineAndColumn() {
+        CommandResult result = run("settings", "check", "src/test/resources/settings/entry/unknown-field.json");
+        assertEquals(result.exitCode(), ExitCode.FAILED);
+        assertTrue(result.err().contains("line 3, column 3"), result.err());
     }
 
     @Test
-    public void aCommandLineThatMakesNoSenseIsAUsageError() {
+    public void anInvalidCommandLineIsAUsageError() {
         assertEquals(run("catalogue").exitCode(), ExitCode.USAGE);
         assertEquals(run("status", "--admin", "nowhere").exitCode(), ExitCode.USAGE);
         assertEquals(run("experiment", "no-such-experiment").exitCode(), ExitCode.USAGE);
     }
 
     @Test
-    public void anEntryThatDoesNotAnswerIsUnreachable() throws Exception {
+    public void anEntryThatDoesNotAnswerIsReportedAsUnreachable() throws Exception {
         int port;
         try (ServerSocket closed = new ServerSocket(0)) {
             port = closed.getLocalPort();
@@ -90,79 +90,79 @@
     @Test
     public void aFirstCatalogueIsAppliedAndListedOnEveryEntry() throws Exception {
         fixture.forgetCatalogue();
-        Outcome applied = admin(bootstrapKeyFile, "catalogue", "apply", SAMPLE, "--wait");
+        CommandResult applied = runAsOperator(bootstrapKeyFile, "catalogue", "apply", SAMPLE_CATALOGUE, "--wait");
         assertEquals(applied.exitCode(), ExitCode.OK, applied.err());
         assertTrue(applied.out().contains("accepted as revision 1"), applied.out());
         assertTrue(applied.out().contains("entry-1"), applied.out());
-        Outcome status = admin(keyFile, "status");
+        CommandResult status = runAsOperator(keyFile, "status");
         assertTrue(status.out().contains("entry-1 is ready, catalogue revision 1"), status.out());
     }
 
     @Test
-    public void anEditThatLostARaceIsRefused() throws Exception {
+    public void anEditThatIsBasedOnAnOldRevisionIsRefused() throws Exception {
         fixture.useSampleCatalogue(5);
-        Outcome outcome = admin(keyFile, "catalogue", "apply", SAMPLE);
-        assertEquals(outcome.exitCode(), ExitCode.REFUSED);
-        assertTrue(outcome.err().contains("revision 5"), outcome.err());
+        CommandResult result = runAsOperator(keyFile, "catalogue", "apply", SAMPLE_CATALOGUE);
+        assertEquals(result.exitCode(), ExitCode.REFUSED);
+        assertTrue(result.err().contains("revision 5"), result.err());
     }
 
     @Test
-    public void aDifferenceIsNamedByItsFields() throws Exception {
+    public void aDifferenceIsReportedByFieldPath() throws Exception {
         fixture.useSampleCatalogue(5);
-        Path changed =
-                write(Files.readString(Path.of(SAMPLE)).replace("\"pool\": \"notebook\"", "\"pool\": \"other\""));
-        Outcome outcome = admin(keyFile, "catalogue", "diff", changed.toString());
-        assertEquals(outcome.exitCode(), ExitCode.OK);
-        assertTrue(outcome.out().contains("services/notebook/pool"), outcome.out());
+        Path changed = writeTempFile(
+                Files.readString(Path.of(SAMPLE_CATALOGUE)).replace("\"pool\": \"notebook\"", "\"pool\": \"other\""));
+        CommandResult result = runAsOperator(keyFile, "catalogue", "diff", changed.toString());
+        assertEquals(result.exitCode(), ExitCode.OK);
+        assertTrue(result.out().contains("services/notebook/pool"), result.out());
     }
 
     @Test
     public void theStoresAreListed() throws Exception {
         fixture.useSampleCatalogue(5);
-        Outcome outcome = admin(keyFile, "stores");
-        assertEquals(outcome.exitCode(), ExitCode.OK, outcome.err());
-        assertTrue(outcome.out().contains("store-1"), outcome.out());
+        CommandResult result = runAsOperator(keyFile, "stores");
+        assertEquals(result.exitCode(), ExitCode.OK, result.err());
+        assertTrue(result.out().contains("store-1"), result.out());
     }
 
     @Test
     public void aWrongKeyIsRefusedAndNotPrinted() throws Exception {
         fixture.useSampleCatalogue(5);
-        Outcome outcome = admin(wrongKeyFile, "catalogue", "get");
-        assertEquals(outcome.exitCode(), ExitCode.REFUSED);
-        assertFalse(outcome.err().contains("guess"));
+        CommandResult result = runAsOperator(wrongKeyFile, "catalogue", "get");
+        assertEquals(result.exitCode(), ExitCode.REFUSED);
+        assertFalse(result.err().contains("guess"));
     }
 
     @Test
-    public void aRequestIsExplainedByItsHops() throws Exception {
+    public void theHopsOfARequestArePrinted() throws Exception {
         fixture.useSampleCatalogue(5);
-        Outcome outcome = admin(keyFile, "trace", AdminFixture.REQUEST);
-        assertEquals(outcome.exitCode(), ExitCode.OK, outcome.err());
-        assertTrue(outcome.out().startsWith("request " + AdminFixture.REQUEST + ", trace "), outcome.out());
-        assertTrue(outcome.out().contains(" ms  request  policy=shortest  score=0.333"), outcome.out());
+        CommandResult result = runAsOperator(keyFile, "trace", AdminFixture.REQUEST);
+        assertEquals(result.exitCode(), ExitCode.OK, result.err());
+        assertTrue(result.out().startsWith("request " + AdminFixture.REQUEST + ", trace "), result.out());
+        assertTrue(result.out().contains(" ms  request  policy=shortest  score=0.333"), result.out());
     }
 
-    private Outcome admin(Path key, String... words) {
-        List<String> whole = new ArrayList<>(List.of(words));
-        whole.addAll(List.of("--admin", fixture.address().toString(), "--key-file", key.toString()));
-        return run(whole.toArray(new String[0]));
+    private CommandResult runAsOperator(Path usedKeyFile, String... arguments) {
+        List<String> allArguments = new ArrayList<>(List.of(arguments));
+        allArguments.addAll(List.of("--admin", fixture.address().toString(), "--key-file", usedKeyFile.toString()));
+        return run(allArguments.toArray(new String[0]));
     }
 
-    private static Outcome run(String... words) {
+    private static CommandResult run(String... arguments) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
         int exitCode = YuccagwTool.commandLine()
                 .setOut(new PrintWriter(out, true))
                 .setErr(new PrintWriter(err, true))
-                .execute(words);
-        return new Outcome(exitCode, out.toString(), err.toString());
+                .execute(arguments);
+        return new CommandResult(exitCode, out.toString(), err.toString());
     }
 
-    private static Path write(String text) throws Exception {
+    private static Path writeTempFile(String text) throws Exception {
         return Files.writeString(Files.createTempFile("yuccagw", ".txt"), text);
     }
 
-    private static void collect(CommandLine command, List<Object[]> found) {
-        found.add(new Object[] {command.getCommandName(), command});
-        command.getSubcommands().values().forEach(subcommand -> collect(subcommand, found));
+    private static void collect(CommandLine command, List<Object[]> commands) {
+        commands.add(new Object[] {command.getCommandName(), command});
+        command.getSubcommands().values().forEach(subcommand -> collect(subcommand, commands));
     }
 }
--- a/src/test/java/org/yuccagw/cli/ToolProcessTest.java
+++ b/src/test/java/org/yuccagw/cli/ToolProcessTest.java
@@ -25,38 +25,38 @@
 import org.yuccagw.standins.vmlist.VmListStandIn;
 
 public class ToolProcessTest {
-    private static final int LONG_SECONDS = 90;
+    private static final int TIMEOUT_SECONDS = 90;
 
     private KeyValueStandIn keyValue;
     private VmListStandIn vmList;
-    private HttpCaller caller;
+    private HttpCaller httpClient;
     private Path output;
 
     @BeforeClass
     public void startPlatform() throws IOException {
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         vmList = VmListStandIn.start(0, 0);
-        caller = HttpCaller.start(1);
+        httpClient = HttpCaller.start(1);
     }
 
     @AfterClass
     public void stopPlatform() {
-        caller.stop();
+        httpClient.stop();
         vmList.stop();
         keyValue.stop();
     }
 
-    // A supervisor stops an entry by SIGTERM. Java's own exit code is then 143, which supervisors report as a failure
-    // and may answer with a restart. The entry must stop gracefully and say that all is well.
+    // A supervisor stops an entry with SIGTERM. By default, Java then exits with code 143, which supervisors treat as a
+    // failure and may answer with a restart. The entry has to stop gracefully and exit with 0.
     @Test(groups = "process")
     public void anEntryStoppedBySigtermExitsWithZero() throws Exception {
         NetworkAddress admin = freeAddress();
         Path settings = writeSettings(admin);
         Process entry = start("entry", "--settings", settings.toString());
         try {
-            Awaitility.await().atMost(Duration.ofSeconds(LONG_SECONDS)).until(() -> isAlive(admin));
+            Awaitility.await().atMost(Duration.ofSeconds(TIMEOUT_SECONDS)).until(() -> isAlive(admin));
             entry.destroy();
-            assertTrue(entry.waitFor(LONG_SECONDS, TimeUnit.SECONDS), "it did not stop");
+            assertTrue(entry.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process did not stop");
             assertEquals(entry.exitValue(), ExitCode.OK);
         } finally {
             entry.destroyForcibly();
@@ -64,18 +64,18 @@
     }
 
     @Test(groups = "process")
-    public void anEntryWithBrokenSettingsSaysWhyAndFails() throws Exception {
+    public void anEntryWithInvalidSettingsFails() throws Exception {
         Process entry = start("entry", "--settings", "src/test/resources/settings/entry/unknown-field.json");
-        assertTrue(entry.waitFor(LONG_SECONDS, TimeUnit.SECONDS), "it did not end");
+        assertTrue(entry.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process did not end");
         assertEquals(entry.exitValue(), ExitCode.FAILED);
     }
 
-    // A user asks for a list and sees nothing: output that isn't flushed is lost when the process ends.
+    // Output that isn't flushed is lost when the process exits, so that a command would print an incomplete list.
     @Test(groups = "process")
-    public void whatACommandPrintsIsSeenWhole() throws Exception {
-        Process list = start("experiment");
-        assertTrue(list.waitFor(LONG_SECONDS, TimeUnit.SECONDS), "it did not end");
-        assertEquals(list.exitValue(), ExitCode.OK);
+    public void theOutputOfACommandIsComplete() throws Exception {
+        Process listing = start("experiment");
+        assertTrue(listing.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process did not end");
+        assertEquals(listing.exitValue(), ExitCode.OK);
         assertTrue(Files.readString(output).contains("what it measures"), Files.readString(output));
     }
 
@@ -91,18 +91,19 @@
 
     private boolean isAlive(NetworkAddress admin) throws InterruptedException {
         try {
-            HttpAnswer answer = caller.send(HttpQuery.get(admin, "/healthz")).get();
+            HttpAnswer answer =
+                    httpClient.send(HttpQuery.get(admin, "/healthz")).get();
             return answer.isSuccess();
         } catch (ExecutionException e) {
             return false;
         }
     }
 
-    private Process start(String... words) throws IOException {
+    private Process start(String... arguments) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder builder = new ProcessBuilder(
                 java, "-XX:-UsePerfData", "-cp", System.getProperty("java.class.path"), YuccagwTool.class.getName());
-        builder.command().addAll(List.of(words));
+        builder.command().addAll(List.of(arguments));
         output = Files.createTempFile("yuccagw", ".log");
         return builder.redirectErrorStream(true).redirectOutput(output.toFile()).start();
     }
--- a/src/test/java/org/yuccagw/daemon/VirtualFleet.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualFleet.java
@@ -96,7 +96,7 @@
     BenchNode start(String name, FailureDomain domain) {
         GatewayComponents components = GatewayComponents.of(settings(name, domain), PlatformRecords.create());
         started.put(EntryId.of(name), components);
-        return bench.start(name, domain, components.list());
+        return bench.start(name, domain, components.inEventOrder());
     }
 
     /** Who leads the failure domain of an entry, as it sees it. */
