--- a/src/main/java/org/yuccagw/cli/SummarizeCommand.java
+++ b/src/main/java/org/yuccagw/cli/SummarizeCommand.java
@@ -43,7 +43,7 @@
         out.println();
         out.print(groupTable("prompts of route", prompts.byRoute()));
         out.println();
-        out.print(groupTable("prompts from second", prompts.bySpan()));
+        out.print(groupTable("prompts from second", prompts.byInterval()));
         return ExitCode.OK;
     }
 
@@ -65,11 +65,11 @@
                 Long.toString(group.waitedMillis(MEDIAN_PERCENTILE)),
                 Long.toString(group.waitedMillis(HIGH_PERCENTILE)),
                 Long.toString(group.predictedMillis(MEDIAN_PERCENTILE)),
-                Long.toString(group.begunMillis(MEDIAN_PERCENTILE)),
-                Long.toString(group.begunMillis(HIGH_PERCENTILE)),
+                Long.toString(group.firstByteMillis(MEDIAN_PERCENTILE)),
+                Long.toString(group.firstByteMillis(HIGH_PERCENTILE)),
                 formatShare(group.heldShare()),
                 formatShare(group.fetchedShare()),
-                formatShare(group.readShare()))));
+                formatShare(group.prefilledShare()))));
         return table;
     }
 
@@ -90,7 +90,7 @@
                     Long.toString(second.secondsSinceFirst()),
                     Long.toString(second.answers()),
                     Long.toString(second.medianMillis()),
-                    Long.toString(second.lateMillis())));
+                    Long.toString(second.p99Millis())));
         }
         return table;
     }
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -458,7 +458,7 @@
         EndpointNotice notice = head.notice();
         boolean limitStated = notice.rateLimit().isPresent() || head.isGenuine();
         boolean limitKnownAtPlacement = placed.rateLimited() && limitStated;
-        if (head.isOfExpectedEndpoint() && (notice.saysSomething() || limitKnownAtPlacement)) {
+        if (head.isOfExpectedEndpoint() && (notice.hasContent() || limitKnownAtPlacement)) {
             EndpointIncarnation endpoint = placed.endpoint().incarnation();
             effects.report(new NoticeReceived(endpoint, notice, limitKnownAtPlacement));
         }
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -95,8 +95,8 @@
                 constraints,
                 new PlacementFleet(),
                 responder);
-        PlacementClient client =
-                PlacementClient.of(this::placingEntriesFor, placement::usableEndpoint, placement::spared, notices);
+        PlacementClient client = PlacementClient.of(
+                this::placingEntriesFor, placement::usableEndpoint, placement::excludedEndpoints, notices);
         duty = DutyComponent.of(
                 WEIGHT_ORDERS_DUTY,
                 codec,
@@ -170,15 +170,15 @@
 
     /**
      * Returns the entries that may place a request for this entry: the leads of its failure domain. In a mesh, every
-     * entry places its own requests by the state that all entries exchange; only entries that may send to an endpoint
-     * whose rate limit excludes this entry are returned. The list is empty if all endpoints reject the request from
-     * this entry.
+     * entry places its own requests by the state that all entries exchange; the list then contains only entries that
+     * have a share of the rate limit of an endpoint where this entry has none. It is empty if all endpoints reject the
+     * request from this entry.
      */
     private List<EntryId> placingEntriesFor(PlacementRequest request) {
-        if (placement.isTurnedAway(request)) {
+        if (placement.isRejectedByAllEndpoints(request)) {
             return List.of();
         }
-        return peers.isMeshed() ? placement.othersWithinLimits(request) : peers.ownLeads();
+        return peers.isMeshed() ? placement.entriesWithRateLimitShare(request) : peers.ownLeads();
     }
 
     /** The role of this entry in following the key-value service. */
@@ -213,7 +213,7 @@
         private static final int RETRY_SHARES_PER_LONE_ENTRY = 5;
 
         @Override
-        public int placing() {
+        public int placingEntryCount() {
             return peers.isMeshed()
                     ? peers.aliveCount()
                     : Math.max(1, peers.firstLeads().size());
@@ -225,7 +225,7 @@
          * and also with 300 entries.
          */
         @Override
-        public int retryShares() {
+        public int retryShareCount() {
             if (peers.isMeshed()) {
                 return peers.aliveCount();
             }
@@ -236,7 +236,7 @@
 
         /** In a mesh, each known entry has one share. Otherwise each lead of the endpoint's failure domain has one. */
         @Override
-        public int coldShares(FailureDomain domain) {
+        public int coldShareCount(FailureDomain domain) {
             if (peers.isMeshed()) {
                 return peers.knownCount();
             }
@@ -244,12 +244,12 @@
         }
 
         @Override
-        public void tellAll(PeerMessage message) {
+        public void sendToAllPlacers(PeerMessage message) {
             peers.sendToAllLeads(message);
         }
 
         @Override
-        public void tellOfEndpoint(FailureDomain domain, PeerMessage message) {
+        public void sendToPlacersFor(FailureDomain domain, PeerMessage message) {
             peers.sendToFirstLeadOf(domain, message);
         }
     }
@@ -262,13 +262,13 @@
     /** The entries that send to rate-limited endpoints, and the receivers of endpoint updates. */
     private final class RateLimitFleet implements RateLimitsComponent.Fleet {
         @Override
-        public RateLimitShares sendersTo(ListedEndpoint endpoint) {
+        public RateLimitShares sharesFor(ListedEndpoint endpoint) {
             if (peers.isMeshed()) {
                 return RateLimitShares.ofMesh(peers.servingOrRecentlySilent());
             }
             return isConnectedLeadOf(endpoint.domain())
                     ? RateLimitShares.ofLeads(peers.ownLeads())
-                    : RateLimitShares.nobody();
+                    : RateLimitShares.ofUnknownPlacers();
         }
 
         @Override
@@ -295,7 +295,7 @@
     }
 
     private void announceOrderChange() {
-        placement.ownLoading(orders.loading());
+        placement.updateLocallyLoading(orders.loading());
         peers.sendStatusNow();
     }
 
