--- a/src/main/java/org/yuccagw/cli/AdminClient.java
+++ b/src/main/java/org/yuccagw/cli/AdminClient.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.concurrent.ExecutionException;
 import javax.net.ssl.SSLContext;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.id.NetworkAddress;
 
@@ -24,9 +24,9 @@
 
     private final NetworkAddress address;
     private final String key;
-    private final HttpCaller httpClient;
+    private final HttpClient httpClient;
 
-    private AdminClient(NetworkAddress address, String key, HttpCaller httpClient) {
+    private AdminClient(NetworkAddress address, String key, HttpClient httpClient) {
         this.address = address;
         this.key = key;
         this.httpClient = httpClient;
@@ -34,7 +34,7 @@
 
     static AdminClient start(NetworkAddress address, String key, Optional<SSLContext> tls) {
         try {
-            HttpCaller httpClient = tls.isPresent() ? HttpCaller.start(1, tls.get()) : HttpCaller.start(1);
+            HttpClient httpClient = tls.isPresent() ? HttpClient.start(1, tls.get()) : HttpClient.start(1);
             return new AdminClient(address, key, httpClient);
         } catch (IOException e) {
             throw CommandException.failed("the I/O thread can't be started: " + e.getMessage());
@@ -71,7 +71,7 @@
         }
     }
 
-    private HttpAnswer send(HttpQuery request) {
+    private HttpResponse send(HttpQuery request) {
         HttpQuery authorized =
                 request.withHeader("Authorization", "Bearer " + key).withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
         try {
@@ -85,7 +85,7 @@
         }
     }
 
-    private static String requireSuccess(HttpAnswer answer) {
+    private static String requireSuccess(HttpResponse answer) {
         if (answer.isSuccess()) {
             return answer.text();
         }
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.adapters.http.SseParser;
@@ -54,7 +54,7 @@
     private static final int STATUS_OK = 200;
 
     private final ClientSettings settings;
-    private final HttpCaller httpClient;
+    private final HttpClient httpClient;
     private final Directory directory;
     private final RetryPolicy retryPolicy;
     private final CompletionRequest request;
@@ -74,7 +74,7 @@
 
     private ClientCall(
             ClientSettings settings,
-            HttpCaller httpClient,
+            HttpClient httpClient,
             Directory directory,
             RetryPolicy retryPolicy,
             CompletionRequest request,
@@ -91,7 +91,7 @@
 
     static ClientCall of(
             ClientSettings settings,
-            HttpCaller httpClient,
+            HttpClient httpClient,
             Directory directory,
             RetryPolicy retryPolicy,
             CompletionRequest request,
--- a/src/main/java/org/yuccagw/client/Directory.java
+++ b/src/main/java/org/yuccagw/client/Directory.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.id.NetworkAddress;
 
@@ -26,13 +26,13 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(2);
 
-    private final HttpCaller httpClient;
+    private final HttpClient httpClient;
     private final ClientSettings settings;
     private volatile CachedEntries cached = new CachedEntries(List.of(), 0);
 
     private record CachedEntries(List<NetworkAddress> entries, long validUntilNanos) {}
 
-    Directory(HttpCaller httpClient, ClientSettings settings) {
+    Directory(HttpClient httpClient, ClientSettings settings) {
         this.httpClient = httpClient;
         this.settings = settings;
     }
@@ -73,7 +73,7 @@
                         updated ? CompletableFuture.completedFuture(cached.entries()) : queryNext(candidates));
     }
 
-    private boolean update(HttpAnswer answer) {
+    private boolean update(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return false;
         }
--- a/src/main/java/org/yuccagw/client/YuccagwClient.java
+++ b/src/main/java/org/yuccagw/client/YuccagwClient.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.IdempotencyKey;
@@ -15,11 +15,11 @@
     private static final int IO_THREADS = 2;
 
     private final ClientSettings settings;
-    private final HttpCaller httpClient;
+    private final HttpClient httpClient;
     private final Directory directory;
     private final RetryPolicy retryPolicy = RetryPolicy.defaults();
 
-    private YuccagwClient(ClientSettings settings, HttpCaller httpClient) {
+    private YuccagwClient(ClientSettings settings, HttpClient httpClient) {
         this.settings = settings;
         this.httpClient = httpClient;
         this.directory = new Directory(httpClient, settings);
@@ -27,7 +27,7 @@
 
     /** Creates a client with its own I/O threads, which {@link #stop} ends. */
     public static YuccagwClient start(ClientSettings settings) throws IOException {
-        return new YuccagwClient(settings, HttpCaller.start(IO_THREADS));
+        return new YuccagwClient(settings, HttpClient.start(IO_THREADS));
     }
 
     public void stop() {
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -15,17 +15,17 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.yuccagw.adapters.admin.AdminServer;
-import org.yuccagw.adapters.cache.CacheActions;
+import org.yuccagw.adapters.cache.CacheCommandHandler;
 import org.yuccagw.adapters.cache.ImportClient;
 import org.yuccagw.adapters.caller.CallerServer;
 import org.yuccagw.adapters.caller.CallerServices;
-import org.yuccagw.adapters.caller.Importer;
-import org.yuccagw.adapters.caller.RetryGate;
+import org.yuccagw.adapters.caller.BlockImporter;
+import org.yuccagw.adapters.caller.RetryDecider;
 import org.yuccagw.adapters.caller.RunRegistry;
 import org.yuccagw.adapters.control.ControlRunner;
 import org.yuccagw.adapters.endpoint.OrderSender;
 import org.yuccagw.adapters.endpoint.PlatformPoller;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.peer.PeerTransport;
 import org.yuccagw.adapters.settings.EntrySettings;
 import org.yuccagw.adapters.telemetry.Metrics;
@@ -67,9 +67,9 @@
     private final ControlRunner control;
     private final PeerTransport peers;
     private final XnioWorker worker;
-    private final HttpCaller endpointClient;
-    private final HttpCaller entryClient;
-    private final HttpCaller platformClient;
+    private final HttpClient endpointClient;
+    private final HttpClient entryClient;
+    private final HttpClient platformClient;
     private final CallerServer callerServer;
     private final AdminServer adminServer;
     private final EntryTls tls;
@@ -85,9 +85,9 @@
         Metrics metrics = Metrics.create();
         runs = RunRegistry.create();
         worker = createWorker();
-        endpointClient = HttpCaller.on(worker);
+        endpointClient = HttpClient.on(worker);
         entryClient = createEntryClient(settings);
-        platformClient = HttpCaller.start(CONTROL_IO_THREADS);
+        platformClient = HttpClient.start(CONTROL_IO_THREADS);
         KeyValueClient keyValue = KeyValueClient.of(platformClient, settings.keyValueService());
         ControlComponents components = ControlComponents.of(self);
         DeferredControlInput controlInput = new DeferredControlInput();
@@ -100,7 +100,7 @@
                 List.of(
                         PlatformPoller.of(platformClient, settings.vmList()),
                         OrderSender.of(platformClient, System::nanoTime),
-                        CacheActions.of(platformClient, importClient)));
+                        CacheCommandHandler.of(platformClient, importClient)));
         controlInput.connect(control);
         peers.start();
         control.start();
@@ -115,8 +115,8 @@
                         endpoint,
                         plan,
                         version,
-                        imported -> onImported.accept(new Importer.Outcome(imported.blocks(), imported.bytes()))),
-                RetryGate.of(RetryPolicy.defaults(), this::systemLimits),
+                        imported -> onImported.accept(new BlockImporter.Outcome(imported.blocks(), imported.bytes()))),
+                RetryDecider.of(RetryPolicy.defaults(), this::systemLimits),
                 traces.tracer(),
                 new EntryMetrics(metrics),
                 runs);
@@ -209,9 +209,9 @@
         tls.stop();
     }
 
-    private HttpCaller createEntryClient(EntrySettings settings) throws YuccagwException {
+    private HttpClient createEntryClient(EntrySettings settings) throws YuccagwException {
         return settings.callerTls().isPresent()
-                ? HttpCaller.on(
+                ? HttpClient.on(
                         worker,
                         ReloadingTls.clientContext(settings.callerTls().get().trusted()))
                 : endpointClient;
--- a/src/main/java/org/yuccagw/daemon/PrefetchEventFactory.java
+++ b/src/main/java/org/yuccagw/daemon/PrefetchEventFactory.java
@@ -1,7 +1,7 @@
 package org.yuccagw.daemon;
 
 import org.yuccagw.adapters.caller.CallerServer.Prefetcher;
-import org.yuccagw.adapters.engine.EngineBody;
+import org.yuccagw.adapters.engine.CompletionBody;
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.PrefetchRequested;
 import org.yuccagw.core.cache.PromptScope;
@@ -13,7 +13,7 @@
 /** Converts a caller's hint that a prompt will be sent soon into an event for the control core. */
 final class PrefetchEventFactory implements Prefetcher {
     @Override
-    public ControlEvent prefetch(Workspace workspace, Service service, EngineBody body) {
+    public ControlEvent prefetch(Workspace workspace, Service service, CompletionBody body) {
         ModelSettings model = service.model().orElseThrow();
         String className = service.className().isBlank() ? workspace.className() : service.className();
         String salt = BlockChain.salt(
--- a/src/test/java/org/yuccagw/daemon/WholePathTest.java
+++ b/src/test/java/org/yuccagw/daemon/WholePathTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
@@ -48,7 +48,7 @@
 
     @Test
     public void theDirectoryNamesEveryEntry() throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.get(deployment.callerAddresses().get(0), "/v1/directory"));
         JsonNode directory = JSON.readTree(answer.body());
         assertEquals(directory.path("entries").size(), 3, answer.text());
@@ -68,7 +68,7 @@
 
     @Test
     public void aWholeAnswerHasTheShapeOfCompletions() throws Exception {
-        HttpAnswer answer = deployment.send(
+        HttpResponse answer = deployment.send(
                 post("/v1/completions", "{\"model\":\"assistant\",\"prompt\":\"label me\"," + "\"max_tokens\":5}"));
         assertEquals(answer.status(), 200, answer.text());
         JsonNode body = JSON.readTree(answer.body());
@@ -78,7 +78,7 @@
 
     @Test
     public void aChatAnswerHasTheShapeOfChatCompletions() throws Exception {
-        HttpAnswer answer = deployment.send(post(
+        HttpResponse answer = deployment.send(post(
                 "/v1/chat/completions",
                 "{\"model\":\"assistant\",\"max_tokens\":5,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}"));
         assertEquals(answer.status(), 200, answer.text());
@@ -94,7 +94,7 @@
 
     @Test
     public void aPlainServiceIsReachedThroughTheSameEntry() throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.get(deployment.callerAddresses().get(1), "/notebook/preview?x=1")
                         .withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), 200, answer.text());
@@ -102,7 +102,7 @@
 
     @Test
     public void aNonIdempotentCallWithoutAKeyIsRefusedAsNotRun() throws Exception {
-        HttpAnswer answer = deployment.send(post("/notebook/label", "{}"));
+        HttpResponse answer = deployment.send(post("/notebook/label", "{}"));
         assertEquals(answer.status(), 400, answer.text());
         assertEquals(JSON.readTree(answer.body()).path("error").path("ran").asText(), "not-run");
     }
@@ -110,8 +110,8 @@
     @Test
     public void aRepeatedKeyGetsTheKeptAnswerAndRunsOnce() throws Exception {
         HttpQuery label = post("/notebook/label", "{\"column\":\"age\"}").withHeader("Idempotency-Key", "label-1");
-        HttpAnswer first = deployment.send(label);
-        HttpAnswer second = deployment.send(label);
+        HttpResponse first = deployment.send(label);
+        HttpResponse second = deployment.send(label);
         assertEquals(first.status(), 200, first.text());
         assertEquals(second.text(), first.text());
         assertEquals(second.header("Idempotent-Replayed"), "true", second.text());
