--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
@@ -81,7 +81,7 @@
                 new ServingServices(
                         () -> snapshot,
                         this::place,
-                        HttpClient.onWorker(worker),
+                        HttpClient.on(worker),
                         PlatformDialect.create(),
                         DecisionLog.start(),
                         Metrics.create(),
