--- a/src/main/java/org/yuccagw/cli/AdminClient.java
+++ b/src/main/java/org/yuccagw/cli/AdminClient.java
@@ -10,7 +10,7 @@
 import javax.net.ssl.SSLContext;
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
@@ -51,28 +51,28 @@
     }
 
     String getText(String path) {
-        return requireSuccess(send(HttpQuery.get(address, path)));
+        return requireSuccess(send(HttpRequest.get(address, path)));
     }
 
     JsonNode post(String path) {
-        return parse(requireSuccess(send(HttpQuery.of("POST", address, path))));
+        return parse(requireSuccess(send(HttpRequest.of("POST", address, path))));
     }
 
     JsonNode put(String path, String document) {
-        return parse(requireSuccess(send(HttpQuery.json("PUT", address, path, document))));
+        return parse(requireSuccess(send(HttpRequest.json("PUT", address, path, document))));
     }
 
     /** Returns the answer of another entry to {@code GET /readyz}, ready or not; empty if there is no answer. */
     Optional<JsonNode> readiness(NetworkAddress other) {
         try {
-            return Optional.of(parse(send(HttpQuery.get(other, "/readyz")).text()));
+            return Optional.of(parse(send(HttpRequest.get(other, "/readyz")).text()));
         } catch (CommandException ignored) {
             return Optional.empty();
         }
     }
 
-    private HttpResponse send(HttpQuery request) {
-        HttpQuery authorized =
+    private HttpResponse send(HttpRequest request) {
+        HttpRequest authorized =
                 request.withHeader("Authorization", "Bearer " + key).withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
         try {
             return httpClient.send(authorized).get();
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.adapters.http.SseParser;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
@@ -111,15 +111,15 @@
 
     private void send(List<NetworkAddress> entries) {
         NetworkAddress entry = entries.get(entryIndex % entries.size());
-        HttpQuery httpRequest = resumeToken.isEmpty() ? completionRequest(entry) : resumeRequest(entry);
-        HttpQuery authorized = httpRequest
+        HttpRequest httpRequest = resumeToken.isEmpty() ? completionRequest(entry) : resumeRequest(entry);
+        HttpRequest authorized = httpRequest
                 .withHeader("Authorization", "Bearer " + settings.workspaceKey())
                 .withTimeouts(CONNECT_TIMEOUT, settings.readTimeout());
         httpClient.stream(authorized, thread, new Attempt());
     }
 
-    private HttpQuery completionRequest(NetworkAddress entry) {
-        HttpQuery httpRequest = HttpQuery.json(
+    private HttpRequest completionRequest(NetworkAddress entry) {
+        HttpRequest httpRequest = HttpRequest.json(
                 "POST", entry, "/v1/completions", request.toJson().toString());
         return request.idempotencyKey().isPresent()
                 ? httpRequest.withHeader(
@@ -127,14 +127,14 @@
                 : httpRequest;
     }
 
-    private HttpQuery resumeRequest(NetworkAddress entry) {
+    private HttpRequest resumeRequest(NetworkAddress entry) {
         resumes++;
         ObjectNode body = JSON.createObjectNode();
         body.put("token", resumeToken);
         body.put("from", lastEventId);
         body.put("text", text.toString());
         body.set("request", request.toJson());
-        return HttpQuery.json("POST", entry, "/v1/resume", body.toString());
+        return HttpRequest.json("POST", entry, "/v1/resume", body.toString());
     }
 
     private void retryOrFail(FailureClass failure, Optional<Duration> retryAfter, YuccagwException finalError) {
@@ -200,7 +200,7 @@
     }
 
     /** Handles the answer over one connection to one entry. */
-    private final class Attempt implements HttpStreamListener {
+    private final class Attempt implements HttpResponseListener {
         private final SseParser parser = SseParser.of(this::onEvent);
         private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream();
         private int status;
--- a/src/main/java/org/yuccagw/client/Directory.java
+++ b/src/main/java/org/yuccagw/client/Directory.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
@@ -64,7 +64,7 @@
         if (!candidates.hasNext()) {
             return CompletableFuture.completedFuture(new ArrayList<>(candidates()));
         }
-        HttpQuery request = HttpQuery.get(candidates.next(), "/v1/directory?domain=" + settings.domain())
+        HttpRequest request = HttpRequest.get(candidates.next(), "/v1/directory?domain=" + settings.domain())
                 .withTimeouts(CONNECT_TIMEOUT, ANSWER_TIMEOUT);
         return httpClient
                 .send(request)
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -86,7 +86,7 @@
         Metrics metrics = Metrics.create();
         runs = RunRegistry.create();
         worker = createWorker();
-        endpointClient = HttpClient.on(worker);
+        endpointClient = HttpClient.onWorker(worker);
         entryClient = createEntryClient(settings);
         platformClient = HttpClient.start(CONTROL_IO_THREADS);
         KeyValueClient keyValue = KeyValueClient.of(platformClient, settings.keyValueService());
@@ -212,7 +212,7 @@
 
     private HttpClient createEntryClient(EntrySettings settings) throws YuccagwException {
         return settings.callerTls().isPresent()
-                ? HttpClient.on(
+                ? HttpClient.onWorker(
                         worker,
                         ReloadingTls.clientContext(settings.callerTls().get().trusted()))
                 : endpointClient;
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -89,8 +89,8 @@
                 settings.capacity());
         Metrics metrics = Metrics.create();
         worker = createWorker();
-        endpointClient = HttpClient.on(worker);
-        platformClient = HttpClient.on(worker);
+        endpointClient = HttpClient.onWorker(worker);
+        platformClient = HttpClient.onWorker(worker);
         KeyValueClient keyValue = KeyValueClient.of(platformClient, settings.keyValueService());
         GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
         DeferredControlInput controlInput = new DeferredControlInput();
@@ -187,7 +187,7 @@
         }
         stopped = true;
         long startNanos = System.nanoTime();
-        decisions.write(Decision.of("stopping").with("running", runs.value()));
+        decisions.write(Decision.of("stopping").with("running", runs.count()));
         server.closeConnectionsAfterAnswers();
         control.offer(new StopRequested());
         Duration grace = settings.bounds().stopGrace();
@@ -199,7 +199,7 @@
         awaitUntil(startNanos + acceptTime.toNanos(), false);
         server.refuseNewRequests();
         awaitUntil(startNanos + grace.minus(CLOSE_TIME).toNanos(), true);
-        decisions.write(Decision.of("stopped").with("running", runs.value()));
+        decisions.write(Decision.of("stopped").with("running", runs.count()));
         close();
         stoppedLatch.countDown();
     }
@@ -218,7 +218,7 @@
     }
 
     private void awaitUntil(long deadlineNanos, boolean orIdle) {
-        while (System.nanoTime() - deadlineNanos < 0 && !(orIdle && runs.value() == 0)) {
+        while (System.nanoTime() - deadlineNanos < 0 && !(orIdle && runs.count() == 0)) {
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
--- a/src/test/java/org/yuccagw/cli/ToolProcessTest.java
+++ b/src/test/java/org/yuccagw/cli/ToolProcessTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
 import org.yuccagw.standins.keyvalue.KeyValueStandIn;
@@ -92,7 +92,7 @@
     private boolean isAlive(NetworkAddress admin) throws InterruptedException {
         try {
             HttpResponse answer =
-                    httpClient.send(HttpQuery.get(admin, "/healthz")).get();
+                    httpClient.send(HttpRequest.get(admin, "/healthz")).get();
             return answer.isSuccess();
         } catch (ExecutionException e) {
             return false;
--- a/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
@@ -73,7 +73,7 @@
     public void aWrongRequestGetsItsOwnErrorAndIsNotRun(String path, String body, int status, String code)
             throws Exception {
         HttpResponse answer =
-                deployment.send(HttpQuery.json("POST", entry, path, body).withHeader("Authorization", "Bearer " + KEY));
+                deployment.send(HttpRequest.json("POST", entry, path, body).withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), status, answer.text());
         assertError(answer.text(), code);
     }
@@ -90,7 +90,7 @@
 
     @Test(dataProvider = "wrongKeys")
     public void aWrongKeyIsRefused(String authorization, int status, String code) throws Exception {
-        HttpQuery query = HttpQuery.json("POST", entry, "/v1/completions", GOOD);
+        HttpRequest query = HttpRequest.json("POST", entry, "/v1/completions", GOOD);
         HttpResponse answer =
                 deployment.send(authorization.isEmpty() ? query : query.withHeader("Authorization", authorization));
         assertEquals(answer.status(), status, answer.text());
@@ -104,7 +104,7 @@
         int place = GOOD.indexOf("hello") + 3;
         body[place] = (byte) 0xE4;
         HttpResponse answer = deployment.send(
-                HttpQuery.of("POST", entry, "/v1/completions", body).withHeader("Authorization", "Bearer " + KEY));
+                HttpRequest.of("POST", entry, "/v1/completions", body).withHeader("Authorization", "Bearer " + KEY));
         assertError(answer.text(), "malformed_utf8");
         assertTrue(answer.text().contains("byte " + place), answer.text());
     }
@@ -124,7 +124,7 @@
             slow.getOutputStream().write(head("/v1/completions", GOOD.length()));
             slow.getOutputStream().write(GOOD.substring(0, 10).getBytes(StandardCharsets.UTF_8));
             slow.getOutputStream().flush();
-            HttpResponse other = deployment.send(HttpQuery.json("POST", entry, "/v1/completions", GOOD)
+            HttpResponse other = deployment.send(HttpRequest.json("POST", entry, "/v1/completions", GOOD)
                     .withHeader("Authorization", "Bearer " + KEY));
             assertEquals(other.status(), 200, other.text());
             String answer = readAll(slow);
@@ -142,7 +142,7 @@
             }
         }
         HttpResponse other = deployment.send(
-                HttpQuery.json("POST", entry, "/v1/completions", GOOD).withHeader("Authorization", "Bearer " + KEY));
+                HttpRequest.json("POST", entry, "/v1/completions", GOOD).withHeader("Authorization", "Bearer " + KEY));
         assertEquals(other.status(), 200, other.text());
     }
 
@@ -151,14 +151,14 @@
         String huge = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Filler: " + "y".repeat(100_000) + "\r\n\r\n";
         String answer = exchange(huge.getBytes(StandardCharsets.US_ASCII), new byte[0]);
         assertTrue(answer.isEmpty() || answer.startsWith("HTTP/1.1 4"), answer);
-        HttpResponse other = deployment.send(HttpQuery.get(entry, "/v1/directory"));
+        HttpResponse other = deployment.send(HttpRequest.get(entry, "/v1/directory"));
         assertEquals(other.status(), 200, other.text());
     }
 
     @Test
     public void anotherMethodIsRefusedWithTheRightOne() throws Exception {
         HttpResponse answer =
-                deployment.send(HttpQuery.get(entry, "/v1/completions").withHeader("Authorization", "Bearer " + KEY));
+                deployment.send(HttpRequest.get(entry, "/v1/completions").withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), 405, answer.text());
         assertTrue(answer.text().contains("POST"), answer.text());
     }
--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
@@ -81,7 +81,7 @@
                 new ServingServices(
                         () -> snapshot,
                         this::place,
-                        HttpClient.on(worker),
+                        HttpClient.onWorker(worker),
                         PlatformDialect.create(),
                         DecisionLog.start(),
                         Metrics.create(),
--- a/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.platform.GatewaySettingsReader;
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
@@ -97,7 +97,7 @@
 
     @Test
     public void theDirectoryNamesTheEntry() throws Exception {
-        HttpResponse answer = send(HttpQuery.get(settings.directory(), SmallDeployment.DIRECTORY));
+        HttpResponse answer = send(HttpRequest.get(settings.directory(), SmallDeployment.DIRECTORY));
         assertTrue(answer.text().contains("\"" + settings.callers() + "\""), answer.text());
     }
 
@@ -297,7 +297,7 @@
         }
     }
 
-    private HttpResponse send(HttpQuery query)
+    private HttpResponse send(HttpRequest query)
             throws InterruptedException, ExecutionException, java.util.concurrent.TimeoutException {
         return caller.send(query).get(LONG.toSeconds(), TimeUnit.SECONDS);
     }
--- a/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.platform.GatewaySettingsReader;
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
--- a/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
+++ b/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.adapters.settings.EntrySettings.TlsFiles;
 import org.yuccagw.adapters.tls.TestCertificate;
 import org.yuccagw.bench.local.LocalCatalogue;
@@ -49,7 +49,7 @@
 
     @Test
     public void callersAndOperatorsAreServedOverTls() throws Exception {
-        HttpResponse answer = deployment.send(HttpQuery.json(
+        HttpResponse answer = deployment.send(HttpRequest.json(
                         "POST",
                         deployment.callerAddresses().get(0),
                         "/v1/completions",
@@ -57,7 +57,7 @@
                 .withHeader("Authorization", KEY));
         assertEquals(answer.status(), 200, answer.text());
         HttpResponse ready =
-                deployment.send(HttpQuery.get(deployment.adminAddresses().get(0), "/readyz"));
+                deployment.send(HttpRequest.get(deployment.adminAddresses().get(0), "/readyz"));
         assertEquals(ready.status(), 200, ready.text());
     }
 
@@ -65,7 +65,7 @@
     public void entriesFindEachOtherOverMutualTls() {
         Awaitility.await().atMost(Duration.ofMinutes(1)).until(() -> {
             HttpResponse answer =
-                    deployment.send(HttpQuery.get(deployment.callerAddresses().get(1), "/v1/directory"));
+                    deployment.send(HttpRequest.get(deployment.callerAddresses().get(1), "/v1/directory"));
             return JSON.readTree(answer.body()).path("entries").size() == 2;
         });
     }
--- a/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
+++ b/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
@@ -47,7 +47,7 @@
     public void aSwapRollsOverThePoolWhileCallersAreServed() throws Exception {
         JsonNode wanted = catalogueWithVersion("v2");
         HttpResponse accepted =
-                deployment.send(HttpQuery.json("PUT", admin(), "/admin/catalogue?edit=swap", wanted.toString())
+                deployment.send(HttpRequest.json("PUT", admin(), "/admin/catalogue?edit=swap", wanted.toString())
                         .withHeader("Authorization", OPERATOR));
         assertEquals(accepted.status(), 200, accepted.text());
         ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
@@ -61,7 +61,7 @@
 
     private void ask(ConcurrentLinkedQueue<String> failures) throws Exception {
         HttpResponse answer = deployment.send(
-                HttpQuery.json("POST", deployment.callerAddresses().get(0), "/v1/completions", QUESTION)
+                HttpRequest.json("POST", deployment.callerAddresses().get(0), "/v1/completions", QUESTION)
                         .withHeader("Authorization", "Bearer " + LocalCatalogue.workspaceKey("statistics")));
         if (answer.status() != 200) {
             failures.add(answer.text());
@@ -81,7 +81,7 @@
 
     private JsonNode catalogueWithVersion(String version) throws Exception {
         HttpResponse present =
-                deployment.send(HttpQuery.get(admin(), "/admin/catalogue").withHeader("Authorization", OPERATOR));
+                deployment.send(HttpRequest.get(admin(), "/admin/catalogue").withHeader("Authorization", OPERATOR));
         JsonNode catalogue = JSON.readTree(present.body());
         ObjectNode model = (ObjectNode)
                 catalogue.path("services").path(LocalCatalogue.MODEL).path("model");
--- a/src/test/java/org/yuccagw/daemon/WholePathTest.java
+++ b/src/test/java/org/yuccagw/daemon/WholePathTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
@@ -49,7 +49,7 @@
     @Test
     public void theDirectoryNamesEveryEntry() throws Exception {
         HttpResponse answer =
-                deployment.send(HttpQuery.get(deployment.callerAddresses().get(0), "/v1/directory"));
+                deployment.send(HttpRequest.get(deployment.callerAddresses().get(0), "/v1/directory"));
         JsonNode directory = JSON.readTree(answer.body());
         assertEquals(directory.path("entries").size(), 3, answer.text());
         assertTrue(directory.path("ttl_ms").asLong() > 0, answer.text());
@@ -95,7 +95,7 @@
     @Test
     public void aPlainServiceIsReachedThroughTheSameEntry() throws Exception {
         HttpResponse answer =
-                deployment.send(HttpQuery.get(deployment.callerAddresses().get(1), "/notebook/preview?x=1")
+                deployment.send(HttpRequest.get(deployment.callerAddresses().get(1), "/notebook/preview?x=1")
                         .withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), 200, answer.text());
     }
@@ -109,7 +109,7 @@
 
     @Test
     public void aRepeatedKeyGetsTheKeptAnswerAndRunsOnce() throws Exception {
-        HttpQuery label = post("/notebook/label", "{\"column\":\"age\"}").withHeader("Idempotency-Key", "label-1");
+        HttpRequest label = post("/notebook/label", "{\"column\":\"age\"}").withHeader("Idempotency-Key", "label-1");
         HttpResponse first = deployment.send(label);
         HttpResponse second = deployment.send(label);
         assertEquals(first.status(), 200, first.text());
