--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
@@ -41,10 +41,10 @@
 import org.yuccagw.standins.platform.PlatformDocuments;
 import org.yuccagw.standins.platform.SmallDeployment;
 
-/** Callers who have left before an entry that is behind comes to their requests. */
-public class CallerGoneTest {
+/** Callers that disconnect before a delayed entry reads their requests. */
+public class CallerDisconnectTest {
     private static final int CALLERS = 20;
-    private static final Duration LONG = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private ScriptedEndpoint endpoint;
     private XnioWorker worker;
@@ -52,7 +52,7 @@
     private GatewaySettings settings;
     private Deployment deployment;
     private ListedEndpoint listed;
-    private final AtomicInteger asked = new AtomicInteger();
+    private final AtomicInteger placementsRequested = new AtomicInteger();
 
     @BeforeMethod
     public void startServing() throws Exception {
@@ -64,14 +64,14 @@
                         .getMap());
         settings = GatewaySettingsReader.parse(
                 SmallDeployment.settings("entry-1", endpoint.address(), SmallDeployment.freePorts(4)));
-        deployment = ((KeyValueRecord.Configured) fact(
+        deployment = ((KeyValueRecord.Configured) decode(
                         PlatformDocuments.CONFIGURATION,
                         PlatformDocuments.configuration(1)
                                 .route("/plain/", "idempotent", "plain", 3_000, 2)
                                 .plain("plain")
                                 .bytes()))
                 .deployment();
-        listed = ((KeyValueRecord.EndpointListed) fact(
+        listed = ((KeyValueRecord.EndpointListed) decode(
                         PlatformDocuments.endpointKey("plain-1"),
                         PlatformDocuments.endpoint("plain", endpoint.address(), "a", false)))
                 .endpoint();
@@ -100,17 +100,17 @@
         endpoint.close();
     }
 
-    private static KeyValueRecord fact(String key, byte[] value) throws Exception {
+    private static KeyValueRecord decode(String key, byte[] value) throws Exception {
         return PlatformRecords.create().decode(key, value).orElseThrow();
     }
 
-    /** Decides at once, as a lead in the same entry does. */
+    /** Places each request at once, as a lead in the same entry does. */
     private void place(ControlEvent event) {
-        if (event instanceof PlacementRequest place) {
-            asked.incrementAndGet();
-            place.reply()
+        if (event instanceof PlacementRequest request) {
+            placementsRequested.incrementAndGet();
+            request.reply()
                     .accept(new PlacementDecision.Placed(
-                            asked.get(),
+                            placementsRequested.get(),
                             listed,
                             OptionalLong.empty(),
                             Optional.empty(),
@@ -131,21 +131,22 @@
         return socket;
     }
 
-    // An entry has no processor time for a while. Twenty callers connect, send, give up and close; then it goes on, and
-    // finds their requests whole and waiting. None of them may reach an endpoint, which would work for nobody.
+    // An entry gets no processor time for a while. Twenty callers connect, send, give up and close; then the entry
+    // continues and finds their requests complete in its buffers. None of them may reach an endpoint, whose work
+    // would be wasted.
     @Test
-    public void requestsOfCallersWhoLeftBeforeTheyWereReadReachNoEndpoint() throws Exception {
-        CountDownLatch behind = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+    public void requestsOfCallersThatDisconnectedBeforeTheyWereReadReachNoEndpoint() throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         worker.getIoThread(0).execute(() -> {
-            behind.countDown();
+            blocked.countDown();
             try {
-                goOn.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        behind.await();
+        blocked.await();
         List<Socket> callers = new ArrayList<>();
         for (int caller = 0; caller < CALLERS; caller++) {
             callers.add(send("/plain/gone-" + caller));
@@ -153,10 +154,10 @@
         for (Socket caller : callers) {
             caller.close();
         }
-        goOn.countDown();
-        await().atMost(LONG).until(() -> asked.get() == CALLERS);
-        try (Socket staying = send("/plain/staying")) {
-            assertEquals(staying.getInputStream().read(), 'H');
+        resume.countDown();
+        await().atMost(TIMEOUT).until(() -> placementsRequested.get() == CALLERS);
+        try (Socket connectedCaller = send("/plain/staying")) {
+            assertEquals(connectedCaller.getInputStream().read(), 'H');
         }
         assertEquals(endpoint.requests().size(), 1, "requests at the endpoint: " + endpoint.requests());
     }
--- a/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
@@ -24,8 +24,8 @@
 public class CallerErrorsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = LocalCatalogue.workspaceKey("statistics");
-    private static final String GOOD = "{\"model\":\"assistant\",\"prompt\":\"hello\",\"max_tokens\":2}";
-    private static final int SOCKET_MILLIS = 30_000;
+    private static final String VALID_BODY = "{\"model\":\"assistant\",\"prompt\":\"hello\",\"max_tokens\":2}";
+    private static final int SOCKET_TIMEOUT_MILLIS = 30_000;
 
     private LocalDeployment deployment;
     private NetworkAddress entry;
@@ -46,7 +46,7 @@
     @DataProvider
     public Object[][] wrongRequests() {
         return new Object[][] {
-            // path, body, status, code
+            // Path, body, expected status, expected error code.
             {"/v1/completions", "{\"model\":", 400, "malformed_body"},
             {"/v1/completions", "[1,2]", 400, "malformed_body"},
             {"/v1/completions", "", 400, "malformed_body"},
@@ -70,7 +70,7 @@
     }
 
     @Test(dataProvider = "wrongRequests")
-    public void aWrongRequestGetsItsOwnErrorAndIsNotRun(String path, String body, int status, String code)
+    public void aWrongRequestIsRefusedWithItsOwnErrorAsNotRun(String path, String body, int status, String code)
             throws Exception {
         HttpAnswer answer =
                 deployment.send(HttpQuery.json("POST", entry, path, body).withHeader("Authorization", "Bearer " + KEY));
@@ -90,7 +90,7 @@
 
     @Test(dataProvider = "wrongKeys")
     public void aWrongKeyIsRefused(String authorization, int status, String code) throws Exception {
-        HttpQuery query = HttpQuery.json("POST", entry, "/v1/completions", GOOD);
+        HttpQuery query = HttpQuery.json("POST", entry, "/v1/completions", VALID_BODY);
         HttpAnswer answer =
                 deployment.send(authorization.isEmpty() ? query : query.withHeader("Authorization", authorization));
         assertEquals(answer.status(), status, answer.text());
@@ -99,14 +99,14 @@
     }
 
     @Test
-    public void aBodyThatIsNotUtf8IsRefusedWithThePlace() throws Exception {
-        byte[] body = GOOD.replace("hello", "hel?lo").getBytes(StandardCharsets.ISO_8859_1);
-        int place = GOOD.indexOf("hello") + 3;
-        body[place] = (byte) 0xE4;
+    public void aBodyThatIsNotUtf8IsRefusedWithThePositionOfTheError() throws Exception {
+        byte[] body = VALID_BODY.replace("hello", "hel?lo").getBytes(StandardCharsets.ISO_8859_1);
+        int position = VALID_BODY.indexOf("hello") + 3;
+        body[position] = (byte) 0xE4;
         HttpAnswer answer = deployment.send(
                 HttpQuery.of("POST", entry, "/v1/completions", body).withHeader("Authorization", "Bearer " + KEY));
         assertError(answer.text(), "malformed_utf8");
-        assertTrue(answer.text().contains("byte " + place), answer.text());
+        assertTrue(answer.text().contains("byte " + position), answer.text());
     }
 
     @Test
@@ -116,15 +116,16 @@
         assertTrue(answer.contains("body_too_large"), answer);
     }
 
-    // A caller sends half of its body and then nothing. Others must not wait for it, and it must learn why it ended.
+    // A caller sends half of its body and then nothing. Other callers must not wait for it, and the caller must
+    // receive the reason for the end.
     @Test
-    public void aBodyThatStopsHalfWayIsRefusedAndCostsOthersNothing() throws Exception {
+    public void anIncompleteBodyIsRefusedWithoutDelayingOthers() throws Exception {
         try (Socket slow = new Socket(entry.host(), entry.port())) {
-            slow.setSoTimeout(SOCKET_MILLIS);
-            slow.getOutputStream().write(head("/v1/completions", GOOD.length()));
-            slow.getOutputStream().write(GOOD.substring(0, 10).getBytes(StandardCharsets.UTF_8));
+            slow.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
+            slow.getOutputStream().write(head("/v1/completions", VALID_BODY.length()));
+            slow.getOutputStream().write(VALID_BODY.substring(0, 10).getBytes(StandardCharsets.UTF_8));
             slow.getOutputStream().flush();
-            HttpAnswer other = deployment.send(HttpQuery.json("POST", entry, "/v1/completions", GOOD)
+            HttpAnswer other = deployment.send(HttpQuery.json("POST", entry, "/v1/completions", VALID_BODY)
                     .withHeader("Authorization", "Bearer " + KEY));
             assertEquals(other.status(), 200, other.text());
             String answer = readAll(slow);
@@ -134,20 +135,20 @@
     }
 
     @Test
-    public void aConnectionCutInMidBodyCostsOthersNothing() throws Exception {
+    public void aConnectionClosedWithinTheBodyDoesNotAffectOthers() throws Exception {
         for (int i = 0; i < 20; i++) {
             try (Socket cut = new Socket(entry.host(), entry.port())) {
-                cut.getOutputStream().write(head("/v1/completions", GOOD.length()));
-                cut.getOutputStream().write(GOOD.substring(0, 10).getBytes(StandardCharsets.UTF_8));
+                cut.getOutputStream().write(head("/v1/completions", VALID_BODY.length()));
+                cut.getOutputStream().write(VALID_BODY.substring(0, 10).getBytes(StandardCharsets.UTF_8));
             }
         }
-        HttpAnswer other = deployment.send(
-                HttpQuery.json("POST", entry, "/v1/completions", GOOD).withHeader("Authorization", "Bearer " + KEY));
+        HttpAnswer other = deployment.send(HttpQuery.json("POST", entry, "/v1/completions", VALID_BODY)
+                .withHeader("Authorization", "Bearer " + KEY));
         assertEquals(other.status(), 200, other.text());
     }
 
     @Test
-    public void headersThatAreTooLargeEndOnlyTheirOwnConnection() throws Exception {
+    public void tooLargeHeadersCloseOnlyTheirOwnConnection() throws Exception {
         String huge = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Filler: " + "y".repeat(100_000) + "\r\n\r\n";
         String answer = exchange(huge.getBytes(StandardCharsets.US_ASCII), new byte[0]);
         assertTrue(answer.isEmpty() || answer.startsWith("HTTP/1.1 4"), answer);
@@ -156,7 +157,7 @@
     }
 
     @Test
-    public void anotherMethodIsRefusedWithTheRightOne() throws Exception {
+    public void aWrongMethodIsRefusedWithTheAllowedOne() throws Exception {
         HttpAnswer answer =
                 deployment.send(HttpQuery.get(entry, "/v1/completions").withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), 405, answer.text());
@@ -178,7 +179,7 @@
 
     private String exchange(byte[] head, byte[] body) throws IOException {
         try (Socket socket = new Socket(entry.host(), entry.port())) {
-            socket.setSoTimeout(SOCKET_MILLIS);
+            socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
             OutputStream out = socket.getOutputStream();
             out.write(head);
             out.write(body);
@@ -187,7 +188,7 @@
         }
     }
 
-    /** What the entry sends until it closes the connection. */
+    /** Returns the bytes that the entry sends until it closes the connection. */
     private static String readAll(Socket socket) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         byte[] buffer = new byte[4096];
--- a/src/test/java/org/yuccagw/daemon/WholePathTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndToEndTest.java
@@ -23,7 +23,7 @@
 import org.yuccagw.core.id.IdempotencyKey;
 import org.yuccagw.standins.engine.EngineStandIn;
 
-public class WholePathTest {
+public class EndToEndTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = LocalCatalogue.workspaceKey("statistics");
 
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void theDirectoryNamesEveryEntry() throws Exception {
+    public void theDirectoryListsEveryEntry() throws Exception {
         HttpAnswer answer =
                 deployment.send(HttpQuery.get(deployment.callerAddresses().get(0), "/v1/directory"));
         JsonNode directory = JSON.readTree(answer.body());
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aStreamedAnswerArrivesWhole() throws Exception {
+    public void aStreamedAnswerArrivesCompletely() throws Exception {
         String prompt = "Explain cell 7 of the notebook. ".repeat(20);
         StringBuilder streamed = new StringBuilder();
         CompletionAnswer answer =
@@ -67,7 +67,7 @@
     }
 
     @Test
-    public void aWholeAnswerHasTheShapeOfCompletions() throws Exception {
+    public void anUnstreamedAnswerHasTheFormatOfCompletions() throws Exception {
         HttpAnswer answer = deployment.send(
                 post("/v1/completions", "{\"model\":\"assistant\",\"prompt\":\"label me\"," + "\"max_tokens\":5}"));
         assertEquals(answer.status(), 200, answer.text());
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void aChatAnswerHasTheShapeOfChatCompletions() throws Exception {
+    public void aChatAnswerHasTheFormatOfChatCompletions() throws Exception {
         HttpAnswer answer = deployment.send(post(
                 "/v1/chat/completions",
                 "{\"model\":\"assistant\",\"max_tokens\":5,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}"));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void aRepeatedKeyGetsTheKeptAnswerAndRunsOnce() throws Exception {
+    public void aRepeatedKeyReturnsTheStoredAnswerAndRunsOnce() throws Exception {
         HttpQuery label = post("/notebook/label", "{\"column\":\"age\"}").withHeader("Idempotency-Key", "label-1");
         HttpAnswer first = deployment.send(label);
         HttpAnswer second = deployment.send(label);
@@ -124,42 +124,45 @@
     @Test
     public void aKeyedCompletionRunsOnceForTheClientLibrary() throws Exception {
         IdempotencyKey key = YuccagwClient.newKey();
-        Completion once = Completion.of(LocalCatalogue.MODEL, "call the referee")
+        Completion keyedCompletion = Completion.of(LocalCatalogue.MODEL, "call the referee")
                 .withMaxTokens(4)
                 .once(key);
-        CompletionAnswer first = client.complete(once, piece -> {});
-        CompletionAnswer second = client.complete(once, piece -> {});
+        CompletionAnswer first = client.complete(keyedCompletion, piece -> {});
+        CompletionAnswer second = client.complete(keyedCompletion, piece -> {});
         assertEquals(second.text(), first.text());
     }
 
-    // A prompt goes away long enough for its blocks to be evicted from every engine. When it returns, they come from a
-    // store: the engine reports most of the prompt as reused.
+    // A prompt is not sent for long enough that its blocks are evicted from every engine. When it is sent again, they
+    // come from a store: the engine reports most of the prompt as reused.
     @Test
-    public void aPromptThatReturnsAfterEvictionIsMostlyReused() throws Exception {
+    public void aRepeatedPromptIsMostlyReusedAfterItsEviction() throws Exception {
         String prompt = "The whole notebook context of the budget tables. ".repeat(100);
-        Completion question = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
-        client.complete(question, piece -> {});
-        client.complete(question, piece -> {});
-        long wholeBlocks = prompt.length() / 64 * 1024L;
+        Completion completion = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
+        client.complete(completion, piece -> {});
+        client.complete(completion, piece -> {});
+        long fullBlockBytes = prompt.length() / 64 * 1024L;
         boolean exported = LocalDeployment.await(
-                () -> deployment.stores().stream().anyMatch(store -> store.writtenBytes() >= wholeBlocks));
-        assertTrue(exported, "nothing was exported");
+                () -> deployment.stores().stream().anyMatch(store -> store.writtenBytes() >= fullBlockBytes));
+        assertTrue(exported, "no blocks were exported");
         deployment.engines().forEach(EngineStandIn::evictAll);
         long readBefore = storeBytesRead();
         Awaitility.await()
                 .atMost(Duration.ofSeconds(60))
                 .pollDelay(Duration.ofSeconds(4))
                 .pollInterval(Duration.ofSeconds(4))
-                .until(() -> returnsReused(question));
-        assertTrue(storeBytesRead() > readBefore, "the blocks came from no store");
+                .until(() -> isMostlyReused(completion));
+        assertTrue(storeBytesRead() > readBefore, "no blocks were read from a store");
     }
 
-    /** Asked at intervals over the lag of cache events: an entry that hasn't heard of the eviction imports nothing. */
-    private boolean returnsReused(Completion question) throws YuccagwException {
-        CompletionAnswer answer = client.complete(question, piece -> {});
-        boolean mostly = answer.cachedTokens() > answer.promptTokens() * 3 / 4 && storeBytesRead() > 0;
+    /**
+     * Returns whether most of the prompt is reused. Called at intervals longer than the lag of cache events: an entry
+     * that has not learned of the eviction imports no blocks.
+     */
+    private boolean isMostlyReused(Completion completion) throws YuccagwException {
+        CompletionAnswer answer = client.complete(completion, piece -> {});
+        boolean mostlyReused = answer.cachedTokens() > answer.promptTokens() * 3 / 4 && storeBytesRead() > 0;
         deployment.engines().forEach(EngineStandIn::evictAll);
-        return mostly;
+        return mostlyReused;
     }
 
     private long storeBytesRead() {
--- a/src/test/java/org/yuccagw/daemon/EndpointRestartTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndpointRestartTest.java
@@ -21,11 +21,11 @@
 import org.yuccagw.core.placing.PlacementRequest.Kind;
 import org.yuccagw.standins.platform.PlatformDocuments;
 
-/** Endpoints that start again under the id that they had. */
+/** Endpoints that start again under the same id. */
 public class EndpointRestartTest {
-    private static final NetworkAddress ANYWHERE = NetworkAddress.of("127.0.0.1", 9);
-    private static final long SECOND_START = 2 * PlatformDocuments.FIRST_START_MILLIS;
-    private static final Duration LONG = Duration.ofSeconds(30);
+    private static final NetworkAddress UNUSED_ADDRESS = NetworkAddress.of("127.0.0.1", 9);
+    private static final long SECOND_START_MILLIS = 2 * PlatformDocuments.FIRST_START_MILLIS;
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private VirtualFleet fleet;
     private BenchNode first;
@@ -42,42 +42,42 @@
         fleet.bench.runFor(Duration.ofSeconds(4));
     }
 
-    // An endpoint says that it leaves and starts again under its id a moment later. An entry for which leaving was
-    // final
-    // for the id never used it again: its callers were refused while a ready endpoint stood idle.
+    // An endpoint announces that it leaves and starts again under its id a moment later. An entry that treated the
+    // announcement as final for the id never used it again, and refused its callers while a ready endpoint was idle.
     @Test
-    public void anEndpointThatWasLeavingIsOfUseOnceItHasStartedAgain() {
+    public void aLeavingEndpointIsUsedAgainAfterItsRestart() {
         registerPlain(true, PlatformDocuments.FIRST_START_MILLIS);
         assertTrue(placePlain() instanceof PlacementDecision.Refused);
-        registerPlain(false, SECOND_START);
+        registerPlain(false, SECOND_START_MILLIS);
         assertEquals(endpointOf(placePlain()), EndpointId.of("plain-1"));
     }
 
     @Test
-    public void anEndpointWhoseAddressAnotherHadIsOfUseOnceItHasStartedAgain() {
+    public void anEndpointWhoseAddressAnotherUsedIsUsedAgainAfterItsRestart() {
         PlacementDecision.Placed placed = (PlacementDecision.Placed) placePlain();
         first.offer(new AttemptEnded(placed.ticket(), AttemptEnded.End.WRONG_ENDPOINT));
         assertTrue(placePlain() instanceof PlacementDecision.Refused);
-        registerPlain(false, SECOND_START);
+        registerPlain(false, SECOND_START_MILLIS);
         assertEquals(endpointOf(placePlain()), EndpointId.of("plain-1"));
     }
 
-    // The registration of an endpoint that started again is there, and then one of its earlier start is written once
-    // more. What is true of the earlier start, here that it leaves, must not end the later one.
+    // After the registration of an endpoint that started again, one of its earlier start is written once more. The
+    // state of the earlier start, here that it leaves, must not apply to the later one.
     @Test
-    public void aRegistrationOfAnEarlierStartIsPassedOver() {
-        registerPlain(false, SECOND_START);
+    public void aRegistrationOfAnEarlierStartIsIgnored() {
+        registerPlain(false, SECOND_START_MILLIS);
         registerPlain(true, PlatformDocuments.FIRST_START_MILLIS);
         assertEquals(endpointOf(placePlain()), EndpointId.of("plain-1"));
     }
 
-    // Two starts within a second, the registration the same but for the time of the start: the requests that were under
-    // way at the earlier start are over for the endpoint, and their ends are not taken off what runs there now.
+    // Two starts happen within a second, and their registrations differ only in the time of the start. The requests
+    // that ran at the earlier start have ended for the endpoint, and their ends must not be subtracted from the
+    // requests that run now.
     @Test
-    public void whatRanAtAnEarlierStartDoesNotCountForTheNext() {
+    public void requestsOfAnEarlierStartDoNotCountForTheNext() {
         PlacementDecision.Placed before = (PlacementDecision.Placed) placePlain();
-        registerPlain(false, SECOND_START);
-        registerPlain(false, SECOND_START + 400);
+        registerPlain(false, SECOND_START_MILLIS);
+        registerPlain(false, SECOND_START_MILLIS + 400);
         PlacementDecision.Placed after = (PlacementDecision.Placed) placePlain();
         first.offer(new AttemptEnded(before.ticket(), AttemptEnded.End.BROKEN));
         fleet.bench.runFor(Duration.ofMillis(10));
@@ -87,11 +87,12 @@
         assertEquals(fleet.requestsOn(first, "plain-1"), 0);
     }
 
-    // An engine was heard to run version 3 and starts again with version 1. Its prompts must carry the cache salt of
-    // version 1: what it computes is kept under that name, and a request that expects version 3 is turned away.
+    // A peer reported that an engine runs version 3, and the engine starts again with version 1. Its prompts must
+    // carry the cache salt of version 1: its cache is kept under that name, and a request that expects version 3 is
+    // rejected.
     @Test
-    public void anEngineThatStartsAgainWithOlderWeightsIsUsedWithThose() {
-        hearFromPeer(PlatformDocuments.FIRST_START_MILLIS, 3);
+    public void anEngineThatRestartsWithOlderWeightsIsUsedWithThose() {
+        receivePeerStatus(PlatformDocuments.FIRST_START_MILLIS, 3);
         assertEquals(placePrompt().version().getAsLong(), 3);
         fleet.restartEngine("engine-1", 1);
         fleet.bench.runFor(Duration.ofMillis(300));
@@ -102,51 +103,51 @@
     public void aLateHeartbeatAboutAnEarlierStartChangesNothing() {
         fleet.restartEngine("engine-1", 1);
         fleet.bench.runFor(Duration.ofMillis(300));
-        hearFromPeer(PlatformDocuments.FIRST_START_MILLIS, 3);
+        receivePeerStatus(PlatformDocuments.FIRST_START_MILLIS, 3);
         assertEquals(placePrompt().version().getAsLong(), 1);
         assertEquals(fleet.requestsOn(first, "engine-1"), 1);
     }
 
-    // A late order brought an engine back to version 1 after it was heard to run version 3. Its registration says so;
-    // an
-    // entry that only ever believed the higher version got nothing from it but answers of a misdirected request.
+    // A late order brought an engine back to version 1 after a peer had reported version 3, and its registration
+    // names version 1. An entry that kept the higher version received nothing from the engine but answers to a
+    // misdirected request.
     @Test
-    public void aRegistrationThatComesLongAfterIsBelievedOverWhatWasHeard() {
-        hearFromPeer(PlatformDocuments.FIRST_START_MILLIS, 3);
+    public void aMuchLaterRegistrationOverridesAPeerReport() {
+        receivePeerStatus(PlatformDocuments.FIRST_START_MILLIS, 3);
         fleet.bench.runFor(Duration.ofSeconds(4));
         fleet.bench
                 .keyValue()
                 .put(
                         PlatformDocuments.endpointKey("engine-1"),
-                        PlatformDocuments.engine("engines", ANYWHERE, "ulemiste", VirtualFleet.MODEL, 1));
+                        PlatformDocuments.engine("engines", UNUSED_ADDRESS, "ulemiste", VirtualFleet.MODEL, 1));
         fleet.bench.runFor(Duration.ofMillis(300));
         assertEquals(placePrompt().version().getAsLong(), 1);
     }
 
-    // Engines start again in the middle of loading: the order is lost with the start, and the count of accepted orders
-    // begins anew. The holder of the duty must order again, with the new count.
+    // Engines start again while they load: the order is lost with the start, and the count of accepted orders begins
+    // at zero. The holder of the duty must order again, with the new count.
     @Test
-    public void anEngineThatStartsAgainWhileItLoadsIsOrderedAgain() {
+    public void anEngineThatRestartsWhileItLoadsIsOrderedAgain() {
         fleet.nameWeights(2);
-        assertTrue(fleet.bench.runUntil(() -> !fleet.orders.isEmpty(), LONG));
+        assertTrue(fleet.bench.runUntil(() -> !fleet.orders.isEmpty(), TIMEOUT));
         fleet.bench.runFor(Duration.ofMillis(100));
         fleet.restartEngine("engine-1", 1);
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(2), VirtualFleet.OLD_WEIGHTS_ALLOWED));
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(2), VirtualFleet.WEIGHT_CHANGE_LIMIT));
     }
 
     @Test
-    public void anEngineThatStartsAgainAfterItHasLoadedIsOrderedAgain() {
+    public void anEngineThatRestartsAfterItHasLoadedIsOrderedAgain() {
         fleet.nameWeights(2);
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(2), LONG));
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(2), TIMEOUT));
         fleet.restartEngine("engine-1", 1);
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(2), VirtualFleet.OLD_WEIGHTS_ALLOWED));
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(2), VirtualFleet.WEIGHT_CHANGE_LIMIT));
     }
 
-    // A request ends the endpoint that runs it, which starts again under its id, twice. Counted by id that was one
-    // endpoint, and the request went on to end it a third and a fourth time.
+    // A request terminates the endpoint that runs it, which starts again under its id, twice. When terminations were
+    // counted by id this was one endpoint, and the request terminated it a third and a fourth time.
     @Test
-    public void aRequestThatEndsTwoStartsOfOneEndpointIsRefused() {
-        List<Long> starts = new ArrayList<>(List.of(SECOND_START, 2 * SECOND_START));
+    public void aRequestThatTerminatesTwoStartsOfOneEndpointIsRefused() {
+        List<Long> starts = new ArrayList<>(List.of(SECOND_START_MILLIS, 2 * SECOND_START_MILLIS));
         for (long start : starts) {
             PlacementDecision.Placed placed = (PlacementDecision.Placed) placePlain();
             first.offer(new AttemptEnded(placed.ticket(), AttemptEnded.End.BROKEN));
@@ -160,12 +161,15 @@
                 .keyValue()
                 .put(
                         PlatformDocuments.endpointKey("plain-1"),
-                        PlatformDocuments.endpoint("plain", ANYWHERE, "ulemiste", leaving, startedMillis));
+                        PlatformDocuments.endpoint("plain", UNUSED_ADDRESS, "ulemiste", leaving, startedMillis));
         fleet.bench.runFor(Duration.ofMillis(300));
     }
 
-    /** Entry 2 tells entry 1 that it has a request on a start of the engine, which runs the version there. */
-    private void hearFromPeer(long startedMillis, long version) {
+    /**
+     * Delivers a status of entry 2 to entry 1: it has a request on the given start of the engine, which runs the
+     * given version.
+     */
+    private void receivePeerStatus(long startedMillis, long version) {
         EndpointIncarnation engine = EndpointIncarnation.of(EndpointId.of("engine-1"), startedMillis);
         first.offer(new PeerStatusReceived(
                 second.entry(),
--- a/src/test/java/org/yuccagw/daemon/EvacuationTest.java
+++ b/src/test/java/org/yuccagw/daemon/EvacuationTest.java
@@ -16,15 +16,15 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest.Kind;
 
-/** Operators evacuate a failure domain: nothing more goes to its endpoints, from any entry, until they take it back. */
+/** An operator evacuates a failure domain: no entry sends requests to its endpoints until the evacuation is revoked. */
 public class EvacuationTest {
     private static final FailureDomain EVACUATED = FailureDomain.of("ulemiste");
     private static final FailureDomain OTHER = FailureDomain.of("kadaka");
-    private static final int MESH = 8;
-    private static final int LARGE = 66;
+    private static final int MESH_FLEET_SIZE = 8;
+    private static final int LARGE_FLEET_SIZE = 66;
 
-    /** The platform gives 5 s from its acknowledgement; a change of the configuration has 2 s. */
-    private static final Duration KNOWN_WITHIN = Duration.ofSeconds(2);
+    /** The platform allows 5 s from its acknowledgement; a change of the configuration has to arrive within 2 s. */
+    private static final Duration PROPAGATION_LIMIT = Duration.ofSeconds(2);
 
     private VirtualFleet fleet;
     private List<BenchNode> nodes;
@@ -41,16 +41,16 @@
         fleet.bench.runFor(Duration.ofSeconds(8));
     }
 
-    private void assertSpared() {
+    private void assertNotUsed() {
         for (BenchNode node : nodes) {
             if (!node.isDead()) {
-                assertFalse(fleet.knows(node, "evacuated"), node.entry() + " would use it");
-                assertEquals(placed(node), "other");
+                assertFalse(fleet.isUsable(node, "evacuated"), node.entry() + " would use it");
+                assertEquals(placedEndpoint(node), "other");
             }
         }
     }
 
-    private String placed(BenchNode node) {
+    private String placedEndpoint(BenchNode node) {
         PlacementDecision decision = fleet.place(node, "/model/x", Kind.FIRST, "f");
         assertTrue(decision instanceof PlacementDecision.Placed, "decision: " + decision);
         return ((PlacementDecision.Placed) decision).endpoint().id().value();
@@ -58,7 +58,7 @@
 
     @DataProvider
     public Object[][] sizes() {
-        return new Object[][] {{MESH}, {LARGE}};
+        return new Object[][] {{MESH_FLEET_SIZE}, {LARGE_FLEET_SIZE}};
     }
 
     // An operator evacuates a hall that is about to lose its power. Every prompt that is still sent there is lost.
@@ -66,76 +66,78 @@
     public void noEntrySendsToAnEvacuatedDomain(int entries) {
         start(entries);
         fleet.evacuate(EVACUATED);
-        fleet.bench.runFor(KNOWN_WITHIN);
-        assertSpared();
+        fleet.bench.runFor(PROPAGATION_LIMIT);
+        assertNotUsed();
     }
 
     @Test(dataProvider = "sizes")
-    public void theDomainIsUsedAgainOnceTheEvacuationIsTakenBack(int entries) {
+    public void aDomainIsUsedAgainOnceItsEvacuationIsRevoked(int entries) {
         start(entries);
         fleet.evacuate(EVACUATED);
-        fleet.bench.runFor(KNOWN_WITHIN);
+        fleet.bench.runFor(PROPAGATION_LIMIT);
         fleet.endEvacuation(EVACUATED);
-        fleet.bench.runFor(KNOWN_WITHIN);
-        nodes.forEach(node -> assertTrue(fleet.knows(node, "evacuated"), node.entry() + " doesn't use it"));
+        fleet.bench.runFor(PROPAGATION_LIMIT);
+        nodes.forEach(node -> assertTrue(fleet.isUsable(node, "evacuated"), node.entry() + " doesn't use it"));
     }
 
-    // The service turns an entry away when the domain is evacuated. It must learn of it from the others.
+    // The key-value service rejects an entry when the domain is evacuated. The entry must learn of the evacuation
+    // from the others.
     @Test(dataProvider = "sizes")
-    public void anEntryThatTheServiceTurnsAwayLearnsOfItFromOthers(int entries) {
+    public void anEntryThatTheServiceRejectsLearnsOfTheEvacuationFromOthers(int entries) {
         start(entries);
         fleet.bench.keyValue().cutOff(nodes.get(0).entry());
         fleet.evacuate(EVACUATED);
-        fleet.bench.runFor(KNOWN_WITHIN.plusMillis(500));
-        assertSpared();
+        fleet.bench.runFor(PROPAGATION_LIMIT.plusMillis(500));
+        assertNotUsed();
     }
 
-    // The leads die in the moment in which the evacuation is acknowledged, before they have passed it on.
+    // The leads are killed when the evacuation is acknowledged, before they have forwarded it.
     @Test
-    public void entriesWhoseLeadsDieAtThatMomentLearnOfItInTime() {
-        start(LARGE);
+    public void entriesWhoseLeadsFailDuringAnEvacuationLearnOfItInTime() {
+        start(LARGE_FLEET_SIZE);
         fleet.evacuate(EVACUATED);
         List<EntryId> leads = fleet.leadsKnownTo(nodes.get(0));
         nodes.stream().filter(node -> leads.contains(node.entry())).forEach(BenchNode::kill);
         fleet.bench.runFor(Duration.ofMillis(4_500));
-        assertSpared();
+        assertNotUsed();
     }
 
-    // The service goes away during the evacuation, and an entry starts anew. It asks the others, since nobody else can
-    // tell it that the domain is still evacuated.
+    // The key-value service becomes unavailable during the evacuation, and an entry starts. It has to request the
+    // evacuation from the others, the only source left.
     @Test
-    public void anEvacuationStaysInForceWhileTheServiceIsAway() {
-        start(MESH);
+    public void anEvacuationStaysInForceWhileTheServiceIsUnavailable() {
+        start(MESH_FLEET_SIZE);
         fleet.evacuate(EVACUATED);
-        fleet.bench.runFor(KNOWN_WITHIN);
+        fleet.bench.runFor(PROPAGATION_LIMIT);
         fleet.bench.keyValue().setDown(true);
         nodes.get(0).kill();
         nodes.set(0, fleet.start("entry-0", EVACUATED));
         fleet.bench.runFor(Duration.ofSeconds(6));
-        assertSpared();
+        assertNotUsed();
     }
 
-    // An engine of the evacuated domain starts anew and registers; it is evacuated like those that were there.
+    // An engine of the evacuated domain starts and registers; it counts as evacuated like those that were there
+    // before.
     @Test
-    public void anEngineThatRegistersDuringTheEvacuationIsSparedToo() {
-        start(MESH);
+    public void anEngineThatRegistersDuringTheEvacuationIsNotUsed() {
+        start(MESH_FLEET_SIZE);
         fleet.evacuate(EVACUATED);
-        fleet.bench.runFor(KNOWN_WITHIN);
+        fleet.bench.runFor(PROPAGATION_LIMIT);
         fleet.restartEngine("evacuated", 1);
         fleet.addEngine("late", EVACUATED, Duration.ZERO);
-        fleet.bench.runFor(KNOWN_WITHIN);
-        assertSpared();
-        nodes.forEach(node -> assertFalse(fleet.knows(node, "late"), node.entry() + " would use it"));
+        fleet.bench.runFor(PROPAGATION_LIMIT);
+        assertNotUsed();
+        nodes.forEach(node -> assertFalse(fleet.isUsable(node, "late"), node.entry() + " would use it"));
     }
 
-    // All engines of a service lie in the evacuated domain: callers are told at once, as not run, and not at the end of
-    // their time.
+    // All engines of a service are in evacuated domains: callers are refused at once as not run, and not at their
+    // deadline.
     @Test
-    public void whatOnlyTheEvacuatedDomainServesIsRefusedAsNotRun() {
-        start(MESH);
+    public void requestsThatOnlyEvacuatedDomainsServeAreRefusedAsNotRun() {
+        start(MESH_FLEET_SIZE);
         fleet.evacuate(EVACUATED);
         fleet.evacuate(OTHER);
-        fleet.bench.runFor(KNOWN_WITHIN);
+        fleet.bench.runFor(PROPAGATION_LIMIT);
         PlacementDecision decision = fleet.place(nodes.get(0), "/model/x", Kind.FIRST, "f");
         assertTrue(decision instanceof PlacementDecision.Refused, "decision: " + decision);
         assertEquals(((PlacementDecision.Refused) decision).error().kind(), ErrorKind.NO_ENDPOINT);
--- a/src/test/java/org/yuccagw/daemon/ForeignRegistrationTest.java
+++ b/src/test/java/org/yuccagw/daemon/ForeignRegistrationTest.java
@@ -23,14 +23,15 @@
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 /**
- * Others than endpoints write under the keys of registrations. Callers would see their requests sent to addresses that
- * no endpoint gave, or, were one bad value to stop the reading of all others, no answers at all.
+ * Other writers than endpoints write under the keys of registrations. Requests of callers would be sent to addresses
+ * that no endpoint registered, or, if one invalid value stopped the reading of all others, would not be answered at
+ * all.
  */
 public class ForeignRegistrationTest {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final NetworkAddress ANYWHERE = NetworkAddress.of("127.0.0.1", 9);
+    private static final NetworkAddress UNUSED_ADDRESS = NetworkAddress.of("127.0.0.1", 9);
     private static final int MUTATIONS = 400;
-    private static final long NEXT_START = 1_000_000;
+    private static final long LATER_START_MILLIS = 1_000_000;
 
     private VirtualFleet fleet;
     private BenchNode entry;
@@ -71,13 +72,13 @@
         };
     }
 
-    /** Gives the lambda its type. */
+    /** Gives the lambda its target type. */
     private static Consumer<ObjectNode> change(Consumer<ObjectNode> change) {
         return change;
     }
 
     @Test(dataProvider = "foreignChanges")
-    public void aForeignRegistrationNamesNoEndpointAndTheOthersHold(String change, Consumer<ObjectNode> apply)
+    public void anInvalidRegistrationNamesNoEndpointAndTheOthersStayValid(String change, Consumer<ObjectNode> apply)
             throws IOException {
         ObjectNode registration = (ObjectNode) JSON.readTree(valid());
         apply.accept(registration);
@@ -86,11 +87,10 @@
         assertTrue(placePrompt() instanceof PlacementDecision.Placed, change);
     }
 
-    // A foreign writer overwrote the registration of a living endpoint. The endpoint's next heartbeat writes it anew,
-    // and
-    // from then on it is of use again.
+    // A foreign writer overwrote the registration of a running endpoint. The endpoint's next heartbeat writes it
+    // again, and from then on the endpoint is used.
     @Test
-    public void anEndpointIsOfUseAgainOnceItHasWrittenItsRegistrationAnew() {
+    public void anEndpointIsUsedAgainOnceItHasWrittenItsRegistrationAgain() {
         register("plain-1", "not JSON".getBytes(StandardCharsets.UTF_8));
         assertTrue(placePlain() instanceof PlacementDecision.Refused);
         register("plain-1", valid());
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void anEngineWithoutWeightsGetsNoPrompts() throws IOException {
+    public void anEngineWithoutWeightsReceivesNoPrompts() throws IOException {
         ObjectNode registration = (ObjectNode) JSON.readTree(valid());
         registration.put("service", "engines");
         register("engine-1", JSON.writeValueAsBytes(registration));
@@ -106,24 +106,24 @@
     }
 
     @Test
-    public void aServiceThatIsNotConfiguredGetsNothing() throws IOException {
+    public void aServiceThatIsNotConfiguredReceivesNoRequests() throws IOException {
         ObjectNode registration = (ObjectNode) JSON.readTree(valid());
         registration.put("service", "unheard-of");
         register("plain-1", JSON.writeValueAsBytes(registration));
         assertTrue(placePlain() instanceof PlacementDecision.Refused);
     }
 
-    // Bytes are flipped, replaced and cut off at random. Whatever comes of it, the entry goes on: it takes in the next
-    // start of the endpoint and a write of any other key. (A changed digit may read as a later start, which nobody can
-    // tell from a true one; so the valid write at the end is of a later start still.)
+    // Bytes are flipped, replaced and cut off at random. Whatever the result, the entry still reads the next start of
+    // the endpoint and a write of any other key. A changed digit may read as a valid later start, so the valid write
+    // at the end is of a later start still.
     @Test
-    public void noBytesUnderARegistrationsKeyStopTheFollowing() {
+    public void noBytesUnderARegistrationKeyStopTheFollowingOfChanges() {
         SplittableRandom random = new SplittableRandom(17);
         for (int index = 0; index < MUTATIONS; index++) {
             register("plain-1", mutated(valid(), random));
             placePlain();
         }
-        register("plain-1", PlatformDocuments.endpoint("plain", ANYWHERE, "ulemiste", false, NEXT_START));
+        register("plain-1", PlatformDocuments.endpoint("plain", UNUSED_ADDRESS, "ulemiste", false, LATER_START_MILLIS));
         assertEquals(((PlacementDecision.Placed) placePlain()).endpoint().id(), EndpointId.of("plain-1"));
         fleet.configure(2);
         fleet.bench.runFor(Duration.ofSeconds(1));
@@ -131,7 +131,7 @@
     }
 
     @Test
-    public void anUnreadableConfigurationLeavesTheFormerInForce() {
+    public void anUnreadableConfigurationLeavesThePreviousOneInForce() {
         fleet.bench.keyValue().put(PlatformDocuments.CONFIGURATION, "{\"version\":".getBytes(StandardCharsets.UTF_8));
         fleet.bench.runFor(Duration.ofSeconds(1));
         assertEquals(entry.state(Deployment.class).orElseThrow().version(), 1);
@@ -139,28 +139,28 @@
     }
 
     @Test
-    public void anUnreadableNamingOfWeightsLeavesTheFormerInForce() {
+    public void anUnreadableWeightsDocumentLeavesThePreviousOneInForce() {
         fleet.bench
                 .keyValue()
                 .put(PlatformDocuments.weightsKey(VirtualFleet.MODEL), "[1,2".getBytes(StandardCharsets.UTF_8));
-        fleet.bench.runFor(VirtualFleet.OLD_WEIGHTS_ALLOWED.plusSeconds(1));
+        fleet.bench.runFor(VirtualFleet.WEIGHT_CHANGE_LIMIT.plusSeconds(1));
         assertTrue(placePrompt() instanceof PlacementDecision.Placed);
     }
 
     private static byte[] mutated(byte[] valid, SplittableRandom random) {
         int kind = random.nextInt(3);
-        int at = random.nextInt(valid.length);
-        byte[] mutated = kind == 0 ? Arrays.copyOf(valid, at) : valid.clone();
+        int position = random.nextInt(valid.length);
+        byte[] mutated = kind == 0 ? Arrays.copyOf(valid, position) : valid.clone();
         if (kind == 1) {
-            mutated[at] ^= (byte) (1 << random.nextInt(8));
+            mutated[position] ^= (byte) (1 << random.nextInt(8));
         } else if (kind == 2) {
-            mutated[at] = (byte) random.nextInt(256);
+            mutated[position] = (byte) random.nextInt(256);
         }
         return mutated;
     }
 
     private static byte[] valid() {
-        return PlatformDocuments.endpoint("plain", ANYWHERE, "ulemiste", false);
+        return PlatformDocuments.endpoint("plain", UNUSED_ADDRESS, "ulemiste", false);
     }
 
     private void register(String id, byte[] value) {
--- a/src/test/java/org/yuccagw/daemon/GatewayCoreTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayCoreTest.java
@@ -27,7 +27,7 @@
 public class GatewayCoreTest {
     private static final int ENTRIES = 4;
     private static final int ENGINES = 10;
-    private static final Duration LONG = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     private VirtualFleet fleet;
     private List<BenchNode> nodes;
@@ -45,43 +45,44 @@
         }
         fleet.addPlain("plain-1");
         fleet.addPlain("plain-2");
-        assertTrue(fleet.bench.runUntil(this::allServe, LONG));
+        assertTrue(fleet.bench.runUntil(this::allEntriesServe, TIMEOUT));
         fleet.bench.runFor(Duration.ofSeconds(4));
     }
 
-    // ---- What entries know.
+    // ---- State of entries.
 
     @Test
-    public void everyEntryServesAndNamesAllOthersInItsDirectory() {
+    public void everyEntryServesAndListsAllOthersInItsDirectory() {
         for (BenchNode node : nodes) {
             assertEquals(node.state(PeersSnapshot.class).orElseThrow().serving().size(), ENTRIES);
         }
     }
 
-    // The service turns one entry away and serves the others and the operators. A key that was taken away would go on
-    // working at that one entry, and a route that was added would not be found there.
+    // The key-value service rejects one entry and serves the others and the operators. A revoked key would stay valid
+    // at that one entry, and a new route would not be found there.
     @Test
-    public void anEntryThatTheServiceTurnsAwayLearnsOfAChangeFromAnother() {
-        BenchNode refused = nodes.get(2);
-        fleet.bench.keyValue().cutOff(refused.entry());
+    public void anEntryThatTheServiceRejectsLearnsOfAChangeFromAnother() {
+        BenchNode rejected = nodes.get(2);
+        fleet.bench.keyValue().cutOff(rejected.entry());
         fleet.bench.runFor(Duration.ofSeconds(2));
         fleet.configure(2);
-        assertTrue(fleet.bench.runUntil(() -> VirtualFleet.configurationOf(refused) == 2, Duration.ofSeconds(1)));
+        assertTrue(fleet.bench.runUntil(() -> VirtualFleet.configurationOf(rejected) == 2, Duration.ofSeconds(1)));
     }
 
-    // All entries lose power while the service is away, and one comes back first, then the others. Until somebody knows
-    // the configuration they say that they aren't ready; a restarted one that meets one that knows is ready at once.
+    // All entries lose power while the service is unavailable; one returns first, then the others. Until one of them
+    // has the configuration they report that they aren't ready; a restarted entry that reaches one that has it is
+    // ready at once.
     @Test
-    public void anEntryThatStartsWhileTheServiceIsAwayComesUpFromAnother() {
+    public void anEntryThatStartsWhileTheServiceIsUnavailableGetsTheConfigurationFromAnother() {
         nodes.get(0).kill();
         fleet.bench.keyValue().setDown(true);
         fleet.bench.runFor(Duration.ofSeconds(1));
-        BenchNode again = fleet.start("entry-1");
-        assertTrue(fleet.bench.runUntil(() -> VirtualFleet.configurationOf(again) == 1, Duration.ofSeconds(3)));
+        BenchNode restarted = fleet.start("entry-1");
+        assertTrue(fleet.bench.runUntil(() -> VirtualFleet.configurationOf(restarted) == 1, Duration.ofSeconds(3)));
     }
 
     @Test
-    public void aConfigurationNeverGoesBackToAnEarlierVersion() {
+    public void theConfigurationNeverReturnsToAnEarlierVersion() {
         fleet.configure(7);
         fleet.bench.runFor(Duration.ofSeconds(1));
         fleet.configure(6);
@@ -99,70 +100,70 @@
     }
 
     @Test
-    public void anEntryThatDiesLeavesEveryDirectoryWithinTwoSeconds() {
+    public void aFailedEntryLeavesEveryDirectoryWithinTwoSeconds() {
         nodes.get(1).kill();
         fleet.bench.runFor(Duration.ofSeconds(2));
         assertEquals(
                 nodes.get(0).state(PeersSnapshot.class).orElseThrow().serving().size(), ENTRIES - 1);
     }
 
-    // An entry comes back after a loss of power and could serve. As long as the others don't know, callers crowd those
-    // that are named; all waited for the next heartbeat, 0.3 s.
+    // An entry returns after a loss of power and could serve. Until the others learn of it, callers crowd the entries
+    // that are listed; without an immediate message all waited for the next heartbeat, 0.3 s.
     @Test
-    public void anEntryThatComesBackIsInEveryDirectoryAtOnce() {
+    public void aRestartedEntryIsInEveryDirectoryAtOnce() {
         nodes.get(1).kill();
         fleet.bench.runFor(Duration.ofSeconds(3));
-        BenchNode again = fleet.start("entry-2");
-        assertTrue(fleet.bench.runUntil(() -> VirtualFleet.configurationOf(again) == 1, Duration.ofSeconds(1)));
+        BenchNode restarted = fleet.start("entry-2");
+        assertTrue(fleet.bench.runUntil(() -> VirtualFleet.configurationOf(restarted) == 1, Duration.ofSeconds(1)));
         fleet.bench.runFor(Duration.ofMillis(30));
         assertEquals(
                 nodes.get(0).state(PeersSnapshot.class).orElseThrow().serving().size(), ENTRIES);
     }
 
-    // An entry sends a long prompt to an engine. The others learned of it with the next heartbeat, up to 300 ms later,
-    // and a tenth of the short prompts that they sent there meanwhile waited behind it.
+    // An entry sends a long prompt to an engine. When the others learned of it with the next heartbeat, up to 300 ms
+    // later, a tenth of the short prompts that they sent there meanwhile waited behind it.
     @Test
-    public void theOthersHearAtOnceOfALongPrompt() {
-        PlacementDecision.Placed placed = (PlacementDecision.Placed) fleet.placeLong(nodes.get(0), 12_000);
+    public void theOthersLearnAtOnceOfALongPrompt() {
+        PlacementDecision.Placed placed = (PlacementDecision.Placed) fleet.placeLongPrompt(nodes.get(0), 12_000);
         fleet.bench.runFor(Duration.ofMillis(10));
         assertEquals(fleet.requestsOn(nodes.get(1), placed.endpoint().id().value()), 1);
     }
 
-    // ---- Endpoints that leave.
+    // ---- Leaving endpoints.
 
     @Test
-    public void anEndpointThatSaidThatItLeavesGetsNothingAndNeverComesBack() {
+    public void aLeavingEndpointReceivesNoRequestsAndIsNeverUsedAgain() {
         String key = PlatformDocuments.endpointKey("plain-1");
         fleet.bench.keyValue().put(key, registration(true));
         fleet.bench.runFor(Duration.ofMillis(200));
         fleet.bench.keyValue().put(key, registration(false));
         fleet.bench.runFor(Duration.ofMillis(200));
         for (int index = 0; index < 10; index++) {
-            assertEquals(placedOn(nodes.get(0)), EndpointId.of("plain-2"));
+            assertEquals(placeAndAnswer(nodes.get(0)), EndpointId.of("plain-2"));
         }
     }
 
-    // Seed trouble-1 of the first deployment: the service had been away for one entry, came back, and four seconds
-    // later an endpoint was removed. The entry took that for a registration that had lapsed during the outage and sent
-    // requests there for two more seconds.
+    // The key-value service is unavailable for one entry and returns, and an endpoint is removed four seconds later.
+    // An entry that took the removal for a registration that had expired during the outage sent requests there for
+    // two more seconds.
     @Test
-    public void aRemovalAfterTheServiceHasAnsweredAgainIsNoLapse() {
-        BenchNode refused = nodes.get(0);
-        fleet.bench.keyValue().cutOff(refused.entry());
+    public void aRemovalAfterTheServiceHasReturnedIsNoExpiry() {
+        BenchNode rejected = nodes.get(0);
+        fleet.bench.keyValue().cutOff(rejected.entry());
         fleet.bench.runFor(Duration.ofSeconds(5));
-        fleet.bench.keyValue().reach(refused.entry());
+        fleet.bench.keyValue().reach(rejected.entry());
         fleet.bench.runFor(Duration.ofMillis(1500));
         fleet.bench.keyValue().remove(PlatformDocuments.endpointKey("plain-1"));
         fleet.bench.runFor(Duration.ofMillis(300));
         for (int index = 0; index < 10; index++) {
-            assertEquals(placedOn(refused), EndpointId.of("plain-2"));
+            assertEquals(placeAndAnswer(rejected), EndpointId.of("plain-2"));
         }
     }
 
-    // The service is away for ten seconds and all registrations lapse meanwhile, though every endpoint lives. Dropping
-    // them would refuse every request until they have registered again.
+    // The service is unavailable for ten seconds and all registrations expire meanwhile, though every endpoint runs.
+    // An entry that dropped them would refuse every request until the endpoints have registered again.
     @Test
-    public void registrationsThatLapsedDuringAnOutageAreStillUsedForTwoSeconds() {
+    public void registrationsThatExpiredDuringAnOutageAreStillUsedForTwoSeconds() {
         fleet.bench.keyValue().setDown(true);
         fleet.bench.runFor(Duration.ofSeconds(10));
         fleet.bench.keyValue().remove(PlatformDocuments.endpointKey("plain-1"));
@@ -174,12 +175,12 @@
         assertTrue(place(nodes.get(0), Kind.FIRST, "f") instanceof PlacementDecision.Refused);
     }
 
-    // ---- Repeats.
+    // ---- Retries.
 
     @Test
-    public void repeatsStayWithinTheBudgetThatAllEntriesShare() {
+    public void retriesStayWithinTheBudgetThatAllEntriesShare() {
         int requests = 100;
-        int repeats = 0;
+        int retries = 0;
         for (int index = 0; index < requests; index++) {
             BenchNode node = nodes.get(index % ENTRIES);
             end(node, place(node, Kind.FIRST, "f" + index), AttemptEnded.End.ANSWERED);
@@ -187,17 +188,17 @@
         for (int index = 0; index < 3 * requests; index++) {
             BenchNode node = nodes.get(index % ENTRIES);
             PlacementDecision decision = place(node, Kind.REPEAT, "f" + index);
-            repeats += decision instanceof PlacementDecision.Placed ? 1 : 0;
+            retries += decision instanceof PlacementDecision.Placed ? 1 : 0;
             end(node, decision, AttemptEnded.End.ANSWERED);
         }
-        assertTrue(repeats <= 0.2 * requests + 56, repeats + " repeats");
-        assertTrue(repeats >= 30, repeats + " repeats");
+        assertTrue(retries <= 0.2 * requests + 56, retries + " retries");
+        assertTrue(retries >= 30, retries + " retries");
     }
 
-    // One request crashes each endpoint that runs it, and its caller sends it to one entry after the other. Each try
-    // would take another endpoint away from everybody for seconds.
+    // One request crashes each endpoint that runs it, and its caller sends it to one entry after the other. Each
+    // attempt would make another endpoint unavailable to all callers for seconds.
     @Test
-    public void aRequestThatEndedTwoEndpointsIsRefusedEverywhere() {
+    public void aRequestThatTerminatedTwoEndpointsIsRefusedEverywhere() {
         for (int index = 0; index < 2; index++) {
             PlacementDecision.Placed placed = (PlacementDecision.Placed) place(nodes.get(index), Kind.FIRST, "deadly");
             end(nodes.get(index), placed, AttemptEnded.End.BROKEN);
@@ -209,40 +210,40 @@
             }
             fleet.bench.runFor(Duration.ofMillis(200));
         }
-        PlacementDecision.Refused refused = (PlacementDecision.Refused) place(nodes.get(3), Kind.FIRST, "deadly");
-        assertEquals(refused.error().kind(), ErrorKind.SUSPECT_REQUEST);
+        PlacementDecision.Refused refusal = (PlacementDecision.Refused) place(nodes.get(3), Kind.FIRST, "deadly");
+        assertEquals(refusal.error().kind(), ErrorKind.SUSPECT_REQUEST);
         assertTrue(place(nodes.get(3), Kind.FIRST, "harmless") instanceof PlacementDecision.Placed);
     }
 
     // ---- Weights.
 
     @Test
-    public void allEnginesRunNamedWeightsBeforeTheTimeIsOver() {
+    public void allEnginesRunNamedWeightsWithinTheTimeLimit() {
         fleet.nameWeights(2);
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(2), VirtualFleet.OLD_WEIGHTS_ALLOWED));
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(2), VirtualFleet.WEIGHT_CHANGE_LIMIT));
         assertEquals(fleet.orders.size(), ENGINES);
     }
 
-    // The holder is killed right after the first orders. Some engines ignore fencing numbers, so two holders within the
-    // separation would be obeyed both; and if the next one waits for too long, requests begin on older weights.
+    // The holder is killed right after the first orders. Some engines ignore fencing numbers and would execute the
+    // orders of two holders within the separation; if the next holder waits for too long, requests begin on older
+    // weights.
     @Test
-    public void whenTheHolderDiesAnotherGoesOnAfterTheSeparationAndInTime() {
+    public void anotherHolderContinuesAfterTheSeparationAndInTimeWhenTheFirstFails() {
         fleet.nameWeights(2);
         assertTrue(fleet.bench.runUntil(() -> !fleet.orders.isEmpty(), Duration.ofSeconds(1)));
-        EntryId first = fleet.orders.get(0).from();
-        fleet.bench.node(first.value()).orElseThrow().kill();
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(2), VirtualFleet.OLD_WEIGHTS_ALLOWED));
+        EntryId firstHolder = fleet.orders.get(0).from();
+        fleet.bench.node(firstHolder.value()).orElseThrow().kill();
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(2), VirtualFleet.WEIGHT_CHANGE_LIMIT));
         assertHoldersAreSeparated();
     }
 
-    // An engine has loaded, and its registration tells so before its holder asks it again. The entries had heard that
-    // it
-    // loads, and went on sparing it for a second: on trouble-2 of the second deployment three of eight engines idled
-    // after each roll, while the others got every prompt.
+    // The registration of an engine shows that it has loaded before its holder queries it again. When entries that
+    // had learned that it loads excluded it for another second, three of eight engines were idle after each roll of
+    // the weights, while the others received every prompt.
     @Test
-    public void anEngineThatHasLoadedIsOfUseAgainAtOnce() {
+    public void anEngineThatHasLoadedIsUsedAgainAtOnce() {
         fleet.nameWeights(2);
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(2), VirtualFleet.OLD_WEIGHTS_ALLOWED));
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(2), VirtualFleet.WEIGHT_CHANGE_LIMIT));
         fleet.bench.runFor(Duration.ofMillis(150));
         for (BenchNode node : nodes) {
             Set<EndpointId> used = new HashSet<>();
@@ -255,54 +256,54 @@
         }
     }
 
-    // The holder dies after the first orders, and half of the time is over before the next one may order. It let a
-    // third of the engines load and kept new requests from another third, so that the rest got every prompt for two
-    // seconds: on trouble-2 of the second deployment two of eight, and half of the callers left.
+    // The holder fails after the first orders, and half of the time limit has passed before the next one may order. A
+    // holder that let a third of the engines load and kept new requests from another third left every prompt to the
+    // rest for two seconds: to two of eight engines, and half of the callers disconnected.
     @Test
-    public void aHolderInAHurryLeavesMostEnginesToRequests() {
+    public void aHolderUnderADeadlineLeavesMostEnginesToRequests() {
         fleet.nameWeights(2);
         assertTrue(fleet.bench.runUntil(() -> !fleet.orders.isEmpty(), Duration.ofSeconds(1)));
         fleet.bench.node(fleet.orders.get(0).from().value()).orElseThrow().kill();
-        int most = 0;
+        int maxOutOfUse = 0;
         Duration step = Duration.ofMillis(10);
-        for (Duration passed = Duration.ZERO; !fleet.allRun(2); passed = passed.plus(step)) {
-            assertTrue(passed.compareTo(VirtualFleet.OLD_WEIGHTS_ALLOWED) < 0, "not in time");
+        for (Duration passed = Duration.ZERO; !fleet.allEnginesRun(2); passed = passed.plus(step)) {
+            assertTrue(passed.compareTo(VirtualFleet.WEIGHT_CHANGE_LIMIT) < 0, "not in time");
             fleet.bench.runFor(step);
-            most = Math.max(most, fleet.enginesOutOfUse());
+            maxOutOfUse = Math.max(maxOutOfUse, fleet.enginesOutOfUse());
         }
-        assertTrue(most <= ENGINES / 2 - 1, most + " of " + ENGINES + " engines out of use");
+        assertTrue(maxOutOfUse <= ENGINES / 2 - 1, maxOutOfUse + " of " + ENGINES + " engines out of use");
     }
 
     // The holder is cut off from the service and from all entries, but reaches the engines. It must stop by its own
-    // clock, since nobody can tell it.
+    // clock, since no message can reach it.
     @Test
     public void aHolderThatIsCutOffStopsBeforeTheNextOneBegins() {
         fleet.nameWeights(2);
         assertTrue(fleet.bench.runUntil(() -> !fleet.orders.isEmpty(), Duration.ofSeconds(1)));
-        BenchNode first = fleet.bench.node(fleet.orders.get(0).from().value()).orElseThrow();
-        fleet.bench.keyValue().cutOff(first.entry());
-        fleet.bench.cutFromAll(first);
+        BenchNode firstHolder =
+                fleet.bench.node(fleet.orders.get(0).from().value()).orElseThrow();
+        fleet.bench.keyValue().cutOff(firstHolder.entry());
+        fleet.bench.cutFromAll(firstHolder);
         fleet.bench.runFor(Duration.ofSeconds(2));
         fleet.nameWeights(3);
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(3), LONG));
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(3), TIMEOUT));
         assertHoldersAreSeparated();
     }
 
-    // Orders are carried out, but their answers are lost. Ordering again blindly would load twice; believing them lost
-    // would leave engines behind.
+    // Orders are executed, but their answers are lost. A blind retry would load the weights twice; treating the
+    // orders as lost would leave engines on old weights.
     @Test
-    public void anOrderWithoutAnswerIsNeitherRepeatedBlindlyNorGivenUp() {
-        fleet.loseAnswersOfOrders(5);
+    public void anOrderWithoutAnswerIsNeitherRetriedBlindlyNorGivenUp() {
+        fleet.loseOrderAnswers(5);
         fleet.nameWeights(2);
-        assertTrue(fleet.bench.runUntil(() -> fleet.allRun(2), VirtualFleet.OLD_WEIGHTS_ALLOWED));
+        assertTrue(fleet.bench.runUntil(() -> fleet.allEnginesRun(2), VirtualFleet.WEIGHT_CHANGE_LIMIT));
         assertEquals(fleet.orders.size(), ENGINES);
     }
 
-    // Seed trouble-2 of the first deployment: version 3 was named four seconds after version 2 while its holder stood
-    // still. The time limit was counted anew from version 3, so requests began on version 1 eight seconds after
-    // version 2 had been named.
+    // Version 3 is named four seconds after version 2 while the holder is suspended. When the time limit was counted
+    // from version 3, requests began on version 1 eight seconds after version 2 had been named.
     @Test
-    public void aSecondNamingDoesNotExtendTheTimeOfTheFirst() {
+    public void aSecondWeightChangeDoesNotExtendTheTimeLimitOfTheFirst() {
         fleet.dropOrders();
         fleet.nameWeights(2);
         fleet.bench.runFor(Duration.ofSeconds(4));
@@ -323,7 +324,7 @@
         }
     }
 
-    private boolean allServe() {
+    private boolean allEntriesServe() {
         return nodes.stream()
                 .allMatch(node -> node.state(PeersSnapshot.class)
                                 .orElse(PeersSnapshot.none())
@@ -332,7 +333,7 @@
                         == ENTRIES);
     }
 
-    private EndpointId placedOn(BenchNode node) {
+    private EndpointId placeAndAnswer(BenchNode node) {
         PlacementDecision decision = place(node, Kind.FIRST, "f");
         end(node, decision, AttemptEnded.End.ANSWERED);
         return ((PlacementDecision.Placed) decision).endpoint().id();
--- a/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
@@ -28,19 +28,19 @@
 import org.yuccagw.standins.platform.PlatformDocuments;
 import org.yuccagw.standins.platform.SmallDeployment;
 
-/** The whole path over real sockets: directory, entry, endpoint, answer. */
+/** The whole path of a request over real sockets: directory, entry, endpoint, answer. */
 public class GatewayPathTest {
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private KeyValueStandIn keyValue;
     private ScriptedEndpoint endpoint;
-    private ScriptedEndpoint inNeed;
+    private ScriptedEndpoint limited;
     private ScriptedEndpoint busy;
     private ScriptedEndpoint leaving;
     private HttpCaller caller;
     private GatewaySettings settings;
     private GatewayDaemon daemon;
-    private int requests;
+    private int sentRequests;
 
     @BeforeClass
     public void startAll() throws Exception {
@@ -66,14 +66,15 @@
         keyValue.put(
                 PlatformDocuments.endpointKey("i-1"),
                 PlatformDocuments.endpoint("plain", endpoint.address(), "a", false));
-        inNeed = startEndpoint("i-2", "in-need");
+        limited = startEndpoint("i-2", "in-need");
         busy = startEndpoint("i-3", "busy");
         leaving = startEndpoint("i-4", "leaving");
         settings = GatewaySettingsReader.parse(
                 SmallDeployment.settings("entry-1", keyValue.address(), SmallDeployment.freePorts(4)));
         daemon = GatewayDaemon.start(settings);
-        await().atMost(LONG).until(() -> status(HttpQuery.get(settings.readiness(), SmallDeployment.READINESS)) == 200);
-        await().atMost(LONG).until(() -> ask("/once/x").status() == 200);
+        await().atMost(TIMEOUT)
+                .until(() -> status(HttpQuery.get(settings.readiness(), SmallDeployment.READINESS)) == 200);
+        await().atMost(TIMEOUT).until(() -> post("/once/x").status() == 200);
     }
 
     private ScriptedEndpoint startEndpoint(String id, String service) throws IOException {
@@ -88,21 +89,21 @@
         daemon.halt();
         caller.stop();
         endpoint.close();
-        inNeed.close();
+        limited.close();
         busy.close();
         leaving.close();
         keyValue.stop();
     }
 
     @Test
-    public void theDirectoryNamesTheEntry() throws Exception {
+    public void theDirectoryListsTheEntry() throws Exception {
         HttpAnswer answer = send(HttpQuery.get(settings.directory(), SmallDeployment.DIRECTORY));
         assertTrue(answer.text().contains("\"" + settings.callers() + "\""), answer.text());
     }
 
     @Test
-    public void anAnswerComesWithTheEndpointsHeadersAndBody() throws Exception {
-        HttpAnswer answer = ask("/once/plain");
+    public void anAnswerHasTheHeadersAndTheBodyOfTheEndpoint() throws Exception {
+        HttpAnswer answer = post("/once/plain");
         assertEquals(answer.status(), 200);
         assertEquals(answer.text(), "body");
         assertEquals(answer.header("Yuccagw-Response-Seal"), "seal-1");
@@ -110,70 +111,70 @@
     }
 
     @Test
-    public void theEndpointGetsTheWorkspaceAndTheRestOfTheTimeAndNoKey() throws Exception {
-        ask("/once/looked-at");
-        Map<String, String> arrived = endpoint.requests().stream()
+    public void theEndpointReceivesTheWorkspaceAndTheRemainingTimeButNoKey() throws Exception {
+        post("/once/looked-at");
+        Map<String, String> received = endpoint.requests().stream()
                 .filter(request -> request.get(":line").contains("looked-at"))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(arrived.get(":line"), "POST /once/looked-at HTTP/1.1");
-        assertEquals(arrived.get(":body"), "question");
-        assertEquals(arrived.get("yuccagw-tenant"), "ministry");
-        assertEquals(arrived.get("yuccagw-expect-instance"), "i-1");
-        assertFalse(arrived.containsKey("authorization"));
-        assertTrue(Integer.parseInt(arrived.get("yuccagw-deadline-ms")) <= 2_000);
+        assertEquals(received.get(":line"), "POST /once/looked-at HTTP/1.1");
+        assertEquals(received.get(":body"), "question");
+        assertEquals(received.get("yuccagw-tenant"), "ministry");
+        assertEquals(received.get("yuccagw-expect-instance"), "i-1");
+        assertFalse(received.containsKey("authorization"));
+        assertTrue(Integer.parseInt(received.get("yuccagw-deadline-ms")) <= 2_000);
     }
 
     @Test
-    public void unknownRoutesAndKeysAreTurnedAway() throws Exception {
-        assertEquals(ask("/nowhere/x").status(), 404);
+    public void unknownRoutesAndKeysAreRefused() throws Exception {
+        assertEquals(post("/nowhere/x").status(), 404);
         assertEquals(send(request("/once/x", "stolen")).status(), 401);
     }
 
     @Test
-    public void aStreamArrivesWholeAndInOrder() throws Exception {
-        HttpAnswer answer = ask("/stream/stream");
+    public void aStreamArrivesCompletelyAndInOrder() throws Exception {
+        HttpAnswer answer = post("/stream/stream");
         assertEquals(answer.text(), "id: 1\ndata: word1\n\nid: 2\ndata: word2\n\nid: 3\ndata: word3\n\n");
     }
 
     @Test
-    public void anAnswerThatEndsWithItsConnectionIsWhole() throws Exception {
-        assertEquals(ask("/once/unframed").text(), "until the end");
+    public void anAnswerThatEndsWithItsConnectionIsComplete() throws Exception {
+        assertEquals(post("/once/unframed").text(), "until the end");
     }
 
-    // The answer has neither a length nor an end that could be told from a break. Taken for an empty one it would reach
-    // the caller as a success without its body.
+    // The answer has no length, and its end can't be told from a broken connection. Read as an empty answer it would
+    // reach the caller as a success without its body.
     @Test
-    public void anAnswerWhoseEndCantBeToldIsNotPassedOnAsWhole() throws Exception {
-        assertEquals(ask("/once/bare").status(), 502);
+    public void anAnswerWithoutARecognizableEndIsNotForwardedAsComplete() throws Exception {
+        assertEquals(post("/once/bare").status(), 502);
     }
 
-    // A late answer to another request comes in place of the own one.
+    // The endpoint sends a late answer to another request instead of the answer to this one.
     @Test
-    public void anAnswerToAnotherRequestIsNotPassedOn() throws Exception {
-        HttpAnswer answer = ask("/once/foreign");
+    public void anAnswerToAnotherRequestIsNotForwarded() throws Exception {
+        HttpAnswer answer = post("/once/foreign");
         assertEquals(answer.status(), 502);
         assertFalse(answer.text().contains("forged"));
     }
 
-    // The endpoint sends a second answer behind the first. On the kept connection it would be read as the answer to
-    // whatever request comes next.
+    // The endpoint sends a second answer after the first. On a reused connection it would be read as the answer to
+    // the next request.
     @Test
-    public void aSecondAnswerBehindTheFirstReachesNobody() throws Exception {
+    public void aSecondAnswerAfterTheFirstReachesNoCaller() throws Exception {
         for (int index = 0; index < 5; index++) {
-            assertEquals(ask("/again/twice").text(), "first");
-            assertEquals(ask("/again/plain").text(), "body");
+            assertEquals(post("/again/twice").text(), "first");
+            assertEquals(post("/again/plain").text(), "body");
         }
     }
 
     @Test
-    public void anAnswerThatBreaksOffIsSeenToBeBroken() {
-        expectThrows(ExecutionException.class, () -> ask("/once/torn"));
+    public void anAnswerThatBreaksOffEndsWithAnError() {
+        expectThrows(ExecutionException.class, () -> post("/once/torn"));
     }
 
     @Test
     public void aRequestThatMayHaveRunIsNotSentTwice() throws Exception {
-        assertEquals(ask("/once/reset").status(), 502);
+        assertEquals(post("/once/reset").status(), 502);
         assertEquals(
                 endpoint.requests().stream()
                         .filter(request -> request.get(":line").contains("/once/reset"))
@@ -181,26 +182,26 @@
                 1);
     }
 
-    // The caller closes its connection while its request runs. Nothing is read from that connection then, so without a
-    // watch the endpoint would work on for seconds, for nobody.
+    // The caller closes its connection while its request runs. The entry reads nothing from that connection
+    // meanwhile, so unless it watches for the close the endpoint would work for seconds in vain.
     @Test
-    public void theEndpointIsToldAtOnceThatTheCallerLeft() throws Exception {
+    public void theEndpointIsDisconnectedAtOnceWhenTheCallerDisconnects() throws Exception {
         try (Socket socket =
                 new Socket(settings.callers().host(), settings.callers().port())) {
             write(socket, head("GET /again/hang", "leaver"));
-            await().atMost(LONG)
+            await().atMost(TIMEOUT)
                     .until(() -> endpoint.requests().stream()
                             .anyMatch(request -> "leaver".equals(request.get("yuccagw-request-id"))));
         }
-        assertTrue(endpoint.sawCallerGo(5_000));
+        assertTrue(endpoint.awaitCallerDisconnect(5_000));
     }
 
-    // Two requests in one write: the second one sits in the buffer while the first runs and must not get lost.
+    // Two requests arrive in one write: the second one stays in the buffer while the first runs and must not be lost.
     @Test
-    public void aRequestThatWasSentAheadIsAnsweredNext() throws Exception {
+    public void aPipelinedRequestIsAnsweredNext() throws Exception {
         try (Socket socket =
                 new Socket(settings.callers().host(), settings.callers().port())) {
-            socket.setSoTimeout((int) LONG.toMillis());
+            socket.setSoTimeout((int) TIMEOUT.toMillis());
             String one = head("GET /again/plain", "ahead-1");
             write(socket, one + one.replace("ahead-1", "ahead-2"));
             StringBuilder read = new StringBuilder();
@@ -214,12 +215,12 @@
         }
     }
 
-    // A body of a length told in two ways would smuggle a second request behind the first.
+    // A body whose length is given in two ways could smuggle a second request behind the first.
     @Test
     public void anAmbiguousBodyIsRefusedAndItsConnectionClosed() throws Exception {
         try (Socket socket =
                 new Socket(settings.callers().host(), settings.callers().port())) {
-            socket.setSoTimeout((int) LONG.toMillis());
+            socket.setSoTimeout((int) TIMEOUT.toMillis());
             String twoLengths = "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n";
             String visible = head("POST /once/smuggle", "s-1").replaceFirst("Host", twoLengths + "Host");
             write(socket, visible + "0\r\n\r\n" + head("GET /once/hidden", "s-2"));
@@ -231,59 +232,61 @@
                         || request.get(":line").contains("smuggle")));
     }
 
-    // It says in each answer what it takes, and gets whatever callers ask for all the same.
+    // The endpoint names its rate limit in each answer. Without the limit it would receive every request of its
+    // callers.
     @Test
-    public void anEndpointThatNamesARateLimitGetsNoMoreAndCallersAreRefusedAtOnceWithATime() throws Exception {
-        await().atMost(LONG).until(() -> ask("/spared/limited").status() == 200);
-        int before = inNeed.requests().size();
-        long begunNanos = System.nanoTime();
+    public void anEndpointReceivesNoMoreThanItsRateLimitAndCallersAreRefusedAtOnceWithARetryTime() throws Exception {
+        await().atMost(TIMEOUT).until(() -> post("/spared/limited").status() == 200);
+        int before = limited.requests().size();
+        long startNanos = System.nanoTime();
         int refused = 0;
         for (int index = 0; index < 20; index++) {
-            HttpAnswer answer = ask("/spared/limited");
+            HttpAnswer answer = post("/spared/limited");
             if (answer.status() == 503) {
                 refused++;
                 assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0, answer.text());
             }
         }
-        double seconds = (System.nanoTime() - begunNanos) / 1e9;
-        int arrived = inNeed.requests().size() - before;
-        assertTrue(arrived <= 1 + seconds, arrived + " arrived in " + seconds + " s");
-        assertEquals(refused, 20 - arrived);
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        int received = limited.requests().size() - before;
+        assertTrue(received <= 1 + seconds, received + " requests arrived in " + seconds + " s");
+        assertEquals(refused, 20 - received);
     }
 
-    // It is the only one of its service, wants nothing for thirty seconds, and is asked by every caller all the same.
+    // The endpoint is the only one of its service and names a back-off of thirty seconds. Without the back-off it
+    // would receive the request of every caller.
     @Test
-    public void anEndpointThatTurnsAwayForAWhileGetsOneRequestAndCallersAreToldWhenToComeBack() throws Exception {
-        await().atMost(LONG)
+    public void aRejectingEndpointReceivesOneRequestAndCallersAreRefusedWithARetryTime() throws Exception {
+        await().atMost(TIMEOUT)
                 .until(() ->
-                        ask("/busy/busy").status() == 503 && !busy.requests().isEmpty());
+                        post("/busy/busy").status() == 503 && !busy.requests().isEmpty());
         for (int index = 0; index < 5; index++) {
-            HttpAnswer answer = ask("/busy/busy");
+            HttpAnswer answer = post("/busy/busy");
             assertEquals(answer.status(), 503);
             assertTrue(Double.parseDouble(answer.header("Retry-After")) > 20, answer.header("Retry-After"));
         }
         assertEquals(busy.requests().size(), 1);
     }
 
-    // Its registration says nothing of it.
+    // The registration of the endpoint is not marked.
     @Test
-    public void anEndpointThatSaysInAnAnswerThatItLeavesGetsNoFurtherRequest() throws Exception {
-        await().atMost(LONG).until(() -> ask("/leaving/leaving").status() == 200);
+    public void anEndpointThatAnnouncesInAnAnswerThatItLeavesReceivesNoFurtherRequest() throws Exception {
+        await().atMost(TIMEOUT).until(() -> post("/leaving/leaving").status() == 200);
         for (int index = 0; index < 3; index++) {
-            assertEquals(ask("/leaving/leaving").status(), 503);
+            assertEquals(post("/leaving/leaving").status(), 503);
         }
         assertEquals(leaving.requests().size(), 1);
     }
 
-    private HttpAnswer ask(String path) throws Exception {
+    private HttpAnswer post(String path) throws Exception {
         return send(request(path, "key-1"));
     }
 
     private HttpQuery request(String path, String key) {
-        requests++;
+        sentRequests++;
         return HttpQuery.of("POST", settings.callers(), path, "question".getBytes(StandardCharsets.UTF_8))
                 .withHeader("Host", "a.example")
-                .withHeader("Yuccagw-Request-Id", "r-" + requests)
+                .withHeader("Yuccagw-Request-Id", "r-" + sentRequests)
                 .withHeader("Yuccagw-Deadline-Ms", "2000")
                 .withHeader("Authorization", "Bearer " + key);
     }
@@ -298,7 +301,7 @@
 
     private HttpAnswer send(HttpQuery query)
             throws InterruptedException, ExecutionException, java.util.concurrent.TimeoutException {
-        return caller.send(query).get(LONG.toSeconds(), TimeUnit.SECONDS);
+        return caller.send(query).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private static String head(String line, String id) {
--- a/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
@@ -20,30 +20,30 @@
 import org.yuccagw.standins.platform.SmallDeployment;
 
 public class GatewayStopTest {
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
-    // Seed fresh-f4f1 of the second deployment: four seconds after SIGTERM an entry took a stream that ran for longer
-    // than the time that was left, and its end by force cut the answer. Streams are refused as not run after a third of
-    // the grace time, short requests are still served for callers who kept an old directory, and what was begun before
-    // is answered to its end.
+    // An entry accepted a stream four seconds after SIGTERM that ran for longer than the remaining time, and was cut
+    // when the entry was ended by force. A stopping entry refuses streams as not run after a third of the grace time,
+    // still serves short requests of callers with an old directory, and finishes the answers that were begun before.
     @Test
-    public void aStoppingEntryTakesNoStreamThatItMightCutAndFinishesWhatItTook() throws Exception {
+    public void aStoppingEntryAcceptsNoStreamThatItMightCutAndFinishesItsRequests() throws Exception {
         KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         HttpCaller caller = HttpCaller.start(1);
         try (ScriptedEndpoint endpoint = new ScriptedEndpoint()) {
-            publish(keyValue, endpoint);
+            writeConfiguration(keyValue, endpoint);
             GatewaySettings settings = GatewaySettingsReader.parse(
                     SmallDeployment.settings("entry-1", keyValue.address(), SmallDeployment.freePorts(4)));
             GatewayDaemon daemon = GatewayDaemon.start(settings);
-            await().atMost(LONG).until(() -> ask(caller, settings, "/again/x").status() == 200);
+            await().atMost(TIMEOUT)
+                    .until(() -> post(caller, settings, "/again/x").status() == 200);
             CompletableFuture<HttpAnswer> running = caller.send(request(settings, "/again/hang"));
             Thread stopping = new Thread(daemon::stop, "stop");
             stopping.start();
-            await().atMost(LONG)
-                    .until(() -> ask(caller, settings, "/stream/stream").status() == 503);
-            assertEquals(ask(caller, settings, "/again/x").status(), 200);
-            assertTrue(running.get(LONG.toSeconds(), TimeUnit.SECONDS).status() > 0, "answered, not cut");
-            stopping.join(LONG.toMillis());
+            await().atMost(TIMEOUT)
+                    .until(() -> post(caller, settings, "/stream/stream").status() == 503);
+            assertEquals(post(caller, settings, "/again/x").status(), 200);
+            assertTrue(running.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).status() > 0, "the answer was cut");
+            stopping.join(TIMEOUT.toMillis());
             daemon.awaitStopped();
         } finally {
             caller.stop();
@@ -51,7 +51,7 @@
         }
     }
 
-    private static void publish(KeyValueStandIn keyValue, ScriptedEndpoint endpoint) {
+    private static void writeConfiguration(KeyValueStandIn keyValue, ScriptedEndpoint endpoint) {
         keyValue.put(
                 PlatformDocuments.CONFIGURATION,
                 PlatformDocuments.configuration(1)
@@ -64,8 +64,8 @@
                 PlatformDocuments.endpoint("plain", endpoint.address(), "a", false));
     }
 
-    private static HttpAnswer ask(HttpCaller caller, GatewaySettings settings, String path) throws Exception {
-        return caller.send(request(settings, path)).get(LONG.toSeconds(), TimeUnit.SECONDS);
+    private static HttpAnswer post(HttpCaller caller, GatewaySettings settings, String path) throws Exception {
+        return caller.send(request(settings, path)).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private static HttpQuery request(GatewaySettings settings, String path) {
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -20,10 +20,10 @@
 import org.yuccagw.core.stores.CacheSalt;
 import org.yuccagw.standins.platform.PlatformDocuments;
 
-/** Routes and workspaces that are bound to regions: their requests run there and nowhere else. */
+/** Routes and workspaces that are bound to regions: their requests run in these regions only. */
 public class HomesTest {
-    private static final int MESH = 8;
-    private static final int LARGE = 40;
+    private static final int MESH_FLEET_SIZE = 8;
+    private static final int LARGE_FLEET_SIZE = 40;
     private static final List<String> ENGINES = List.of("north-1", "north-2", "south-1", "south-2");
 
     private VirtualFleet fleet;
@@ -54,17 +54,17 @@
 
     @DataProvider
     public Object[][] sizes() {
-        return new Object[][] {{MESH}, {LARGE}};
+        return new Object[][] {{MESH_FLEET_SIZE}, {LARGE_FLEET_SIZE}};
     }
 
-    // Survey tables may not leave the north. Callers in the south connect to southern entries; their prompts still have
-    // to run in the north, also when its engines are the busier ones.
+    // Survey tables may not leave the north. Callers in the south connect to southern entries; their prompts still
+    // have to run in the north, also when its engines have the higher load.
     @Test(dataProvider = "sizes")
-    public void promptsOfARouteWithHomesRunThereWhicheverEntryTakesThem(int entries) {
+    public void promptsOfARouteWithHomesRunThereWhicheverEntryAcceptsThem(int entries) {
         start(entries, "north");
         for (int round = 0; round < 3; round++) {
             for (BenchNode node : nodes) {
-                PlacementDecision decision = fleet.placeLong(node, 2_000);
+                PlacementDecision decision = fleet.placeLongPrompt(node, 2_000);
                 if (decision instanceof PlacementDecision.Placed placed) {
                     assertEquals(placed.endpoint().domain(), VirtualFleet.NORTHERN);
                     assertTrue(placed.salt().orElseThrow().contains("@north"), "salt: " + placed.salt());
@@ -73,24 +73,24 @@
         }
     }
 
-    // The only home has no engines. Waiting can't help, so callers are told at once, as not run.
+    // The only home has no engines. Waiting can't help, so callers are refused at once as not run.
     @Test(dataProvider = "sizes")
-    public void whatNoHomeCanServeIsRefusedAtOnce(int entries) {
+    public void requestsThatNoHomeCanServeAreRefusedAtOnce(int entries) {
         start(entries, "east");
-        long asked = fleet.bench.time().nowNanos();
+        long requestedNanos = fleet.bench.time().nowNanos();
         PlacementDecision decision = fleet.place(nodes.get(1), "/model/x", Kind.FIRST, "f");
         assertTrue(decision instanceof PlacementDecision.Refused, "decision: " + decision);
         assertEquals(((PlacementDecision.Refused) decision).error().kind(), ErrorKind.NO_ENDPOINT);
-        long millis = (fleet.bench.time().nowNanos() - asked) / 1_000_000;
+        long millis = (fleet.bench.time().nowNanos() - requestedNanos) / 1_000_000;
         assertTrue(millis < 100, "refused after " + millis + " ms");
     }
 
     @Test
-    public void withoutHomesEveryRegionServes() {
-        start(MESH);
+    public void everyRegionServesARouteWithoutHomes() {
+        start(MESH_FLEET_SIZE);
         List<FailureDomain> used = new ArrayList<>();
         for (BenchNode node : nodes) {
-            if (fleet.placeLong(node, 9_000) instanceof PlacementDecision.Placed placed) {
+            if (fleet.placeLongPrompt(node, 9_000) instanceof PlacementDecision.Placed placed) {
                 used.add(placed.endpoint().domain());
             }
         }
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void whereRouteAndWorkspaceHaveHomesBothBind() {
+    public void theHomesOfRouteAndWorkspaceBothApply() {
         Homes route = Homes.in(List.of(Region.of("north"), Region.of("south")));
         Homes workspace = Homes.in(List.of(Region.of("south"), Region.of("east")));
         Homes both = route.and(workspace);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    public void whatBoundPromptsLeaveHasANameOfItsOwn() {
+    public void theCacheOfBoundPromptsHasItsOwnSalt() {
         Homes north = Homes.in(List.of(Region.of("north")));
         String bound = CacheSalt.of(Optional.empty(), north, 7);
         assertFalse(bound.equals(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 7)));
--- a/src/test/java/org/yuccagw/daemon/LargeFleetTest.java
+++ b/src/test/java/org/yuccagw/daemon/LargeFleetTest.java
@@ -19,20 +19,20 @@
 import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.peers.PeersSnapshot;
 
-/** Heartbeats and the following of the key-value service where leads of failure domains do it for others. */
+/** Heartbeats and the following of the key-value service where leads of failure domains do both for other entries. */
 public class LargeFleetTest {
     private static final int DOMAINS = 5;
-    private static final int OF_EACH = 8;
-    private static final Duration LONG = Duration.ofSeconds(20);
+    private static final int ENTRIES_PER_DOMAIN = 8;
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     /**
-     * The aim is 1.5 s; in virtual time a lead looks each 0.1 s, and what it tells takes 60 ms
-     * within its domain and as much again within the others.
+     * The aim is 1.5 s. In virtual time a lead checks every 0.1 s, and its messages take 60 ms within its domain and
+     * another 60 ms within the other domains.
      */
-    private static final Duration DEATH_NOTICED = Duration.ofMillis(1_900);
+    private static final Duration FAILURE_DETECTION_LIMIT = Duration.ofMillis(1_900);
 
-    /** The tightest bound on a change of the configuration in deployments of this size. */
-    private static final Duration CHANGE_BOUND = Duration.ofSeconds(3);
+    /** The tightest limit for a change of the configuration in deployments of this size. */
+    private static final Duration CHANGE_LIMIT = Duration.ofSeconds(3);
 
     private VirtualFleet fleet;
     private List<BenchNode> nodes;
@@ -40,19 +40,19 @@
     @BeforeMethod
     public void startEntries() {
         fleet = new VirtualFleet();
-        start(DOMAINS, OF_EACH);
+        start(DOMAINS, ENTRIES_PER_DOMAIN);
     }
 
-    private void start(int domains, int ofEach) {
+    private void start(int domains, int entriesPerDomain) {
         nodes = new ArrayList<>();
         for (int domain = 0; domain < domains; domain++) {
-            for (int index = 0; index < ofEach; index++) {
+            for (int index = 0; index < entriesPerDomain; index++) {
                 nodes.add(fleet.start("entry-" + domain + "-" + index, domain("" + domain)));
             }
         }
         fleet.configure(1);
         fleet.addEngine("engine-1");
-        assertTrue(allSeeAllWithin(LONG));
+        assertTrue(directoriesAreCompleteWithin(TIMEOUT));
         fleet.bench.runFor(Duration.ofSeconds(4));
     }
 
@@ -60,17 +60,17 @@
         return FailureDomain.of("domain-" + name);
     }
 
-    // ---- What it costs.
+    // ---- Cost.
 
     @Test
-    public void anOrdinaryEntryOf95SendsAtMostThirtyMessagesASecondAndOneOf300AtMostSixty() {
-        assertTrue(mostSentByOrdinaryEntry(5, 19) <= 30);
-        assertTrue(mostSentByOrdinaryEntry(5, 60) <= 60);
+    public void aFollowerSendsAtMostThirtyMessagesASecondAmong95EntriesAndSixtyAmong300() {
+        assertTrue(maxMessagesSentByFollowers(5, 19) <= 30);
+        assertTrue(maxMessagesSentByFollowers(5, 60) <= 60);
     }
 
-    private double mostSentByOrdinaryEntry(int domains, int ofEach) {
+    private double maxMessagesSentByFollowers(int domains, int entriesPerDomain) {
         fleet = new VirtualFleet();
-        start(domains, ofEach);
+        start(domains, entriesPerDomain);
         nodes.forEach(BenchNode::forgetCounts);
         fleet.bench.runFor(Duration.ofSeconds(5));
         Set<EntryId> leads = leads();
@@ -91,181 +91,182 @@
         assertTrue(watches <= DOMAINS * 8 / 0.6 + DOMAINS, "watches: " + watches);
     }
 
-    // ---- Who lives.
+    // ---- Membership.
 
-    // An entry dies, and callers that are sent to it lose a second of their time. Only the leads of its domain hear its
-    // heartbeats; all others must learn of its death from them.
+    // An entry fails, and each caller that is sent to it loses a second. Only the leads of its domain receive its
+    // heartbeats; all other entries must learn of the failure from them.
     @Test
-    public void anEntryThatDiesLeavesAllDirectories() {
-        BenchNode dead = ordinary().get(0);
-        dead.kill();
-        assertTrue(fleet.bench.runUntil(() -> nobodyNames(dead), DEATH_NOTICED));
-        assertTrue(allSeeAll());
+    public void aFailedEntryLeavesAllDirectories() {
+        BenchNode failed = followers().get(0);
+        failed.kill();
+        assertTrue(fleet.bench.runUntil(() -> isInNoDirectory(failed), FAILURE_DETECTION_LIMIT));
+        assertTrue(directoriesAreComplete());
     }
 
-    // The entries of a domain hear of each other from its leads only. All of these die in one moment, so nobody tells
-    // the others any more who lives, and what they know grows old.
+    // The entries of a domain learn of each other from its leads only. All of these fail at once, so no entry reports
+    // to the others which entries are alive, and their state becomes old.
     @Test
-    public void whenAllLeadsOfADomainDieItsOthersGoOnSeeingEachOther() {
+    public void entriesKeepListingEachOtherWhenAllLeadsOfTheirDomainFail() {
         List<BenchNode> leads = leadsOf("0");
         assertEquals(leads.size(), 2);
         leads.forEach(BenchNode::kill);
         fleet.bench.runFor(Duration.ofSeconds(4));
-        assertEquals(differences(), "");
+        assertEquals(directoryDifferences(), "");
         assertEquals(leadsOf("0").size(), 2);
     }
 
-    // The same, but looked at all the while: from the moment of the loss on no living entry may vanish from a directory
-    // of its own domain, since callers would crowd the others.
+    // The same, checked all the time: from the loss of the leads on no live entry may leave a directory of its own
+    // domain, since callers would crowd the others.
     @Test
-    public void noLivingEntryVanishesFromItsDomainsDirectoriesWhenTheLeadsDie() {
+    public void noLiveEntryLeavesTheDirectoriesOfItsDomainWhenTheLeadsFail() {
         leadsOf("0").forEach(BenchNode::kill);
         for (int step = 0; step < 40; step++) {
             fleet.bench.runFor(Duration.ofMillis(100));
-            for (BenchNode node : living(domain("0"))) {
-                Set<EntryId> named = named(node);
-                living(domain("0"))
-                        .forEach(other -> assertTrue(named.contains(other.entry()), other.entry() + " vanished"));
+            for (BenchNode node : liveEntries(domain("0"))) {
+                Set<EntryId> listedEntries = listedEntries(node);
+                liveEntries(domain("0"))
+                        .forEach(other ->
+                                assertTrue(listedEntries.contains(other.entry()), other.entry() + " left a directory"));
             }
         }
     }
 
-    // Six in ten entries are killed at once, leads and those next in the order among them. Whoever turns to a dead one
-    // finds out only by silence, one round after the other.
+    // Six of ten entries are killed at once, leads and those next in the order among them. An entry that follows a
+    // failed lead finds out only by the missing answers, one attempt after the other.
     @Test
-    public void afterTheLossOfMostEntriesTheOthersSeeEachOther() {
+    public void theRemainingEntriesListEachOtherAfterTheLossOfMostEntries() {
         for (int index = 0; index < nodes.size(); index++) {
             if (index % 5 < 3) {
                 nodes.get(index).kill();
             }
         }
         fleet.bench.runFor(Duration.ofSeconds(5));
-        assertEquals(differences(), "");
+        assertEquals(directoryDifferences(), "");
         fleet.bench.runFor(Duration.ofSeconds(3));
-        assertEquals(differences(), "");
+        assertEquals(directoryDifferences(), "");
     }
 
-    // All lose power and come back together. Nobody knows who leads, and what the key-value service lists are processes
-    // that are gone; until somebody tells, each directory names one entry and callers crowd a few.
+    // All entries lose power and return together. No lead is known, and the key-value service lists processes that
+    // have ended; until the entries learn of each other, each directory lists one entry and callers crowd a few.
     @Test
-    public void afterTheLossOfAllEntriesTheyFindEachOther() {
+    public void allEntriesFindEachOtherAfterTheLossOfAll() {
         nodes.forEach(BenchNode::kill);
         fleet.bench.runFor(Duration.ofSeconds(1));
-        nodes = new ArrayList<>(nodes.stream().map(this::startAgain).toList());
-        assertTrue(allSeeAllWithin(Duration.ofMillis(800)));
+        nodes = new ArrayList<>(nodes.stream().map(this::restart).toList());
+        assertTrue(directoriesAreCompleteWithin(Duration.ofMillis(800)));
         fleet.bench.runFor(Duration.ofSeconds(4));
-        assertTrue(allSeeAll());
+        assertTrue(directoriesAreComplete());
     }
 
-    // Every entry is stopped and started in turn, leads too. An entry that says it stops must leave the directories as
-    // soon as a dead one, and the one that starts must come into them, while the leads change under them.
+    // Every entry is stopped and started in turn, leads too. An entry that announces its stop must leave the
+    // directories as fast as a failed one, and the new start must enter them, while the leads change meanwhile.
     @Test
-    public void entriesThatAreRestartedInTurnComeAndGoInAllDirectories() {
+    public void entriesThatAreRestartedInTurnLeaveAndEnterAllDirectories() {
         for (int index = 0; index < nodes.size(); index++) {
             BenchNode node = nodes.get(index);
             node.offer(new StopRequested());
-            fleet.bench.runUntil(() -> nobodyNames(node), DEATH_NOTICED);
-            assertEquals(whoNames(node).toString(), "[]", "at " + node.entry());
+            fleet.bench.runUntil(() -> isInNoDirectory(node), FAILURE_DETECTION_LIMIT);
+            assertEquals(entriesListing(node).toString(), "[]", "at " + node.entry());
             fleet.bench.runFor(Duration.ofMillis(200));
             node.kill();
             fleet.bench.runFor(Duration.ofMillis(200));
-            nodes.set(index, startAgain(node));
-            allSeeAllWithin(Duration.ofSeconds(2));
-            assertEquals(differences(), "", "at " + node.entry());
+            nodes.set(index, restart(node));
+            directoriesAreCompleteWithin(Duration.ofSeconds(2));
+            assertEquals(directoryDifferences(), "", "at " + node.entry());
         }
     }
 
-    // A domain is cut off from all others. Its entries must go on serving their own callers, and name nobody whom these
-    // can't be sent to for sure; after the cut all see all again.
+    // A domain is cut off from all others. Its entries must continue to serve their own callers, and list no entry
+    // that these callers might not reach; after the network partition has ended every directory lists all entries.
     @Test
-    public void aDomainThatIsCutOffGoesOnAloneAndComesBack() {
-        for (BenchNode inside : living(domain("0"))) {
+    public void aDomainThatIsCutOffContinuesAloneAndRejoins() {
+        for (BenchNode inside : liveEntries(domain("0"))) {
             nodes.stream()
                     .filter(node -> !node.identity().domain().equals(domain("0")))
                     .forEach(outside -> fleet.bench.cut(inside, outside));
         }
         fleet.bench.runFor(Duration.ofSeconds(4));
-        for (BenchNode inside : living(domain("0"))) {
-            assertEquals(named(inside), ids(living(domain("0"))));
+        for (BenchNode inside : liveEntries(domain("0"))) {
+            assertEquals(listedEntries(inside), idsOf(liveEntries(domain("0"))));
         }
         fleet.bench.healNetwork();
-        assertTrue(allSeeAllWithin(Duration.ofSeconds(4)));
+        assertTrue(directoriesAreCompleteWithin(Duration.ofSeconds(4)));
     }
 
     @Test
-    public void aDomainOfOneEntryIsSeenByAll() {
+    public void aDomainOfOneEntryIsListedByAll() {
         nodes.add(fleet.start("entry-alone", domain("alone")));
-        assertTrue(allSeeAllWithin(Duration.ofSeconds(2)));
+        assertTrue(directoriesAreCompleteWithin(Duration.ofSeconds(2)));
         BenchNode alone = nodes.remove(nodes.size() - 1);
         alone.kill();
-        assertTrue(fleet.bench.runUntil(() -> nobodyNames(alone), Duration.ofSeconds(3)));
+        assertTrue(fleet.bench.runUntil(() -> isInNoDirectory(alone), Duration.ofSeconds(3)));
     }
 
-    // A lead hears an entry and the other lead doesn't: the connection between the two is cut one way. Were both
-    // believed, the entry would come and go with every heartbeat.
+    // One lead receives the heartbeats of an entry and the other lead doesn't: messages are lost in one direction. If
+    // the views of both were applied, the entry would leave and enter the directories with every heartbeat.
     @Test
-    public void anEntryThatOnlyOneLeadHearsDoesNotComeAndGo() {
+    public void anEntryWhoseHeartbeatsOnlyOneLeadReceivesStaysListed() {
         List<BenchNode> leads = leadsOf("0");
-        BenchNode entry = ordinary().get(0);
+        BenchNode entry = followers().get(0);
         fleet.bench.cutOneWay(entry, leads.get(1));
         fleet.bench.runFor(Duration.ofSeconds(3));
         for (int step = 0; step < 30; step++) {
             fleet.bench.runFor(Duration.ofMillis(100));
             for (BenchNode node : nodes) {
-                assertTrue(named(node).contains(entry.entry()), "step " + step + " at " + node.entry());
+                assertTrue(listedEntries(node).contains(entry.entry()), "step " + step + " at " + node.entry());
             }
         }
     }
 
-    // An entry is removed for good and a new one comes at another address under the same name.
+    // An entry is removed for good and a new one starts at another address under the same name.
     @Test
-    public void anEntryThatComesBackUnderAnotherAddressIsNamedWithIt() {
-        BenchNode old = ordinary().get(0);
+    public void anEntryThatReturnsAtAnotherAddressIsListedWithIt() {
+        BenchNode old = followers().get(0);
         old.kill();
         fleet.bench.runFor(Duration.ofMillis(500));
-        BenchNode again = startAgain(old);
-        nodes.set(nodes.indexOf(old), again);
+        BenchNode restarted = restart(old);
+        nodes.set(nodes.indexOf(old), restarted);
         assertTrue(fleet.bench.runUntil(
                 () -> nodes.stream()
                         .filter(node -> !node.isDead())
-                        .allMatch(node -> contacts(node).contains(VirtualFleet.contactOf(again))),
+                        .allMatch(node -> listedContacts(node).contains(VirtualFleet.contactOf(restarted))),
                 Duration.ofSeconds(2)));
     }
 
-    // The time of day on a VM is set back by some seconds, and its entry starts again. By its incarnation it seems
-    // older
-    // than the process before it, whose heartbeats others may still have in mind.
+    // The wall clock of a VM is set back by some seconds, and its entry starts again. Its incarnation is lower than
+    // that of the process before it, whose heartbeats other entries may still have.
     @Test
-    public void anEntryThatStartsAgainAfterItsClockWasSetBackIsNamed() {
-        BenchNode old = ordinary().get(0);
+    public void anEntryThatRestartsAfterItsClockWasSetBackIsListed() {
+        BenchNode old = followers().get(0);
         fleet.bench.stepWallClock(Duration.ofSeconds(60).negated());
         old.kill();
         fleet.bench.runFor(Duration.ofMillis(300));
-        nodes.set(nodes.indexOf(old), startAgain(old));
-        assertTrue(allSeeAllWithin(Duration.ofSeconds(4)), differences());
+        nodes.set(nodes.indexOf(old), restart(old));
+        assertTrue(directoriesAreCompleteWithin(Duration.ofSeconds(4)), directoryDifferences());
         fleet.bench.runFor(Duration.ofSeconds(3));
-        assertEquals(differences(), "");
+        assertEquals(directoryDifferences(), "");
     }
 
-    // ---- What is told of the key-value service.
+    // ---- Changes of the key-value service.
 
     @Test
     public void aChangeReachesEveryEntryWithinAFewMessages() {
         fleet.configure(2);
-        assertTrue(fleet.bench.runUntil(() -> allHave(2), Duration.ofMillis(200)));
+        assertTrue(fleet.bench.runUntil(() -> allHaveConfiguration(2), Duration.ofMillis(200)));
     }
 
-    // All leads are killed just before a change. Their followers hear nothing of it and must look themselves.
+    // All leads are killed just before a change. Their followers receive no update and must query the service
+    // themselves.
     @Test
     public void aChangeReachesAllInTimeWhenTheLeadsWereKilled() {
         allLeads().forEach(BenchNode::kill);
         fleet.configure(2);
-        assertTrue(fleet.bench.runUntil(() -> allHave(2), CHANGE_BOUND));
+        assertTrue(fleet.bench.runUntil(() -> allHaveConfiguration(2), CHANGE_LIMIT));
     }
 
-    // The leads stand still, so their connections stay open and nothing breaks off.
+    // The leads are suspended, so their connections stay open without an error.
     @Test
-    public void aChangeReachesAllInTimeWhenTheLeadsStandStill() {
+    public void aChangeReachesAllInTimeWhenTheLeadsAreSuspended() {
         List<BenchNode> leads = allLeads();
         leads.forEach(lead -> lead.pause(Duration.ofSeconds(10)));
         fleet.configure(2);
@@ -273,51 +274,51 @@
                 () -> nodes.stream()
                         .filter(node -> !leads.contains(node))
                         .allMatch(node -> VirtualFleet.configurationOf(node) == 2),
-                CHANGE_BOUND));
+                CHANGE_LIMIT));
     }
 
-    // The service turns away just the leads and serves the others and the operators.
+    // The service rejects just the leads and serves the other entries and the operators.
     @Test
-    public void aChangeReachesAllInTimeWhenTheServiceTurnsTheLeadsAway() {
+    public void aChangeReachesAllInTimeWhenTheServiceRejectsTheLeads() {
         allLeads().forEach(lead -> fleet.bench.keyValue().cutOff(lead.entry()));
         fleet.bench.runFor(Duration.ofMillis(100));
         fleet.configure(2);
-        assertTrue(fleet.bench.runUntil(() -> allHave(2), CHANGE_BOUND));
+        assertTrue(fleet.bench.runUntil(() -> allHaveConfiguration(2), CHANGE_LIMIT));
     }
 
-    // What a lead sends doesn't arrive any more, while it hears the others: it believes that it leads them.
+    // The messages of a lead are lost, while it receives those of the others: in its own view it still leads them.
     @Test
-    public void aChangeReachesAllInTimeWhenWhatLeadsSendIsLost() {
+    public void aChangeReachesAllInTimeWhenTheMessagesOfLeadsAreLost() {
         for (BenchNode lead : allLeads()) {
             nodes.stream().filter(node -> node != lead).forEach(node -> fleet.bench.cutOneWay(lead, node));
         }
         fleet.configure(2);
-        assertTrue(fleet.bench.runUntil(() -> allHave(2), CHANGE_BOUND));
+        assertTrue(fleet.bench.runUntil(() -> allHaveConfiguration(2), CHANGE_LIMIT));
     }
 
-    // The message with a change is lost on the way to one entry. The next change builds on it, so taking that one alone
-    // would make the entry believe that it knows everything.
+    // The message with a change is lost on the way to one entry. The next change builds on it; an entry that applied
+    // that one alone would take its state for complete.
     @Test
-    public void anEntryThatMissedAChangeAsksForIt() {
+    public void anEntryThatMissedAChangeRequestsIt() {
         BenchNode lead = leadsOf("0").get(0);
-        BenchNode entry = ordinary().get(0);
+        BenchNode entry = followers().get(0);
         fleet.bench.cutOneWay(lead, entry);
         fleet.addPlain("plain-1");
         fleet.bench.runFor(Duration.ofMillis(120));
         fleet.bench.healNetwork();
         fleet.configure(2);
-        assertTrue(fleet.bench.runUntil(() -> allHave(2), Duration.ofSeconds(1)));
+        assertTrue(fleet.bench.runUntil(() -> allHaveConfiguration(2), Duration.ofSeconds(1)));
         fleet.bench.runFor(Duration.ofSeconds(1));
-        assertTrue(fleet.knows(entry, "plain-1"));
+        assertTrue(fleet.isUsable(entry, "plain-1"));
     }
 
-    // ---- Helpers.
+    // ---- Helper methods.
 
-    private BenchNode startAgain(BenchNode node) {
+    private BenchNode restart(BenchNode node) {
         return fleet.start(node.entry().value(), node.identity().domain());
     }
 
-    private List<BenchNode> living(FailureDomain domain) {
+    private List<BenchNode> liveEntries(FailureDomain domain) {
         return nodes.stream()
                 .filter(node -> !node.isDead() && node.identity().domain().equals(domain))
                 .toList();
@@ -341,78 +342,84 @@
                 .toList();
     }
 
-    /** Entries of the first domain that don't lead. */
-    private List<BenchNode> ordinary() {
+    /** Returns the entries of the first domain that don't lead. */
+    private List<BenchNode> followers() {
         Set<EntryId> leads = leads();
-        return living(domain("0")).stream()
+        return liveEntries(domain("0")).stream()
                 .filter(node -> !leads.contains(node.entry()))
                 .toList();
     }
 
-    private static List<EntryContact> contacts(BenchNode node) {
+    private static List<EntryContact> listedContacts(BenchNode node) {
         return node.state(PeersSnapshot.class).orElseThrow().serving();
     }
 
-    private static Set<EntryId> named(BenchNode node) {
-        return contacts(node).stream().map(EntryContact::entry).collect(Collectors.toSet());
+    private static Set<EntryId> listedEntries(BenchNode node) {
+        return listedContacts(node).stream().map(EntryContact::entry).collect(Collectors.toSet());
     }
 
-    private static Set<EntryId> ids(List<BenchNode> some) {
+    private static Set<EntryId> idsOf(List<BenchNode> some) {
         return some.stream().map(BenchNode::entry).collect(Collectors.toSet());
     }
 
-    private boolean nobodyNames(BenchNode dead) {
-        return whoNames(dead).isEmpty();
+    private boolean isInNoDirectory(BenchNode failed) {
+        return entriesListing(failed).isEmpty();
     }
 
-    private Set<EntryId> whoNames(BenchNode dead) {
+    private Set<EntryId> entriesListing(BenchNode failed) {
         return nodes.stream()
-                .filter(node -> !node.isDead() && node != dead && named(node).contains(dead.entry()))
+                .filter(node ->
+                        !node.isDead() && node != failed && listedEntries(node).contains(failed.entry()))
                 .map(BenchNode::entry)
                 .collect(Collectors.toSet());
     }
 
-    /** Looks at every entry each 50 ms only: a look at 300 entries takes longer than the events between. */
-    private boolean allSeeAllWithin(Duration limit) {
+    /** Checks every entry each 50 ms only: a check of 300 entries takes longer than the events between. */
+    private boolean directoriesAreCompleteWithin(Duration limit) {
         long end = fleet.bench.time().nowNanos() + limit.toNanos();
-        while (!allSeeAll() && fleet.bench.time().nowNanos() < end) {
+        while (!directoriesAreComplete() && fleet.bench.time().nowNanos() < end) {
             fleet.bench.runFor(Duration.ofMillis(50));
         }
-        return allSeeAll();
+        return directoriesAreComplete();
     }
 
-    private boolean allSeeAll() {
-        List<BenchNode> living = nodes.stream().filter(node -> !node.isDead()).toList();
-        Set<EntryId> all = ids(living);
-        return living.stream().allMatch(node -> named(node).equals(all));
+    private boolean directoriesAreComplete() {
+        List<BenchNode> liveEntries =
+                nodes.stream().filter(node -> !node.isDead()).toList();
+        Set<EntryId> all = idsOf(liveEntries);
+        return liveEntries.stream().allMatch(node -> listedEntries(node).equals(all));
     }
 
-    /** What each entry doesn't see though it lives, and sees though it is dead; empty if all see all. */
-    private String differences() {
-        List<BenchNode> living = nodes.stream().filter(node -> !node.isDead()).toList();
-        Set<EntryId> all = ids(living);
+    /**
+     * Describes which live entries each directory lacks and which failed entries it lists; empty if all directories
+     * are complete.
+     */
+    private String directoryDifferences() {
+        List<BenchNode> liveEntries =
+                nodes.stream().filter(node -> !node.isDead()).toList();
+        Set<EntryId> all = idsOf(liveEntries);
         StringBuilder text = new StringBuilder();
-        for (BenchNode node : living) {
-            Set<EntryId> missing = Sets.difference(all, named(node));
-            Set<EntryId> dead = Sets.difference(named(node), all);
-            if (!missing.isEmpty() || !dead.isEmpty()) {
-                text.append(node.entry() + " lacks " + missing + ", names dead " + dead + "; ");
+        for (BenchNode node : liveEntries) {
+            Set<EntryId> missing = Sets.difference(all, listedEntries(node));
+            Set<EntryId> failed = Sets.difference(listedEntries(node), all);
+            if (!missing.isEmpty() || !failed.isEmpty()) {
+                text.append(node.entry() + " lacks " + missing + ", lists failed " + failed + "; ");
             }
         }
         return text.toString();
     }
 
-    private boolean allHave(long version) {
+    private boolean allHaveConfiguration(long version) {
         return nodes.stream()
                 .filter(node -> !node.isDead())
                 .allMatch(node -> VirtualFleet.configurationOf(node) == version);
     }
 
     @Test
-    public void fewEntriesStillHearEachOtherDirectly() {
+    public void fewEntriesExchangeHeartbeatsDirectly() {
         fleet = new VirtualFleet();
         start(2, 4);
         assertFalse(leads().isEmpty());
-        assertEquals(leads(), ids(nodes));
+        assertEquals(leads(), idsOf(nodes));
     }
 }
--- a/src/test/java/org/yuccagw/daemon/LeavingEndpointTest.java
+++ b/src/test/java/org/yuccagw/daemon/LeavingEndpointTest.java
@@ -9,122 +9,124 @@
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
 
-/** Engines that say in their answers that they leave, whatever their registration says. */
+/** Engines that announce in their answers that they leave, whatever their registration says. */
 public class LeavingEndpointTest {
-    private static final Duration BOUND = Duration.ofSeconds(2);
-    private static final Duration AT_ONCE = Duration.ofMillis(50);
+    private static final Duration NOTICE_BOUND = Duration.ofSeconds(2);
+    private static final Duration IMMEDIATE = Duration.ofMillis(50);
     private static final int ENGINES = 12;
-    private static final int MESH = 8;
-    private static final int LARGE = 66;
-    private static final String LEAVING = "engine-0";
+    private static final int MESH_FLEET_SIZE = 8;
+    private static final int LARGE_FLEET_SIZE = 66;
+    private static final String LEAVING_ENGINE = "engine-0";
 
     @DataProvider
     public Object[][] sizes() {
-        return new Object[][] {{MESH}, {20}, {LARGE}, {95}};
+        return new Object[][] {{MESH_FLEET_SIZE}, {20}, {LARGE_FLEET_SIZE}, {95}};
     }
 
-    private static VirtualLoad startLeaving(int entries) {
+    private static VirtualLoad startWithLeavingEngine(int entries) {
         VirtualLoad load = VirtualLoad.start(entries, ENGINES);
-        load.play(Duration.ofSeconds(1));
-        load.leave(LEAVING);
+        load.runTraffic(Duration.ofSeconds(1));
+        load.startLeaving(LEAVING_ENGINE);
         return load;
     }
 
-    private static void assertSpared(VirtualLoad load, Duration after) {
-        List<VirtualLoad.Arrival> late = load.arrivalsAfterHeardLeaving(LEAVING, after);
+    private static void assertNoLateArrivals(VirtualLoad load, Duration delay) {
+        List<VirtualLoad.Arrival> late = load.arrivalsAfterLeavingNotice(LEAVING_ENGINE, delay);
         assertTrue(
                 late.isEmpty(),
-                late.size() + " requests of entries that had heard it, first: " + (late.isEmpty() ? "" : late.get(0)));
+                late.size() + " requests of entries that had received the notice, first: "
+                        + (late.isEmpty() ? "" : late.get(0)));
     }
 
-    // The registration says it many seconds later, since the key-value service is away.
+    // The registration is marked many seconds later, since the key-value service is unavailable.
     @Test(dataProvider = "sizes")
-    public void anEndpointThatSaysThatItLeavesGetsNoMoreRequestsFromWhoeverHeardIt(int entries) {
-        VirtualLoad load = startLeaving(entries);
+    public void entriesThatReceivedALeavingNoticeSendNoMoreRequests(int entries) {
+        VirtualLoad load = startWithLeavingEngine(entries);
         load.fleet.bench.keyValue().setDown(true);
-        load.play(Duration.ofSeconds(6));
-        assertSpared(load, BOUND);
+        load.runTraffic(Duration.ofSeconds(6));
+        assertNoLateArrivals(load, NOTICE_BOUND);
         assertEquals(load.refused.size(), 0);
     }
 
     @Test(dataProvider = "sizes")
-    public void anEndpointThatSaysThatItLeavesIsSparedAtOnce(int entries) {
-        VirtualLoad load = startLeaving(entries);
-        load.play(Duration.ofSeconds(3));
-        assertSpared(load, AT_ONCE);
+    public void aLeavingNoticeTakesEffectAtOnce(int entries) {
+        VirtualLoad load = startWithLeavingEngine(entries);
+        load.runTraffic(Duration.ofSeconds(3));
+        assertNoLateArrivals(load, IMMEDIATE);
     }
 
-    // Its registration lapsed in an outage and comes back as it was, without the mark.
+    // The registration expires in an outage and is written again unchanged, without the mark of a leaving endpoint.
     @Test(dataProvider = "sizes")
-    public void anEndpointThatLeavesIsNotUsedAgainWhenItsOldRegistrationComesBack(int entries) {
-        VirtualLoad load = startLeaving(entries);
-        load.play(Duration.ofSeconds(2));
-        load.fleet.lapse(LEAVING);
-        load.play(Duration.ofSeconds(5));
-        load.fleet.addEngine(LEAVING, VirtualLoad.domainOf(0), Duration.ZERO);
-        load.play(Duration.ofSeconds(3));
-        assertSpared(load, BOUND);
+    public void aLeavingEndpointIsNotUsedAgainWhenItsOldRegistrationReturns(int entries) {
+        VirtualLoad load = startWithLeavingEngine(entries);
+        load.runTraffic(Duration.ofSeconds(2));
+        load.fleet.expireRegistration(LEAVING_ENGINE);
+        load.runTraffic(Duration.ofSeconds(5));
+        load.fleet.addEngine(LEAVING_ENGINE, VirtualLoad.domainOf(0), Duration.ZERO);
+        load.runTraffic(Duration.ofSeconds(3));
+        assertNoLateArrivals(load, NOTICE_BOUND);
     }
 
-    // It is cut off from the other entries, and nobody else can tell it.
+    // The entry is cut off from the other entries, so that no other entry can send it the notice.
     @Test
-    public void anEntryThatIsCutOffSparesAnEndpointThatLeavesByItsOwnAnswers() {
-        VirtualLoad load = startLeaving(LARGE);
+    public void anEntryThatIsCutOffAppliesTheLeavingNoticesItReceivedItself() {
+        VirtualLoad load = startWithLeavingEngine(LARGE_FLEET_SIZE);
         load.nodes.subList(0, 10).forEach(load.fleet.bench::cutFromAll);
-        load.play(Duration.ofSeconds(6));
-        assertSpared(load, BOUND);
+        load.runTraffic(Duration.ofSeconds(6));
+        assertNoLateArrivals(load, NOTICE_BOUND);
     }
 
-    // A lead that has just started names the endpoint to entries that know better.
+    // A newly started lead places requests on the endpoint although their entries have received its notice.
     @Test
-    public void entriesSpareAnEndpointThatLeavesThoughTheirLeadHasJustStarted() {
-        VirtualLoad load = startLeaving(LARGE);
-        load.play(Duration.ofSeconds(3));
+    public void entriesExcludeALeavingEndpointThoughTheirLeadHasJustStarted() {
+        VirtualLoad load = startWithLeavingEngine(LARGE_FLEET_SIZE);
+        load.runTraffic(Duration.ofSeconds(3));
         BenchNode lead = load.node(load.fleet.leadsKnownTo(load.nodes.get(0)).get(0));
         load.restart(lead);
-        load.play(Duration.ofSeconds(5));
-        assertSpared(load, BOUND);
+        load.runTraffic(Duration.ofSeconds(5));
+        assertNoLateArrivals(load, NOTICE_BOUND);
     }
 
     @Test
-    public void theNextStartOfAnEndpointThatLeftIsUsed() {
-        VirtualLoad load = startLeaving(MESH);
-        load.play(Duration.ofSeconds(2));
-        load.restartEngine(LEAVING);
+    public void anEndpointThatLeftIsUsedAfterItsRestart() {
+        VirtualLoad load = startWithLeavingEngine(MESH_FLEET_SIZE);
+        load.runTraffic(Duration.ofSeconds(2));
+        load.restartEngine(LEAVING_ENGINE);
         load.fleet.bench.runFor(Duration.ofMillis(300));
         long from = load.now();
-        load.play(Duration.ofSeconds(1));
-        long got = load.count(LEAVING, from, load.now());
-        assertTrue(got > 10, "got " + got);
+        load.runTraffic(Duration.ofSeconds(1));
+        long received = load.count(LEAVING_ENGINE, from, load.now());
+        assertTrue(received > 10, "received " + received);
     }
 
-    // It started again under its id while the key-value service was away, so entries know the earlier start only.
+    // The endpoint starts again under its id while the key-value service is unavailable, so entries know its earlier
+    // start only.
     @Test
     public void anEndpointThatLeavesIsSparedThoughItsLastStartWasNotSeen() {
-        VirtualLoad load = VirtualLoad.start(MESH, ENGINES);
+        VirtualLoad load = VirtualLoad.start(MESH_FLEET_SIZE, ENGINES);
         load.fleet.bench.keyValue().setDown(true);
         load.nodes.forEach(load.fleet.bench::cutFromAll);
-        load.play(Duration.ofSeconds(1));
-        load.restartEngine(LEAVING);
-        load.leave(LEAVING);
-        load.play(Duration.ofSeconds(3));
+        load.runTraffic(Duration.ofSeconds(1));
+        load.restartEngine(LEAVING_ENGINE);
+        load.startLeaving(LEAVING_ENGINE);
+        load.runTraffic(Duration.ofSeconds(3));
         load.fleet.bench.keyValue().setDown(false);
-        load.play(Duration.ofSeconds(4));
-        List<VirtualLoad.Arrival> late = load.arrivalsAfterHeardLeavingOfAnyStart(LEAVING, BOUND);
-        assertTrue(late.isEmpty(), late.size() + " requests of entries that had heard it");
+        load.runTraffic(Duration.ofSeconds(4));
+        List<VirtualLoad.Arrival> late = load.arrivalsAfterLeavingNoticeOfAnyStart(LEAVING_ENGINE, NOTICE_BOUND);
+        assertTrue(late.isEmpty(), late.size() + " requests of entries that had received the notice");
     }
 
-    // Half of the engines say so within one answer; the others are there to carry the load.
+    // Half of the engines announce within one answer that they leave; the others have to carry the load.
     @Test(dataProvider = "sizes")
     public void halfOfAServiceMayLeaveAtOnce(int entries) {
         VirtualLoad load = VirtualLoad.start(entries, ENGINES);
-        load.play(Duration.ofSeconds(1));
+        load.runTraffic(Duration.ofSeconds(1));
         for (int index = 0; index < ENGINES / 2; index++) {
-            load.leave("engine-" + index);
+            load.startLeaving("engine-" + index);
         }
-        load.play(Duration.ofSeconds(5));
+        load.runTraffic(Duration.ofSeconds(5));
         for (int index = 0; index < ENGINES / 2; index++) {
-            List<VirtualLoad.Arrival> late = load.arrivalsAfterHeardLeaving("engine-" + index, BOUND);
+            List<VirtualLoad.Arrival> late = load.arrivalsAfterLeavingNotice("engine-" + index, NOTICE_BOUND);
             assertTrue(late.isEmpty(), late.size() + " requests to engine-" + index);
         }
         assertEquals(load.refused.size(), 0);
--- a/src/test/java/org/yuccagw/daemon/NoticeScheduleTest.java
+++ b/src/test/java/org/yuccagw/daemon/NoticeScheduleTest.java
@@ -11,19 +11,19 @@
 import org.yuccagw.bench.control.BenchNode;
 
 /**
- * Random schedules: engines say that they leave, turn requests away for a while, load weights and start again, while
- * entries are killed, stand still and are cut off, and the key-value service is away. {@code -Dnotice.seeds=50} plays
- * more of them.
+ * Random schedules: engines announce that they leave, reject requests with a back-off, load weights and start again,
+ * while entries are killed, suspended and cut off, and the key-value service is unavailable. {@code
+ * -Dnotice.seeds=50} runs more schedules.
  */
 public class NoticeScheduleTest {
-    private static final String SEEDS = "notice.seeds";
-    private static final int USUAL_SEEDS = 2;
+    private static final String SEEDS_PROPERTY = "notice.seeds";
+    private static final int DEFAULT_SEEDS = 2;
     private static final int ENGINES = 9;
     private static final int STEPS = 24;
-    private static final Duration APART = Duration.ofMillis(6);
-    private static final Duration LEAVING_BOUND = Duration.ofSeconds(2);
-    private static final Duration HEARD_BY_THEN = Duration.ofMillis(500);
-    private static final long ALLOWED = 2;
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(6);
+    private static final Duration LEAVING_NOTICE_BOUND = Duration.ofSeconds(2);
+    private static final Duration NOTICE_SPREAD_TIME = Duration.ofMillis(500);
+    private static final long MAX_CALLS_DURING_BACK_OFF = 2;
     private static final int[] SIZES = {8, 20};
 
     private VirtualLoad load;
@@ -32,7 +32,7 @@
 
     @DataProvider
     public Object[][] seeds() {
-        int count = Integer.getInteger(SEEDS, USUAL_SEEDS);
+        int count = Integer.getInteger(SEEDS_PROPERTY, DEFAULT_SEEDS);
         List<Object[]> seeds = new ArrayList<>();
         for (int seed = 0; seed < count; seed++) {
             for (int entries : SIZES) {
@@ -45,27 +45,27 @@
     @Test(dataProvider = "seeds")
     public void whatEndpointsSayOfThemselvesIsKeptWhateverHappens(int seed, int entries) {
         load = VirtualLoad.start(entries, ENGINES);
-        load.callEvery(APART);
+        load.setRequestInterval(REQUEST_INTERVAL);
         random = new SplittableRandom(seed);
         weights = 1;
         for (int step = 0; step < STEPS; step++) {
-            happen();
-            load.play(Duration.ofMillis(500 + random.nextInt(2_000)));
-            assertNothingArrivesAtThoseThatLeave();
+            applyRandomEvent();
+            load.runTraffic(Duration.ofMillis(500 + random.nextInt(2_000)));
+            assertNoArrivalsAtLeavingEngines();
         }
-        long most = load.mostWhileTurnedAway(HEARD_BY_THEN, load.allCalls());
-        assertTrue(most <= ALLOWED, most + " calls of one entry to an engine that had turned it away");
+        long max = load.maxSentDuringBackOff(NOTICE_SPREAD_TIME, load.allCalls());
+        assertTrue(max <= MAX_CALLS_DURING_BACK_OFF, max + " calls of one entry to an engine during its back-off");
         assertTrue(load.served > load.refused.size(), load.served + " served, " + load.refused.size() + " refused");
     }
 
-    private void assertNothingArrivesAtThoseThatLeave() {
+    private void assertNoArrivalsAtLeavingEngines() {
         for (int index = 0; index < ENGINES; index++) {
-            List<VirtualLoad.Arrival> late = load.arrivalsAfterHeardLeaving("engine-" + index, LEAVING_BOUND);
+            List<VirtualLoad.Arrival> late = load.arrivalsAfterLeavingNotice("engine-" + index, LEAVING_NOTICE_BOUND);
             assertTrue(late.isEmpty(), late.size() + " requests to engine-" + index + " which leaves");
         }
     }
 
-    private void happen() {
+    private void applyRandomEvent() {
         BenchNode node = load.nodes.get(random.nextInt(load.nodes.size()));
         String engine = "engine-" + random.nextInt(ENGINES);
         switch (random.nextInt(11)) {
@@ -74,11 +74,11 @@
             case 2 -> load.cut(node);
             case 3 -> load.fleet.bench.healNetwork();
             case 4 -> load.fleet.bench.keyValue().setDown(random.nextBoolean());
-            case 5 -> load.leave(engine);
+            case 5 -> load.startLeaving(engine);
             case 6 -> load.restartEngine(engine);
-            case 7 -> load.takeAgain(engine);
+            case 7 -> load.acceptAgain(engine);
             case 8 -> load.fleet.nameWeights(++weights);
-            default -> load.turnAway(engine, Duration.ofMillis(300 + random.nextInt(8_000)));
+            default -> load.reject(engine, Duration.ofMillis(300 + random.nextInt(8_000)));
         }
     }
 }
--- a/src/test/java/org/yuccagw/daemon/RateLimitScheduleTest.java
+++ b/src/test/java/org/yuccagw/daemon/RateLimitScheduleTest.java
@@ -26,36 +26,36 @@
 import org.yuccagw.core.placing.PlacementDecision;
 
 /**
- * Random schedules: engines name rate limits, change and end them, while entries are killed, started, stand still and
- * are cut off, in series and overlapping. {@code -Drate.limit.seeds=50} plays more of them.
+ * Random schedules: engines name rate limits, change and end them, while entries are killed, started, suspended and
+ * cut off, one after the other and overlapping. {@code -Drate.limit.seeds=50} runs more schedules.
  */
 public class RateLimitScheduleTest {
-    private static final String SEEDS = "rate.limit.seeds";
-    private static final int USUAL_SEEDS = 2;
+    private static final String SEEDS_PROPERTY = "rate.limit.seeds";
+    private static final int DEFAULT_SEEDS = 2;
     private static final int ENGINES = 9;
     private static final int STEPS = 24;
-    private static final int MESH = 8;
-    private static final int LARGE = 20;
+    private static final int MESH_FLEET_SIZE = 8;
+    private static final int LARGE_FLEET_SIZE = 20;
     private static final int TOKENS = 800;
-    private static final Duration APART = Duration.ofMillis(6);
-    private static final Duration FIRST_TOKEN = Duration.ofMillis(30);
-    private static final Duration ANSWER = Duration.ofMillis(400);
-    private static final Duration IN_FORCE_AFTER = Duration.ofSeconds(3);
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(6);
+    private static final Duration FIRST_TOKEN_TIME = Duration.ofMillis(30);
+    private static final Duration ANSWER_TIME = Duration.ofMillis(400);
+    private static final Duration SETTLING_TIME = Duration.ofSeconds(3);
     private static final Duration WINDOW = Duration.ofSeconds(4);
-    private static final double OVERAGE = 1.5;
-    private static final int SLACK = 5;
+    private static final double ALLOWED_OVERAGE = 1.5;
+    private static final int ALLOWED_SLACK = 5;
 
     private VirtualFleet fleet;
     private List<BenchNode> nodes;
     private SplittableRandom random;
     private Map<String, Limit> limits;
-    private List<Limit> ended;
+    private List<Limit> endedLimits;
     private Map<String, List<Long>> arrivals;
-    private Map<EntryId, Long> excusedUntilNanos;
-    private Set<EntryId> cut;
-    private int next;
+    private Map<EntryId, Long> exemptUntilNanos;
+    private Set<EntryId> cutOff;
+    private int nextNode;
 
-    /** One limit of an engine, from when it was named to when it changed or ended. */
+    /** A rate limit of an engine, from the time at which it was named to the time at which it changed or ended. */
     private record Limit(String engine, double perSecond, long fromNanos, long untilNanos) {
         private Limit until(long nanos) {
             return new Limit(engine, perSecond, fromNanos, nanos);
@@ -64,11 +64,11 @@
 
     @DataProvider
     public Object[][] seeds() {
-        int count = Integer.getInteger(SEEDS, USUAL_SEEDS);
+        int count = Integer.getInteger(SEEDS_PROPERTY, DEFAULT_SEEDS);
         Object[][] seeds = new Object[2 * count][];
         for (int seed = 0; seed < count; seed++) {
-            seeds[2 * seed] = new Object[] {seed, MESH};
-            seeds[2 * seed + 1] = new Object[] {seed, LARGE};
+            seeds[2 * seed] = new Object[] {seed, MESH_FLEET_SIZE};
+            seeds[2 * seed + 1] = new Object[] {seed, LARGE_FLEET_SIZE};
         }
         return seeds;
     }
@@ -77,11 +77,11 @@
     public void rateLimitsAreKeptWhateverHappensToEntries(int seed, int entries) {
         start(seed, entries);
         for (int step = 0; step < STEPS; step++) {
-            happen();
-            play(Duration.ofMillis(500 + random.nextInt(2_000)));
+            applyRandomEvent();
+            runTraffic(Duration.ofMillis(500 + random.nextInt(2_000)));
         }
-        limits.values().forEach(limit -> ended.add(limit.until(now())));
-        for (Limit limit : ended) {
+        limits.values().forEach(limit -> endedLimits.add(limit.until(now())));
+        for (Limit limit : endedLimits) {
             assertKept(limit);
         }
     }
@@ -91,11 +91,11 @@
         random = new SplittableRandom(seed);
         nodes = new ArrayList<>();
         limits = new HashMap<>();
-        ended = new ArrayList<>();
+        endedLimits = new ArrayList<>();
         arrivals = new HashMap<>();
-        excusedUntilNanos = new HashMap<>();
-        cut = new HashSet<>();
-        next = 0;
+        exemptUntilNanos = new HashMap<>();
+        cutOff = new HashSet<>();
+        nextNode = 0;
         for (int index = 0; index < entries; index++) {
             nodes.add(fleet.start("entry-" + index, domainOf(index)));
         }
@@ -110,86 +110,86 @@
         return index % 2 == 0 ? VirtualFleet.NORTHERN : VirtualFleet.SOUTHERN;
     }
 
-    private void happen() {
+    private void applyRandomEvent() {
         int index = random.nextInt(nodes.size());
         BenchNode node = nodes.get(index);
         switch (random.nextInt(8)) {
             case 0 -> restart(index, node);
             case 1 -> pause(node);
-            case 2 -> cut(node);
+            case 2 -> cutOff(node);
             case 3 -> heal();
-            case 4 -> end("engine-" + random.nextInt(ENGINES));
-            default -> name("engine-" + random.nextInt(ENGINES), 0.3 + random.nextInt(60) / 10.0);
+            case 4 -> endRateLimit("engine-" + random.nextInt(ENGINES));
+            default -> setRateLimit("engine-" + random.nextInt(ENGINES), 0.3 + random.nextInt(60) / 10.0);
         }
     }
 
     private void pause(BenchNode node) {
         Duration time = Duration.ofMillis(200 + random.nextInt(4_000));
         node.pause(time);
-        excuse(node.entry(), now() + time.toNanos());
+        exempt(node.entry(), now() + time.toNanos());
     }
 
-    private void cut(BenchNode node) {
+    private void cutOff(BenchNode node) {
         fleet.bench.cutFromAll(node);
-        cut.add(node.entry());
+        cutOff.add(node.entry());
     }
 
     private void heal() {
         fleet.bench.healNetwork();
-        cut.forEach(entry -> excuse(entry, now()));
-        cut.clear();
+        cutOff.forEach(entry -> exempt(entry, now()));
+        cutOff.clear();
     }
 
-    /** What an entry sends until so long after a fault of its own doesn't count. */
-    private void excuse(EntryId entry, long untilNanos) {
-        excusedUntilNanos.merge(entry, untilNanos + IN_FORCE_AFTER.toNanos(), Math::max);
+    /** Exempts what an entry sends until the settling time after a fault of its own. */
+    private void exempt(EntryId entry, long untilNanos) {
+        exemptUntilNanos.merge(entry, untilNanos + SETTLING_TIME.toNanos(), Math::max);
     }
 
-    private boolean isExcused(EntryId entry) {
-        return cut.contains(entry) || now() < excusedUntilNanos.getOrDefault(entry, 0L);
+    private boolean isExempt(EntryId entry) {
+        return cutOff.contains(entry) || now() < exemptUntilNanos.getOrDefault(entry, 0L);
     }
 
     private void restart(int index, BenchNode node) {
         node.kill();
-        excuse(node.entry(), now());
+        exempt(node.entry(), now());
         nodes.set(index, fleet.start(node.entry().value(), domainOf(index)));
     }
 
-    private void name(String engine, double perSecond) {
-        end(engine);
+    private void setRateLimit(String engine, double perSecond) {
+        endRateLimit(engine);
         limits.put(engine, new Limit(engine, perSecond, now(), Long.MAX_VALUE));
     }
 
-    private void end(String engine) {
+    private void endRateLimit(String engine) {
         Limit before = limits.remove(engine);
         if (before != null) {
-            ended.add(before.until(now()));
+            endedLimits.add(before.until(now()));
         }
     }
 
-    private void play(Duration duration) {
-        askNext(now() + duration.toNanos());
+    private void runTraffic(Duration duration) {
+        sendNext(now() + duration.toNanos());
         fleet.bench.runFor(duration);
     }
 
-    private void askNext(long endNanos) {
-        BenchNode node = nodes.get(next++ % nodes.size());
+    private void sendNext(long endNanos) {
+        BenchNode node = nodes.get(nextNode++ % nodes.size());
         if (!node.isDead() && VirtualFleet.configurationOf(node) > 0) {
-            fleet.askPrompt(node, TOKENS, decision -> onDecision(node, decision));
+            fleet.requestPlacement(node, TOKENS, decision -> onDecision(node, decision));
         }
-        if (now() + APART.toNanos() < endNanos) {
-            fleet.bench.time().after(APART, () -> askNext(endNanos));
+        if (now() + REQUEST_INTERVAL.toNanos() < endNanos) {
+            fleet.bench.time().after(REQUEST_INTERVAL, () -> sendNext(endNanos));
         }
     }
 
     private void onDecision(BenchNode node, PlacementDecision decision) {
         if (decision instanceof PlacementDecision.Placed placed) {
-            if (!isExcused(node.entry())) {
-                arrivals.computeIfAbsent(placed.endpoint().id().value(), name -> new ArrayList<>())
+            if (!isExempt(node.entry())) {
+                arrivals.computeIfAbsent(placed.endpoint().id().value(), engine -> new ArrayList<>())
                         .add(now());
             }
-            fleet.bench.time().after(FIRST_TOKEN, () -> onHead(node, placed));
-            fleet.bench.time().after(ANSWER, () -> node.offer(new AttemptEnded(placed.ticket(), End.ANSWERED)));
+            fleet.bench.time().after(FIRST_TOKEN_TIME, () -> onHead(node, placed));
+            fleet.bench.time().after(ANSWER_TIME, () -> node.offer(new AttemptEnded(placed.ticket(), End.ANSWERED)));
         }
     }
 
@@ -209,11 +209,11 @@
     }
 
     private void assertKept(Limit limit) {
-        long from = limit.fromNanos() + IN_FORCE_AFTER.toNanos();
+        long from = limit.fromNanos() + SETTLING_TIME.toNanos();
         List<Long> times = arrivals.getOrDefault(limit.engine(), List.of()).stream()
                 .filter(at -> at >= from && at < limit.untilNanos())
                 .toList();
-        double bound = limit.perSecond() * WINDOW.toSeconds() * OVERAGE + SLACK;
+        double bound = limit.perSecond() * WINDOW.toSeconds() * ALLOWED_OVERAGE + ALLOWED_SLACK;
         for (int first = 0; first < times.size(); first++) {
             int last = first;
             while (last < times.size() && times.get(last) - times.get(first) < WINDOW.toNanos()) {
--- a/src/test/java/org/yuccagw/daemon/RateLimitTest.java
+++ b/src/test/java/org/yuccagw/daemon/RateLimitTest.java
@@ -10,20 +10,20 @@
 import org.yuccagw.bench.control.BenchNode;
 
 /**
- * Engines that name a rate limit in their answers: what arrives there from all entries together stays within it, from
- * half a second after it was first named on.
+ * Engines that name a rate limit in their answers: the calls that arrive from all entries together stay within it,
+ * from half a second after it was first named.
  */
 public class RateLimitTest {
-    private static final Duration HEARD_BY_THEN = Duration.ofMillis(500);
-    private static final long AT_ONCE_MILLIS = 50;
+    private static final Duration NOTICE_SPREAD_TIME = Duration.ofMillis(500);
+    private static final long IMMEDIATE_MILLIS = 50;
     private static final int ENGINES = 12;
-    private static final int MESH = 8;
-    private static final int LARGE = 66;
-    private static final String LIMITED = "engine-0";
+    private static final int MESH_FLEET_SIZE = 8;
+    private static final int LARGE_FLEET_SIZE = 66;
+    private static final String LIMITED_ENGINE = "engine-0";
 
     private static final Duration WINDOW = Duration.ofSeconds(4);
-    private static final double OVERAGE = 1.5;
-    private static final int SLACK = 5;
+    private static final double ALLOWED_OVERAGE = 1.5;
+    private static final int ALLOWED_SLACK = 5;
 
     private VirtualLoad load;
 
@@ -31,26 +31,26 @@
         load = VirtualLoad.start(entries, ENGINES);
     }
 
-    /** Starts under load, and has one engine name a limit after a second; returns when. */
-    private long startLimited(int entries, double perSecond) {
+    /** Starts under load and lets one engine name a limit after a second; returns the time at which it does. */
+    private long startWithLimitedEngine(int entries, double perSecond) {
         start(entries);
-        load.play(Duration.ofSeconds(1));
-        load.limit(LIMITED, perSecond);
+        load.runTraffic(Duration.ofSeconds(1));
+        load.setRateLimit(LIMITED_ENGINE, perSecond);
         return load.now();
     }
 
-    // ---- What arrived.
+    // ---- Arrivals.
 
-    private List<Long> requestsOn(String engine) {
-        return timesOn(engine, load.arrivals);
+    private List<Long> requestTimesAt(String engine) {
+        return timesAt(engine, load.arrivals);
     }
 
-    /** Requests and all other calls to the engine, in order. */
-    private List<Long> arrivalsOn(String engine) {
-        return timesOn(engine, load.allCalls());
+    /** Returns the times of requests and all other calls to the engine, in order. */
+    private List<Long> callTimesAt(String engine) {
+        return timesAt(engine, load.allCalls());
     }
 
-    private static List<Long> timesOn(String engine, List<VirtualLoad.Arrival> arrivals) {
+    private static List<Long> timesAt(String engine, List<VirtualLoad.Arrival> arrivals) {
         return arrivals.stream()
                 .filter(arrival -> arrival.engine().equals(engine))
                 .map(VirtualLoad.Arrival::atNanos)
@@ -58,34 +58,34 @@
                 .toList();
     }
 
-    private static int most(List<Long> arrivals, long fromNanos) {
+    private static int maxInWindow(List<Long> arrivals, long fromNanos) {
         List<Long> times = arrivals.stream().filter(at -> at >= fromNanos).toList();
-        int most = 0;
+        int max = 0;
         for (int first = 0; first < times.size(); first++) {
             int last = first;
             while (last < times.size() && times.get(last) - times.get(first) < WINDOW.toNanos()) {
                 last++;
             }
-            most = Math.max(most, last - first);
+            max = Math.max(max, last - first);
         }
-        return most;
+        return max;
     }
 
-    private static void assertWithin(double perSecond, List<Long> arrivals, long namedNanos) {
-        double bound = perSecond * WINDOW.toSeconds() * OVERAGE + SLACK;
-        int most = most(arrivals, namedNanos + HEARD_BY_THEN.toNanos());
-        assertTrue(most <= bound, most + " in " + WINDOW.toSeconds() + " s, bound " + bound);
+    private static void assertWithin(double perSecond, List<Long> arrivals, long limitSetNanos) {
+        double bound = perSecond * WINDOW.toSeconds() * ALLOWED_OVERAGE + ALLOWED_SLACK;
+        int max = maxInWindow(arrivals, limitSetNanos + NOTICE_SPREAD_TIME.toNanos());
+        assertTrue(max <= bound, max + " in " + WINDOW.toSeconds() + " s, bound " + bound);
     }
 
-    private long callsBesideRequests(long fromNanos) {
-        return count(arrivalsOn(LIMITED), fromNanos) - count(requestsOn(LIMITED), fromNanos);
+    private long otherCallsSince(long fromNanos) {
+        return count(callTimesAt(LIMITED_ENGINE), fromNanos) - count(requestTimesAt(LIMITED_ENGINE), fromNanos);
     }
 
     private static long count(List<Long> times, long fromNanos) {
         return times.stream().filter(at -> at >= fromNanos).count();
     }
 
-    /** The entry that sent most to the limited engine since then. */
+    /** Returns the entry that has sent the most requests to the limited engine since the given time. */
     private BenchNode busiestSince(long fromNanos) {
         return load.nodes.stream()
                 .max(Comparator.comparingLong(node -> sentBy(node, fromNanos)))
@@ -95,242 +95,247 @@
     private long sentBy(BenchNode node, long fromNanos) {
         return load.arrivals.stream()
                 .filter(arrival -> arrival.from().equals(node.entry()))
-                .filter(arrival -> arrival.engine().equals(LIMITED) && arrival.atNanos() >= fromNanos)
+                .filter(arrival -> arrival.engine().equals(LIMITED_ENGINE) && arrival.atNanos() >= fromNanos)
                 .count();
     }
 
     @DataProvider
     public Object[][] sizesAndLimits() {
-        return new Object[][] {{MESH, 1.4}, {MESH, 12}, {LARGE, 1.4}, {LARGE, 12}};
+        return new Object[][] {
+            {MESH_FLEET_SIZE, 1.4}, {MESH_FLEET_SIZE, 12}, {LARGE_FLEET_SIZE, 1.4}, {LARGE_FLEET_SIZE, 12}
+        };
     }
 
     @DataProvider
     public Object[][] sizes() {
-        return new Object[][] {{MESH}, {LARGE}};
+        return new Object[][] {{MESH_FLEET_SIZE}, {LARGE_FLEET_SIZE}};
     }
 
-    // Every entry sends what the endpoint takes from all together, or knows of no limit at all.
+    // Each entry alone sends as much as the endpoint accepts from all together, or has no state about the limit.
     @Test(dataProvider = "sizesAndLimits")
-    public void allEntriesTogetherKeepTheRateLimitThatAnEndpointNames(int entries, double perSecond) {
-        long named = startLimited(entries, perSecond);
-        load.play(Duration.ofSeconds(9));
-        assertWithin(perSecond, requestsOn(LIMITED), named);
+    public void allEntriesTogetherKeepTheRateLimitOfAnEndpoint(int entries, double perSecond) {
+        long limitSetNanos = startWithLimitedEngine(entries, perSecond);
+        load.runTraffic(Duration.ofSeconds(9));
+        assertWithin(perSecond, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // An engine that nobody sends to helps nobody, and can't say that its need is over.
+    // An engine that receives no requests serves no caller, and has no answer in which to end its limit.
     @Test(dataProvider = "sizesAndLimits")
-    public void anEndpointWithARateLimitGetsMostOfWhatItTakes(int entries, double perSecond) {
-        startLimited(entries, perSecond);
-        load.play(Duration.ofSeconds(2));
+    public void anEndpointWithARateLimitReceivesMostOfWhatItAccepts(int entries, double perSecond) {
+        startWithLimitedEngine(entries, perSecond);
+        load.runTraffic(Duration.ofSeconds(2));
         long from = load.now();
-        load.play(Duration.ofSeconds(10));
-        long got = load.count(LIMITED, from, load.now());
-        assertTrue(got >= 0.6 * perSecond * 10, "got " + got + " in 10 s");
+        load.runTraffic(Duration.ofSeconds(10));
+        long received = load.count(LIMITED_ENGINE, from, load.now());
+        assertTrue(received >= 0.6 * perSecond * 10, "received " + received + " in 10 s");
     }
 
-    // The need is over; the entries that didn't hear it themselves must not spare the engine for ever.
+    // The limit has ended; entries that didn't receive this from the engine itself must not exclude it for ever.
     @Test(dataProvider = "sizes")
     public void anEndpointWhoseRateLimitHasEndedIsUsedByAllAgain(int entries) {
-        startLimited(entries, 1.4);
-        load.play(Duration.ofSeconds(5));
-        load.endLimits();
-        load.play(Duration.ofSeconds(4));
+        startWithLimitedEngine(entries, 1.4);
+        load.runTraffic(Duration.ofSeconds(5));
+        load.clearRateLimits();
+        load.runTraffic(Duration.ofSeconds(4));
         long from = load.now();
-        load.play(Duration.ofSeconds(2));
-        long got = load.count(LIMITED, from, load.now());
-        long usual = load.count("engine-2", from, load.now());
-        assertTrue(got > usual / 2, got + " where another engine gets " + usual);
+        load.runTraffic(Duration.ofSeconds(2));
+        long received = load.count(LIMITED_ENGINE, from, load.now());
+        long otherEngineReceived = load.count("engine-2", from, load.now());
+        assertTrue(
+                received > otherEngineReceived / 2, received + " while another engine received " + otherEngineReceived);
     }
 
-    // Whoever had the part dies; another one takes it over, but not both at once.
+    // The entry that holds the share is killed; another one takes the share over, but the two never use it at once.
     @Test(dataProvider = "sizes")
-    public void thePartOfAnEntryThatDiesGoesToAnotherOne(int entries) {
-        long named = startLimited(entries, 1.4);
-        load.play(Duration.ofSeconds(4));
-        long last = load.now();
-        load.play(Duration.ofSeconds(2));
-        busiestSince(last).kill();
-        load.play(Duration.ofSeconds(5));
+    public void theShareOfAFailedEntryGoesToAnotherOne(int entries) {
+        long limitSetNanos = startWithLimitedEngine(entries, 1.4);
+        load.runTraffic(Duration.ofSeconds(4));
+        long countFromNanos = load.now();
+        load.runTraffic(Duration.ofSeconds(2));
+        busiestSince(countFromNanos).kill();
+        load.runTraffic(Duration.ofSeconds(5));
         long from = load.now();
-        load.play(Duration.ofSeconds(5));
-        assertWithin(1.4, requestsOn(LIMITED), named);
-        long got = load.count(LIMITED, from, load.now());
-        assertTrue(got >= 3, "got " + got + " in 5 s");
+        load.runTraffic(Duration.ofSeconds(5));
+        assertWithin(1.4, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
+        long received = load.count(LIMITED_ENGINE, from, load.now());
+        assertTrue(received >= 3, "received " + received + " in 5 s");
     }
 
-    // It stands still, another one takes over, and it wakes and believes for a moment that the part is still its own.
+    // The entry is suspended and another one takes its share over; when it resumes, its own state still assigns the
+    // share to it for a moment.
     @Test(dataProvider = "sizes")
-    public void anEntryThatWakesAfterItsPartWentToAnotherOneSendsNoMoreThanItsPart(int entries) {
-        long named = startLimited(entries, 1.4);
-        load.play(Duration.ofSeconds(3));
-        long last = load.now();
-        load.play(Duration.ofSeconds(2));
-        busiestSince(last).pause(Duration.ofSeconds(5));
-        load.play(Duration.ofSeconds(9));
-        assertWithin(1.4, requestsOn(LIMITED), named);
+    public void anEntrySendsNoMoreThanItsShareAfterASuspension(int entries) {
+        long limitSetNanos = startWithLimitedEngine(entries, 1.4);
+        load.runTraffic(Duration.ofSeconds(3));
+        long countFromNanos = load.now();
+        load.runTraffic(Duration.ofSeconds(2));
+        busiestSince(countFromNanos).pause(Duration.ofSeconds(5));
+        load.runTraffic(Duration.ofSeconds(9));
+        assertWithin(1.4, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // Each of them soon believes that it is the last one, and that everything is its part.
+    // Each of these entries soon sees itself as the only one left, and the whole limit as its share.
     @Test(dataProvider = "sizes")
-    public void entriesThatAreCutOffFromTheOthersSpareAnEndpointWithARateLimit(int entries) {
-        long named = startLimited(entries, 1.4);
-        load.play(Duration.ofSeconds(2));
+    public void entriesThatAreCutOffFromTheOthersKeepTheRateLimit(int entries) {
+        long limitSetNanos = startWithLimitedEngine(entries, 1.4);
+        load.runTraffic(Duration.ofSeconds(2));
         for (int index = 0; index < entries / 3; index++) {
             load.fleet.bench.cutFromAll(load.nodes.get(index));
         }
-        load.play(Duration.ofSeconds(10));
-        assertWithin(1.4, requestsOn(LIMITED), named);
+        load.runTraffic(Duration.ofSeconds(10));
+        assertWithin(1.4, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // It knows neither the others nor the limit.
+    // A newly started entry has no state about the other entries or the limit.
     @Test(dataProvider = "sizes")
     public void anEntryThatHasJustStartedLearnsOfRateLimits(int entries) {
-        long named = startLimited(entries, 1.4);
-        load.play(Duration.ofSeconds(3));
+        long limitSetNanos = startWithLimitedEngine(entries, 1.4);
+        load.runTraffic(Duration.ofSeconds(3));
         load.restart(load.nodes.get(0));
         load.fleet.bench.runFor(Duration.ofMillis(500));
-        load.play(Duration.ofSeconds(8));
-        assertWithin(1.4, requestsOn(LIMITED), named);
+        load.runTraffic(Duration.ofSeconds(8));
+        assertWithin(1.4, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // The first lead starts again and leads at once, knowing of no limit, while its followers know it all along.
+    // The first lead starts again and leads at once without state about the limit, while its followers have kept it.
     @Test
     public void aLeadThatHasStartedAgainLearnsOfRateLimitsFromItsFollowers() {
-        long named = startLimited(LARGE, 1.4);
-        load.play(Duration.ofSeconds(5));
+        long limitSetNanos = startWithLimitedEngine(LARGE_FLEET_SIZE, 1.4);
+        load.runTraffic(Duration.ofSeconds(5));
         load.restart(load.node(load.fleet.leadsKnownTo(load.nodes.get(0)).get(0)));
-        load.play(Duration.ofSeconds(6));
-        assertWithin(1.4, requestsOn(LIMITED), named);
+        load.runTraffic(Duration.ofSeconds(6));
+        assertWithin(1.4, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // Both leads of the domain die, and each entry decides for itself until it has turned to the next ones.
+    // Both leads of the domain fail, and each entry decides for itself until it follows the next ones.
     @Test
-    public void entriesWithoutALeadSpareAnEndpointWithARateLimit() {
-        long named = startLimited(LARGE, 1.4);
-        load.play(Duration.ofSeconds(3));
+    public void entriesWithoutALeadKeepTheRateLimit() {
+        long limitSetNanos = startWithLimitedEngine(LARGE_FLEET_SIZE, 1.4);
+        load.runTraffic(Duration.ofSeconds(3));
         load.fleet
                 .leadsKnownTo(load.nodes.get(0))
                 .forEach(lead -> load.node(lead).kill());
-        load.play(Duration.ofSeconds(6));
-        assertWithin(1.4, requestsOn(LIMITED), named);
+        load.runTraffic(Duration.ofSeconds(6));
+        assertWithin(1.4, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // The engine ends and starts again under its id. The limit was that of its earlier start.
+    // The engine ends and starts again under its id. The limit belongs to its earlier start.
     @Test
-    public void aRateLimitEndsWithTheStartOfTheEndpointThatNamedIt() {
-        startLimited(MESH, 1.4);
-        load.play(Duration.ofSeconds(3));
-        load.endLimits();
-        load.fleet.restartEngine(LIMITED, 1);
+    public void aRateLimitEndsWhenTheEndpointRestarts() {
+        startWithLimitedEngine(MESH_FLEET_SIZE, 1.4);
+        load.runTraffic(Duration.ofSeconds(3));
+        load.clearRateLimits();
+        load.fleet.restartEngine(LIMITED_ENGINE, 1);
         load.fleet.bench.runFor(Duration.ofMillis(300));
         long from = load.now();
-        load.play(Duration.ofSeconds(1));
-        long got = load.count(LIMITED, from, load.now());
-        assertTrue(got > 10, "got " + got);
+        load.runTraffic(Duration.ofSeconds(1));
+        long received = load.count(LIMITED_ENGINE, from, load.now());
+        assertTrue(received > 10, "received " + received);
     }
 
-    // From one answer to the next it says something else.
+    // The engine names a lower limit from one answer to the next.
     @Test(dataProvider = "sizes")
-    public void aRateLimitThatSinksIsKeptFromThenOn(int entries) {
-        startLimited(entries, 12);
-        load.play(Duration.ofSeconds(4));
-        load.limit(LIMITED, 1.4);
-        long named = load.now();
-        load.play(Duration.ofSeconds(6));
-        assertWithin(1.4, requestsOn(LIMITED), named);
+    public void aLowerRateLimitIsKeptOnceItIsNamed(int entries) {
+        startWithLimitedEngine(entries, 12);
+        load.runTraffic(Duration.ofSeconds(4));
+        load.setRateLimit(LIMITED_ENGINE, 1.4);
+        long limitSetNanos = load.now();
+        load.runTraffic(Duration.ofSeconds(6));
+        assertWithin(1.4, requestTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // A quarter of the pool is in need at once, and the rest is there to carry the load.
+    // A quarter of the pool names limits at once, and the other engines have to carry the load.
     @Test(dataProvider = "sizes")
     public void aQuarterOfThePoolMayNameRateLimitsAtOnce(int entries) {
         start(entries);
-        load.play(Duration.ofSeconds(1));
+        load.runTraffic(Duration.ofSeconds(1));
         for (int index = 0; index < ENGINES / 4; index++) {
-            load.limit("engine-" + index, 1.4 + index);
+            load.setRateLimit("engine-" + index, 1.4 + index);
         }
-        long named = load.now();
-        load.play(Duration.ofSeconds(8));
+        long limitSetNanos = load.now();
+        load.runTraffic(Duration.ofSeconds(8));
         for (int index = 0; index < ENGINES / 4; index++) {
-            assertWithin(1.4 + index, requestsOn("engine-" + index), named);
+            assertWithin(1.4 + index, requestTimesAt("engine-" + index), limitSetNanos);
         }
     }
 
-    // Calls for its cache events alone are more than it takes.
+    // The queries for cache events alone exceed what the engine accepts.
     @Test(dataProvider = "sizesAndLimits")
-    public void callsForCacheEventsCountTowardsTheRateLimitOfAnEngine(int entries, double perSecond) {
-        long named = startLimited(entries, perSecond);
-        load.play(Duration.ofSeconds(9));
-        assertWithin(perSecond, arrivalsOn(LIMITED), named);
+    public void queriesForCacheEventsCountTowardsTheRateLimitOfAnEngine(int entries, double perSecond) {
+        long limitSetNanos = startWithLimitedEngine(entries, perSecond);
+        load.runTraffic(Duration.ofSeconds(9));
+        assertWithin(perSecond, callTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // The holder of the duty asks an engine that loads for its state many times a second.
+    // The holder of the duty queries the state of a loading engine many times a second.
     @Test(dataProvider = "sizes")
     public void newWeightsReachAnEngineWithARateLimitInTimeAndWithinIt(int entries) {
-        long named = startLimited(entries, 1.4);
-        load.play(Duration.ofSeconds(4));
+        long limitSetNanos = startWithLimitedEngine(entries, 1.4);
+        load.runTraffic(Duration.ofSeconds(4));
         load.fleet.nameWeights(2);
-        load.play(VirtualFleet.OLD_WEIGHTS_ALLOWED);
-        assertTrue(load.fleet.allRun(2), "weights: " + load.fleet.weights);
-        assertWithin(1.4, arrivalsOn(LIMITED), named);
+        load.runTraffic(VirtualFleet.WEIGHT_CHANGE_LIMIT);
+        assertTrue(load.fleet.allEnginesRun(2), "weights: " + load.fleet.weights);
+        assertWithin(1.4, callTimesAt(LIMITED_ENGINE), limitSetNanos);
     }
 
-    // Its events were not followed for a while; what it holds has to be known again.
+    // The cache events of the engine were not followed for a while; its cache contents have to be learned again.
     @Test
     public void cacheEventsAreFollowedAgainAfterTheRateLimitHasEnded() {
-        startLimited(MESH, 1.4);
-        load.play(Duration.ofSeconds(5));
-        load.endLimits();
-        load.play(Duration.ofSeconds(4));
+        startWithLimitedEngine(MESH_FLEET_SIZE, 1.4);
+        load.runTraffic(Duration.ofSeconds(5));
+        load.clearRateLimits();
+        load.runTraffic(Duration.ofSeconds(4));
         long from = load.now();
         load.fleet.bench.runFor(Duration.ofSeconds(2));
-        assertTrue(callsBesideRequests(from) > 4, "calls for events");
+        assertTrue(otherCallsSince(from) > 4, "queries for cache events");
     }
 
     // ---- All endpoints of a service have limits.
 
-    private void limitAll(double perSecond) {
+    private void setAllRateLimits(double perSecond) {
         for (int index = 0; index < ENGINES; index++) {
-            load.limit("engine-" + index, perSecond);
+            load.setRateLimit("engine-" + index, perSecond);
         }
     }
 
-    private long placedInAll(long fromNanos) {
+    private long placedSince(long fromNanos) {
         return load.arrivals.stream()
                 .filter(arrival -> arrival.atNanos() >= fromNanos && arrival.atNanos() < load.now())
                 .count();
     }
 
-    // Twenty times as many callers as can be served: the rest must not wait for what it can't get.
+    // There are twenty times as many requests as can be served; those beyond the limits must not wait in vain.
     @Test(dataProvider = "sizes")
-    public void whatCannotBeServedWithinRateLimitsIsRefusedAtOnce(int entries) {
+    public void requestsThatRateLimitsDoNotAllowAreRefusedAtOnce(int entries) {
         start(entries);
-        load.play(Duration.ofSeconds(1));
-        limitAll(1.4);
-        load.play(Duration.ofSeconds(4));
+        load.runTraffic(Duration.ofSeconds(1));
+        setAllRateLimits(1.4);
+        load.runTraffic(Duration.ofSeconds(4));
         load.refused.clear();
         long from = load.now();
-        load.play(Duration.ofSeconds(10));
-        assertTrue(placedInAll(from) >= 0.6 * ENGINES * 1.4 * 10, "placed " + placedInAll(from));
+        load.runTraffic(Duration.ofSeconds(10));
+        assertTrue(placedSince(from) >= 0.6 * ENGINES * 1.4 * 10, "placed " + placedSince(from));
         long late = load.refused.stream()
-                .filter(each -> each.waitedMillis() > AT_ONCE_MILLIS)
+                .filter(each -> each.waitedMillis() > IMMEDIATE_MILLIS)
                 .count();
         assertTrue(load.refused.size() > 2_000, "refused " + load.refused.size());
         assertTrue(late < load.refused.size() / 10, late + " of " + load.refused.size() + " refused late");
     }
 
-    // A third of what the limits allow. An entry without a part must not refuse what another one could serve.
+    // The load is a third of what the limits allow. An entry without a share must not refuse what another one could
+    // serve.
     @Test(dataProvider = "sizes")
     public void fewRequestsAreServedThoughAllEndpointsHaveRateLimits(int entries) {
         start(entries);
-        load.play(Duration.ofSeconds(1));
-        limitAll(1.4);
-        load.play(Duration.ofSeconds(4));
+        load.runTraffic(Duration.ofSeconds(1));
+        setAllRateLimits(1.4);
+        load.runTraffic(Duration.ofSeconds(4));
         load.fleet.bench.runFor(Duration.ofSeconds(2));
         load.refused.clear();
         long from = load.now();
-        load.callEvery(Duration.ofMillis(200));
-        load.play(Duration.ofSeconds(20));
-        long placed = placedInAll(from);
+        load.setRequestInterval(Duration.ofMillis(200));
+        load.runTraffic(Duration.ofSeconds(20));
+        long placed = placedSince(from);
         assertTrue(placed >= 95, "placed " + placed + ", refused " + load.refused.size());
     }
 }
--- a/src/test/java/org/yuccagw/daemon/ScriptedEndpoint.java
+++ b/src/test/java/org/yuccagw/daemon/ScriptedEndpoint.java
@@ -17,14 +17,17 @@
 import java.util.concurrent.TimeUnit;
 import org.yuccagw.core.id.NetworkAddress;
 
-/** An endpoint on a plain socket that answers each request as its path says; written byte by byte to be able to lie. */
+/**
+ * An endpoint on a plain socket that answers each request as the last word of its path says. It writes raw bytes, so
+ * that it can send invalid answers.
+ */
 public final class ScriptedEndpoint implements AutoCloseable {
     private static final String NOT_RUN = "HTTP/1.1 503 Unavailable\r\nYuccagw-Not-Executed: 1\r\n";
 
     private final ServerSocket server;
     private final List<Map<String, String>> requests = new CopyOnWriteArrayList<>();
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
-    private final CountDownLatch callerGone = new CountDownLatch(1);
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+    private final CountDownLatch callerDisconnected = new CountDownLatch(1);
 
     public ScriptedEndpoint() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -37,20 +40,23 @@
         return NetworkAddress.of("127.0.0.1", server.getLocalPort());
     }
 
-    /** Headers of the requests that arrived, names in lower case, with {@code :line} for the first line. */
+    /**
+     * Returns the headers of the requests that arrived, with names in lower case, {@code :line} for the request line
+     * and {@code :body} for the body.
+     */
     List<Map<String, String>> requests() {
         return requests;
     }
 
-    /** Whether the entry closed the connection of a request that hung, within the time. */
-    boolean sawCallerGo(long millis) throws InterruptedException {
-        return callerGone.await(millis, TimeUnit.MILLISECONDS);
+    /** Returns whether the entry closed the connection of a hanging request within the given time. */
+    boolean awaitCallerDisconnect(long millis) throws InterruptedException {
+        return callerDisconnected.await(millis, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
@@ -59,12 +65,12 @@
         while (!server.isClosed()) {
             try {
                 Socket socket = server.accept();
-                open.add(socket);
+                openSockets.add(socket);
                 Thread serving = new Thread(() -> serve(socket), "scripted-connection");
                 serving.setDaemon(true);
                 serving.start();
             } catch (IOException ignored) {
-                // Closed: the loop ends.
+                // The server socket was closed: the loop ends.
             }
         }
     }
@@ -81,7 +87,7 @@
                 }
             }
         } catch (IOException | InterruptedException ignored) {
-            // The other side went away, which is what some scripts wait for.
+            // The peer closed the connection, which some scripts wait for.
         }
     }
 
@@ -103,15 +109,15 @@
         return head;
     }
 
-    /** Answers as the last word of the path says; false if the connection is to be closed. */
+    /** Answers as the last word of the path says; returns false if the connection is to be closed. */
     private boolean answer(Map<String, String> request, BufferedReader reader, OutputStream out)
             throws IOException, InterruptedException {
         String path = request.get(":line").replaceAll("^\\S+ (\\S+) .*$", "$1");
         String id = request.getOrDefault("yuccagw-request-id", "");
         switch (path.substring(path.lastIndexOf('/') + 1)) {
             case "hang" -> {
-                awaitEnd(reader);
-                callerGone.countDown();
+                awaitDisconnect(reader);
+                callerDisconnected.countDown();
                 return false;
             }
             case "limited" -> write(out, head(id) + "Server-Limit: 1.0\r\nContent-Length: 4\r\n\r\nbody");
@@ -150,14 +156,14 @@
         return true;
     }
 
-    /** Returns once the other side has closed, by an end or by a reset. */
-    private static void awaitEnd(BufferedReader reader) {
+    /** Returns once the peer has closed the connection, by an end of stream or by a reset. */
+    private static void awaitDisconnect(BufferedReader reader) {
         try {
             while (reader.read() >= 0) {
                 Thread.onSpinWait();
             }
         } catch (IOException ignored) {
-            // A reset is an end too.
+            // A reset ends the connection too.
         }
     }
 
--- a/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
+++ b/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void plainTextGetsNoAnswer() throws Exception {
+    public void aRequestWithoutTlsGetsNoAnswer() throws Exception {
         HttpCaller plain = HttpCaller.start(1);
         try {
             HttpQuery query = HttpQuery.get(deployment.callerAddresses().get(0), "/v1/directory")
@@ -82,16 +82,16 @@
         }
     }
 
-    // A stranger without a certificate speaks to the peer address. It must not be able to pass for an entry.
+    // A client without a certificate connects to the peer address. It must not be able to act as an entry.
     @Test
-    public void aStrangerOnThePeerAddressIsNotHeard() throws Exception {
+    public void aClientWithoutACertificateIsIgnoredAtThePeerAddress() throws Exception {
         NetworkAddress peer = deployment.peerAddresses().get(0);
-        try (Socket stranger = new Socket(peer.host(), peer.port())) {
-            stranger.setSoTimeout(10_000);
-            stranger.getOutputStream().write("\0\0\0\5hello".getBytes(StandardCharsets.US_ASCII));
-            byte[] answer = stranger.getInputStream().readAllBytes();
-            // Eight bytes after a length would be the count that a reader of frames answers with.
-            assertFalse(answer.length >= 12 && answer[3] == Long.BYTES, "the frame was counted");
+        try (Socket unknownClient = new Socket(peer.host(), peer.port())) {
+            unknownClient.setSoTimeout(10_000);
+            unknownClient.getOutputStream().write("\0\0\0\5hello".getBytes(StandardCharsets.US_ASCII));
+            byte[] answer = unknownClient.getInputStream().readAllBytes();
+            // Eight bytes after a length would be the acknowledgement that a reader of frames sends.
+            assertFalse(answer.length >= 12 && answer[3] == Long.BYTES, "the frame was acknowledged");
         }
     }
 }
--- a/src/test/java/org/yuccagw/daemon/StepLoadTest.java
+++ b/src/test/java/org/yuccagw/daemon/StepLoadTest.java
@@ -30,38 +30,42 @@
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 /**
- * What callers get under a step of load while a quarter of the engines is gone: four entries decide, or the lead of 95
- * in one failure domain; eight engines read and answer in virtual time. Callers of many entries must get what those of
- * few get.
+ * Service under a step of load while a quarter of the engines is lost: four entries decide, or the lead of 95 in one
+ * failure domain; eight engines prefill and answer in virtual time. Callers of many entries must be served as well as
+ * those of few.
  *
- * <p>Without the waiting at entries, so with all prompts queued inside the engines, the three steps of 1.3, 1.7 and 2.5
- * times left 0.63, 0.16 and 0.08 of the grades in time, and afterwards 0.00, 0.01 and 0.13, at a load that is served in
- * time before the step. With it 0.99, 0.99 and 0.84, and nearly all of them afterwards.
+ * <p>Without the queue at entries, with all prompts queued inside the engines, the three steps of 1.3, 1.7 and 2.5
+ * times the load left 0.63, 0.16 and 0.08 of the grades in time, and afterwards 0.00, 0.01 and 0.13, at a load that
+ * is served in time before the step. With the queue 0.99, 0.99 and 0.84 are in time, and nearly all of them
+ * afterwards.
  */
 public class StepLoadTest {
-    private static final int FEW = 4;
+    private static final int FEW_ENTRIES = 4;
 
-    /** As many as a lead places for where 300 entries serve five failure domains, and half as many again. */
-    private static final int MANY = 95;
+    /**
+     * The number of entries that a lead places for where 300 entries serve five failure domains, and half as many
+     * again.
+     */
+    private static final int MANY_ENTRIES = 95;
 
     private static final int ENGINES = 8;
-    private static final Duration CALM = Duration.ofSeconds(6);
-    private static final Duration STEP = Duration.ofSeconds(10);
+    private static final Duration BASE_LOAD_TIME = Duration.ofSeconds(6);
+    private static final Duration STEP_TIME = Duration.ofSeconds(10);
 
-    /** The longest pause between events that counts as on time; callers have patience for eight of them. */
-    private static final long GAP_MILLIS = 500;
+    /** The longest pause between events that counts as on time; the timeout of callers is eight times as long. */
+    private static final long MAX_EVENT_GAP_MILLIS = 500;
 
-    /** Time after the step in which it may still show. */
-    private static final Duration RECOVERY = Duration.ofSeconds(2);
+    /** The time after the step in which its effects may still show. */
+    private static final Duration RECOVERY_TIME = Duration.ofSeconds(2);
 
     private VirtualFleet fleet;
     private List<BenchNode> nodes;
     private Map<EndpointId, VirtualEngine> engines;
     private SplittableRandom random;
-    private List<Asked> all;
+    private List<TrackedRequest> all;
 
-    /** The kinds of prompts, by a new customer's sheet; memory and tokens scaled to the engines of the fleet. */
-    private enum Kind {
+    /** The kinds of prompts of one deployment; memory and tokens are scaled to the engines of the fleet. */
+    private enum PromptKind {
         DRAFT("/draft/", 4_400, 140, 800, 28),
         NOTE("/note/", 330, 110, 400, 62),
         GRADE("/grade/", 950, 10, 400, 70);
@@ -72,7 +76,7 @@
         private final int targetMillis;
         private final double perSecond;
 
-        Kind(String path, int promptTokens, int answerTokens, int targetMillis, double perSecond) {
+        PromptKind(String path, int promptTokens, int answerTokens, int targetMillis, double perSecond) {
             this.path = path;
             this.promptTokens = promptTokens;
             this.answerTokens = answerTokens;
@@ -81,28 +85,28 @@
         }
     }
 
-    /** One request and what came of it. */
-    private static final class Asked {
-        private final Kind kind;
-        private final long atNanos;
-        private long begunNanos = -1;
+    /** A request and its outcome. */
+    private static final class TrackedRequest {
+        private final PromptKind kind;
+        private final long arrivalNanos;
+        private long firstTokenNanos = -1;
         private long refusedNanos = -1;
 
-        private Asked(Kind kind, long atNanos) {
+        private TrackedRequest(PromptKind kind, long arrivalNanos) {
             this.kind = kind;
-            this.atNanos = atNanos;
+            this.arrivalNanos = arrivalNanos;
         }
 
-        private boolean inTime() {
-            return begunNanos >= 0
-                    && begunNanos - atNanos
+        private boolean isInTime() {
+            return firstTokenNanos >= 0
+                    && firstTokenNanos - arrivalNanos
                             <= Duration.ofMillis(kind.targetMillis).toNanos();
         }
     }
 
     @BeforeMethod
     public void startFewEntries() {
-        start(FEW);
+        start(FEW_ENTRIES);
     }
 
     private void start(int entries) {
@@ -120,11 +124,11 @@
                         PlatformDocuments.CONFIGURATION,
                         PlatformDocuments.configuration(1)
                                 .route("/draft/", "streaming", "engines", 15_000, 1)
-                                .wanted(Kind.DRAFT.targetMillis, 2)
+                                .wanted(PromptKind.DRAFT.targetMillis, 2)
                                 .route("/note/", "streaming", "engines", 15_000, 2)
-                                .wanted(Kind.NOTE.targetMillis, 1)
+                                .wanted(PromptKind.NOTE.targetMillis, 1)
                                 .route("/grade/", "streaming", "engines", 3_000, 1)
-                                .wanted(Kind.GRADE.targetMillis, 0)
+                                .wanted(PromptKind.GRADE.targetMillis, 0)
                                 .engines("engines", VirtualFleet.MODEL)
                                 .bytes());
         for (int index = 1; index <= ENGINES; index++) {
@@ -133,98 +137,103 @@
                     EndpointId.of("engine-" + index),
                     new VirtualEngine(fleet.bench.time(), PlatformDocuments.ENGINE_TOKENS));
         }
-        fleet.bench.runFor(entries == FEW ? Duration.ofSeconds(4) : Duration.ofSeconds(8));
+        fleet.bench.runFor(entries == FEW_ENTRIES ? Duration.ofSeconds(4) : Duration.ofSeconds(8));
     }
 
-    /** At 2.5 times the load the urgent kinds alone need all that is left; what drafts get then is not promised. */
+    /**
+     * At 2.5 times the load the urgent kinds alone need all remaining engines; the service of drafts is not
+     * guaranteed then.
+     */
     @DataProvider
     public Object[][] steps() {
         return new Object[][] {
-            {FEW, 1.3, 0.97, 0.6, 0.8}, {FEW, 1.7, 0.97, 0.22, 0.9}, {FEW, 2.5, 0.8, 0.05, 0.9},
-            {MANY, 1.3, 0.97, 0.6, 0.8}, {MANY, 1.7, 0.97, 0.22, 0.9}, {MANY, 2.5, 0.97, 0, 0.9}
+            {FEW_ENTRIES, 1.3, 0.97, 0.6, 0.8}, {FEW_ENTRIES, 1.7, 0.97, 0.22, 0.9}, {FEW_ENTRIES, 2.5, 0.8, 0.05, 0.9},
+            {MANY_ENTRIES, 1.3, 0.97, 0.6, 0.8}, {MANY_ENTRIES, 1.7, 0.97, 0.22, 0.9}, {MANY_ENTRIES, 2.5, 0.97, 0, 0.9}
         };
     }
 
-    // A quarter of the engines is gone for ten seconds and callers come more often meanwhile. All prompts queued in the
-    // engines, the short behind the long, and stayed late for seven seconds after the engines were back.
+    // A quarter of the engines is lost for ten seconds while callers send more requests. With all prompts queued in
+    // the engines, short ones waited behind long ones and stayed late for seven seconds after the engines had
+    // returned.
     @Test(dataProvider = "steps")
     public void urgentPromptsStayInTimeUnderAStepOfLoadAndAllDoSoonAfter(
             int entries, double times, double gradesInTime, double draftsInTime, double afterwards) {
         start(entries);
-        play(1, CALM);
-        removeQuarter(true);
+        runTraffic(1, BASE_LOAD_TIME);
+        setQuarterSilent(true);
         long step = now();
-        play(times, STEP);
-        removeQuarter(false);
+        runTraffic(times, STEP_TIME);
+        setQuarterSilent(false);
         long back = now();
-        play(1, CALM);
+        runTraffic(1, BASE_LOAD_TIME);
         fleet.bench.runFor(Duration.ofSeconds(5));
-        Map<Kind, Double> during = shareInTime(step, back);
-        Map<Kind, Double> after = shareInTime(back + RECOVERY.toNanos(), Long.MAX_VALUE);
+        Map<PromptKind, Double> during = shareInTime(step, back);
+        Map<PromptKind, Double> after = shareInTime(back + RECOVERY_TIME.toNanos(), Long.MAX_VALUE);
         String figures = entries + " entries, " + times + " times: during " + during + ", afterwards " + after;
         System.out.println(figures);
-        assertTrue(during.get(Kind.GRADE) >= gradesInTime, figures);
-        assertTrue(during.get(Kind.DRAFT) >= draftsInTime, figures);
-        for (Kind kind : Kind.values()) {
+        assertTrue(during.get(PromptKind.GRADE) >= gradesInTime, figures);
+        assertTrue(during.get(PromptKind.DRAFT) >= draftsInTime, figures);
+        for (PromptKind kind : PromptKind.values()) {
             assertTrue(after.get(kind) >= afterwards, figures);
         }
     }
 
-    // What can't be served is told so while its caller can still do something about it: nobody waits for more than half
-    // of the time that callers have patience for.
+    // A caller whose request can't be served must learn of it while it can still react: no caller waits for more than
+    // half of its timeout.
     @Test
-    public void whatIsRefusedIsRefusedWithinHalfOfItsCallersPatience() {
-        play(3, STEP);
+    public void requestsAreRefusedWithinHalfOfTheCallersTimeout() {
+        runTraffic(3, STEP_TIME);
         fleet.bench.runFor(Duration.ofSeconds(5));
-        for (Asked asked : all) {
-            long patienceMillis = Math.max(8 * GAP_MILLIS, 4L * asked.kind.targetMillis);
-            if (asked.refusedNanos >= 0) {
-                long waitedMillis = (asked.refusedNanos - asked.atNanos) / 1_000_000;
-                assertTrue(waitedMillis <= 0.6 * patienceMillis, asked.kind + " refused after " + waitedMillis);
+        for (TrackedRequest request : all) {
+            long callerTimeoutMillis = Math.max(8 * MAX_EVENT_GAP_MILLIS, 4L * request.kind.targetMillis);
+            if (request.refusedNanos >= 0) {
+                long waitedMillis = (request.refusedNanos - request.arrivalNanos) / 1_000_000;
+                assertTrue(waitedMillis <= 0.6 * callerTimeoutMillis, request.kind + " refused after " + waitedMillis);
             }
         }
     }
 
-    private void removeQuarter(boolean gone) {
-        engines.get(EndpointId.of("engine-1")).setSilent(gone);
-        engines.get(EndpointId.of("engine-2")).setSilent(gone);
+    private void setQuarterSilent(boolean silent) {
+        engines.get(EndpointId.of("engine-1")).setSilent(silent);
+        engines.get(EndpointId.of("engine-2")).setSilent(silent);
     }
 
-    private void play(double times, Duration duration) {
+    private void runTraffic(double times, Duration duration) {
         long end = now() + duration.toNanos();
-        for (Kind kind : Kind.values()) {
+        for (PromptKind kind : PromptKind.values()) {
             scheduleNext(kind, kind.perSecond * times, end);
         }
         fleet.bench.runFor(duration);
     }
 
-    private void scheduleNext(Kind kind, double perSecond, long end) {
+    private void scheduleNext(PromptKind kind, double perSecond, long end) {
         double seconds = -Math.log(1 - random.nextDouble()) / perSecond;
         Duration wait = Duration.ofNanos((long) (seconds * 1e9));
         if (now() + wait.toNanos() < end) {
             fleet.bench.time().after(wait, () -> {
-                ask(kind);
+                submit(kind);
                 scheduleNext(kind, perSecond, end);
             });
         }
     }
 
-    private void ask(Kind kind) {
-        Asked asked = new Asked(kind, now());
-        all.add(asked);
-        ask(asked, nodes.get(random.nextInt(nodes.size())), ImmutableSet.of(), PlacementRequest.Kind.FIRST);
+    private void submit(PromptKind kind) {
+        TrackedRequest request = new TrackedRequest(kind, now());
+        all.add(request);
+        submit(request, nodes.get(random.nextInt(nodes.size())), ImmutableSet.of(), PlacementRequest.Kind.FIRST);
     }
 
-    private void ask(Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementRequest.Kind attempt) {
+    private void submit(
+            TrackedRequest request, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementRequest.Kind attempt) {
         Route route = node.state(Deployment.class)
                 .orElseThrow()
-                .route("a.example", asked.kind.path + "x")
+                .route("a.example", request.kind.path + "x")
                 .orElseThrow();
         PromptShape prompt = new PromptShape(
                 VirtualFleet.MODEL,
-                asked.kind.promptTokens,
-                asked.kind.answerTokens,
-                ImmutableList.of(new PromptPart("own", asked.kind.promptTokens)));
+                request.kind.promptTokens,
+                request.kind.answerTokens,
+                ImmutableList.of(new PromptPart("own", request.kind.promptTokens)));
         node.offer(new PlacementRequest(
                 RequestId.of("r" + all.size()),
                 route,
@@ -235,20 +244,24 @@
                 excluded,
                 attempt,
                 OptionalLong.empty(),
-                route.timeout().toMillis() - (now() - asked.atNanos) / 1_000_000,
-                decision -> onDecision(asked, node, excluded, decision)));
+                route.timeout().toMillis() - (now() - request.arrivalNanos) / 1_000_000,
+                decision -> onDecision(request, node, excluded, decision)));
     }
 
     private void onDecision(
-            Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementDecision decision) {
+            TrackedRequest request, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementDecision decision) {
         if (decision instanceof PlacementDecision.Placed placed) {
-            send(asked, node, excluded, placed);
+            send(request, node, excluded, placed);
         } else {
-            asked.refusedNanos = now();
+            request.refusedNanos = now();
         }
     }
 
-    private void send(Asked asked, BenchNode node, ImmutableSet<EndpointId> excluded, PlacementDecision.Placed placed) {
+    private void send(
+            TrackedRequest request,
+            BenchNode node,
+            ImmutableSet<EndpointId> excluded,
+            PlacementDecision.Placed placed) {
         EndpointId id = placed.endpoint().id();
         VirtualEngine engine = engines.get(id);
         if (engine.isSilent()) {
@@ -258,27 +271,29 @@
                         .addAll(excluded)
                         .add(id)
                         .build();
-                ask(asked, node, without, PlacementRequest.Kind.UNSENT);
+                submit(request, node, without, PlacementRequest.Kind.UNSENT);
             });
             return;
         }
-        engine.take(new VirtualEngine.Request(
-                asked.kind.promptTokens,
-                asked.kind.answerTokens,
+        engine.submit(new VirtualEngine.Request(
+                request.kind.promptTokens,
+                request.kind.answerTokens,
                 () -> {
-                    asked.begunNanos = now();
+                    request.firstTokenNanos = now();
                     node.offer(new AttemptBegun(placed.ticket()));
                 },
                 () -> node.offer(new AttemptEnded(placed.ticket(), AttemptEnded.End.ANSWERED))));
     }
 
-    private Map<Kind, Double> shareInTime(long fromNanos, long toNanos) {
-        Map<Kind, Double> shares = new EnumMap<>(Kind.class);
-        for (Kind kind : Kind.values()) {
-            List<Asked> asked = all.stream()
-                    .filter(each -> each.kind == kind && each.atNanos >= fromNanos && each.atNanos < toNanos)
+    private Map<PromptKind, Double> shareInTime(long fromNanos, long toNanos) {
+        Map<PromptKind, Double> shares = new EnumMap<>(PromptKind.class);
+        for (PromptKind kind : PromptKind.values()) {
+            List<TrackedRequest> requests = all.stream()
+                    .filter(each -> each.kind == kind && each.arrivalNanos >= fromNanos && each.arrivalNanos < toNanos)
                     .toList();
-            shares.put(kind, (double) asked.stream().filter(Asked::inTime).count() / asked.size());
+            shares.put(
+                    kind,
+                    (double) requests.stream().filter(TrackedRequest::isInTime).count() / requests.size());
         }
         return shares;
     }
--- a/src/test/java/org/yuccagw/daemon/VirtualEngine.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualEngine.java
@@ -5,19 +5,19 @@
 import org.yuccagw.bench.control.VirtualTime;
 
 /**
- * An engine in virtual time, as far as load decisions meet it: it takes in prompts in order while its memory has room,
- * reads one after the other, and then makes tokens, more slowly while it also reads.
+ * An engine in virtual time, as load decisions observe it: it admits prompts in order while its memory has free
+ * capacity, prefills one after the other, and then generates tokens, more slowly while it also prefills.
  */
 final class VirtualEngine {
-    private static final double READ_TOKENS_PER_MILLI = 60;
-    private static final double STEP_MILLIS = 5;
-    private static final double STEP_MILLIS_WHILE_READING = 20;
+    private static final double PREFILL_TOKENS_PER_MILLI = 60;
+    private static final double DECODE_STEP_MILLIS = 5;
+    private static final double DECODE_STEP_MILLIS_DURING_PREFILL = 20;
 
     private final VirtualTime time;
     private final long memoryTokens;
     private final ArrayDeque<Request> queue = new ArrayDeque<>();
     private long usedTokens;
-    private long readUntilNanos;
+    private long prefillEndNanos;
     private boolean silent;
 
     VirtualEngine(VirtualTime time, long memoryTokens) {
@@ -25,23 +25,23 @@
         this.memoryTokens = memoryTokens;
     }
 
-    /** What a request needs, and who hears of its first token and its end. */
-    record Request(int promptTokens, int answerTokens, Runnable begun, Runnable ended) {
+    /** The tokens of a request, and the callbacks for its first token and its end. */
+    record Request(int promptTokens, int answerTokens, Runnable onFirstToken, Runnable onEnd) {
         long tokens() {
             return (long) promptTokens + answerTokens;
         }
     }
 
-    /** Answers nothing any more, until it is heard again. */
-    void setSilent(boolean nowSilent) {
-        silent = nowSilent;
+    /** Sets whether the engine stops answering. */
+    void setSilent(boolean silence) {
+        silent = silence;
     }
 
     boolean isSilent() {
         return silent;
     }
 
-    void take(Request request) {
+    void submit(Request request) {
         queue.add(request);
         admit();
     }
@@ -50,24 +50,24 @@
         while (!queue.isEmpty() && usedTokens + queue.peek().tokens() <= memoryTokens) {
             Request next = queue.remove();
             usedTokens += next.tokens();
-            read(next);
+            prefill(next);
         }
     }
 
-    private void read(Request request) {
-        long start = Math.max(readUntilNanos, time.nowNanos());
-        readUntilNanos = start + nanos(request.promptTokens() / READ_TOKENS_PER_MILLI);
-        time.after(Duration.ofNanos(readUntilNanos - time.nowNanos()), () -> {
-            request.begun().run();
-            boolean reading = readUntilNanos > time.nowNanos();
-            double step = reading ? STEP_MILLIS_WHILE_READING : STEP_MILLIS;
+    private void prefill(Request request) {
+        long start = Math.max(prefillEndNanos, time.nowNanos());
+        prefillEndNanos = start + nanos(request.promptTokens() / PREFILL_TOKENS_PER_MILLI);
+        time.after(Duration.ofNanos(prefillEndNanos - time.nowNanos()), () -> {
+            request.onFirstToken().run();
+            boolean prefilling = prefillEndNanos > time.nowNanos();
+            double step = prefilling ? DECODE_STEP_MILLIS_DURING_PREFILL : DECODE_STEP_MILLIS;
             time.after(Duration.ofNanos(nanos(request.answerTokens() * step)), () -> finish(request));
         });
     }
 
     private void finish(Request request) {
         usedTokens -= request.tokens();
-        request.ended().run();
+        request.onEnd().run();
         admit();
     }
 
