--- a/src/test/java/org/yuccagw/daemon/VirtualFleet.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualFleet.java
@@ -43,13 +43,13 @@
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 /**
- * Entries with all their control parts in virtual time, in front of engines and plain endpoints that exist as
+ * Entries with all their control components in virtual time, in front of engines and plain endpoints that exist as
  * registrations and as answers to orders.
  */
 final class VirtualFleet {
     static final String MODEL = "model";
     static final Duration SEPARATION = Duration.ofSeconds(3);
-    static final Duration OLD_WEIGHTS_ALLOWED = Duration.ofSeconds(8);
+    static final Duration WEIGHT_CHANGE_LIMIT = Duration.ofSeconds(8);
 
     static final FailureDomain NORTHERN = FailureDomain.of("ulemiste");
     static final FailureDomain SOUTHERN = FailureDomain.of("kadaka");
@@ -57,36 +57,36 @@
             new Regions(ImmutableMap.of(NORTHERN, Region.of("north"), SOUTHERN, Region.of("south")));
 
     private static final int COLD_SECONDS = 3;
-    static final Duration COLD = Duration.ofSeconds(COLD_SECONDS);
-    static final double COLD_PER_SECOND = 9.8;
+    static final Duration COLD_DURATION = Duration.ofSeconds(COLD_SECONDS);
+    static final double COLD_REQUESTS_PER_SECOND = 9.8;
     static final ColdBounds COLD_BOUNDS = new ColdBounds(1.5, 5);
 
-    private static final Duration LOADING = Duration.ofMillis(420);
-    private static final long STARTS_APART_MILLIS = 1_000;
-    private static final NetworkAddress ANYWHERE = NetworkAddress.of("127.0.0.1", 9);
+    private static final Duration LOAD_TIME = Duration.ofMillis(420);
+    private static final long RESTART_INTERVAL_MILLIS = 1_000;
+    private static final NetworkAddress UNUSED_ADDRESS = NetworkAddress.of("127.0.0.1", 9);
 
     final ControlBench bench = ControlBench.of(5);
     final List<Order> orders = new ArrayList<>();
-    final List<StateAsked> statesAsked = new ArrayList<>();
+    final List<StateQuery> stateQueries = new ArrayList<>();
     final Map<EndpointId, Long> weights = new LinkedHashMap<>();
     private final Map<EntryId, GatewayComponents> started = new LinkedHashMap<>();
-    private final Map<EndpointId, Long> accepted = new LinkedHashMap<>();
+    private final Map<EndpointId, Long> acceptedOrders = new LinkedHashMap<>();
     private final Map<EndpointId, Boolean> loading = new LinkedHashMap<>();
     private final Map<EndpointId, FailureDomain> domains = new LinkedHashMap<>();
     private final Map<EndpointId, Long> starts = new LinkedHashMap<>();
-    private int ordersToIgnore;
-    private boolean dropping;
-    private boolean statesUnanswered;
+    private int orderAnswersToLose;
+    private boolean ordersDropped;
+    private boolean stateAnswersDropped;
     private long nextRequest = 1;
 
     /** An order that arrived at an engine. */
     record Order(EntryId from, EndpointIncarnation engine, long fence, long atNanos) {}
 
-    /** A question for the state of an engine. */
-    record StateAsked(EntryId from, EndpointIncarnation engine, long atNanos) {}
+    /** A query for the state of an engine. */
+    record StateQuery(EntryId from, EndpointIncarnation engine, long atNanos) {}
 
     VirtualFleet() {
-        bench.onAction(this::perform);
+        bench.onAction(this::handleAction);
     }
 
     BenchNode start(String name) {
@@ -99,18 +99,18 @@
         return bench.start(name, domain, components.list());
     }
 
-    /** Who leads the failure domain of an entry, as it sees it. */
+    /** Returns the leads of the failure domain of an entry, by its own view. */
     List<EntryId> leadsKnownTo(BenchNode node) {
         return started.get(node.entry()).ownLeads();
     }
 
-    /** Whether an entry knows the endpoint as one that may be used. */
-    boolean knows(BenchNode node, String endpoint) {
+    /** Returns whether an endpoint may be used by the view of an entry. */
+    boolean isUsable(BenchNode node, String endpoint) {
         return started.get(node.entry())
                 .isUsable(EndpointIncarnation.of(EndpointId.of(endpoint), PlatformDocuments.FIRST_START_MILLIS));
     }
 
-    /** How many engines load, or take no new requests since they are about to. */
+    /** Returns the number of engines that load weights, or take no new requests since they are about to. */
     int enginesOutOfUse() {
         return started.values().stream()
                 .mapToInt(components -> components.loading().size())
@@ -118,7 +118,7 @@
                 .orElse(0);
     }
 
-    /** How many requests an entry believes to run on an endpoint. */
+    /** Returns the number of requests that run on an endpoint by the view of an entry. */
     int requestsOn(BenchNode node, String endpoint) {
         return started.get(node.entry()).requestsOn(EndpointId.of(endpoint));
     }
@@ -136,7 +136,7 @@
                                 .resumable()
                                 .route("/plain/", "idempotent", "plain", 800, 2)
                                 .engines("engines", MODEL)
-                                .cold(COLD_SECONDS, COLD_PER_SECOND)
+                                .cold(COLD_SECONDS, COLD_REQUESTS_PER_SECOND)
                                 .plain("plain")
                                 .bytes());
     }
@@ -145,7 +145,10 @@
         addEngine(id, NORTHERN, Duration.ZERO);
     }
 
-    /** An engine of a failure domain registers, cold for so long or not at all; a later call registers it anew. */
+    /**
+     * Registers an engine in a failure domain, cold for the given time or not at all; a later call registers it
+     * again.
+     */
     void addEngine(String id, FailureDomain domain, Duration cold) {
         EndpointId engine = EndpointId.of(id);
         weights.putIfAbsent(engine, 1L);
@@ -154,8 +157,8 @@
         register(engine, cold);
     }
 
-    /** The registration of an engine lapses, while the engine runs on. */
-    void lapse(String id) {
+    /** Removes the registration of an engine, while the engine continues to run. */
+    void expireRegistration(String id) {
         bench.keyValue().remove(PlatformDocuments.endpointKey(id));
     }
 
@@ -171,23 +174,23 @@
         bench.keyValue()
                 .put(
                         PlatformDocuments.endpointKey(id),
-                        PlatformDocuments.endpoint("plain", ANYWHERE, "ulemiste", false));
+                        PlatformDocuments.endpoint("plain", UNUSED_ADDRESS, "ulemiste", false));
     }
 
-    void leavePlain(String id) {
+    void markPlainLeaving(String id) {
         bench.keyValue()
                 .put(
                         PlatformDocuments.endpointKey(id),
-                        PlatformDocuments.endpoint("plain", ANYWHERE, "ulemiste", true));
+                        PlatformDocuments.endpoint("plain", UNUSED_ADDRESS, "ulemiste", true));
     }
 
-    /** An engine ends and starts again at once under its id: it has accepted no orders and loads nothing. */
-    void restartEngine(String id, long runs) {
+    /** Restarts an engine under its id: the new start has accepted no orders and loads nothing. */
+    void restartEngine(String id, long version) {
         EndpointId engine = EndpointId.of(id);
-        starts.merge(engine, STARTS_APART_MILLIS, Long::sum);
-        accepted.remove(engine);
+        starts.merge(engine, RESTART_INTERVAL_MILLIS, Long::sum);
+        acceptedOrders.remove(engine);
         loading.remove(engine);
-        weights.put(engine, runs);
+        weights.put(engine, version);
         register(engine);
     }
 
@@ -195,22 +198,22 @@
         bench.keyValue().put(PlatformDocuments.weightsKey(MODEL), PlatformDocuments.weights(MODEL, version));
     }
 
-    /** Questions for the state of engines get no answer. */
-    void answerNoStates() {
-        statesUnanswered = true;
+    /** Drops the answers to all further queries for the state of engines. */
+    void dropStateAnswers() {
+        stateAnswersDropped = true;
     }
 
-    /** Orders are neither carried out nor answered. */
+    /** Drops all further orders: they are neither executed nor answered. */
     void dropOrders() {
-        dropping = true;
+        ordersDropped = true;
     }
 
-    /** The next orders are carried out, but their answers are lost. */
-    void loseAnswersOfOrders(int count) {
-        ordersToIgnore = count;
+    /** Loses the answers of the next orders, which are executed. */
+    void loseOrderAnswers(int count) {
+        orderAnswersToLose = count;
     }
 
-    boolean allRun(long version) {
+    boolean allEnginesRun(long version) {
         return weights.values().stream().allMatch(present -> present == version);
     }
 
@@ -218,13 +221,13 @@
         return node.state(Deployment.class).map(Deployment::version).orElse(0L);
     }
 
-    /** Asks for a place for a prompt of so many tokens, which no other prompt shares. */
-    PlacementDecision placeLong(BenchNode node, int tokens) {
+    /** Places a prompt of the given length that shares no part with another prompt, and runs until the decision. */
+    PlacementDecision placeLongPrompt(BenchNode node, int tokens) {
         PromptShape prompt = new PromptShape(MODEL, tokens, 50, ImmutableList.of(new PromptPart("own", tokens)));
         return place(node, "/model/x", PlacementRequest.Kind.FIRST, "long", Optional.of(prompt));
     }
 
-    /** Asks a node for a place and runs until it decides. */
+    /** Places a request through an entry and runs until the decision. */
     PlacementDecision place(BenchNode node, String path, PlacementRequest.Kind kind, String fingerprint) {
         Optional<PromptShape> prompt = path.startsWith("/model/")
                 ? Optional.of(new PromptShape(
@@ -236,36 +239,39 @@
     private PlacementDecision place(
             BenchNode node, String path, PlacementRequest.Kind kind, String fingerprint, Optional<PromptShape> prompt) {
         AtomicReference<PlacementDecision> decided = new AtomicReference<>();
-        ask(node, path, kind, fingerprint, prompt, decided::set);
+        offerRequest(node, path, kind, fingerprint, prompt, decided::set);
         bench.runUntil(() -> decided.get() != null, Duration.ofSeconds(2));
         return decided.get();
     }
 
-    /** Asks for a place for a prompt of so many tokens, which no other prompt shares, and doesn't wait for it. */
-    void askPrompt(BenchNode node, int tokens, Consumer<PlacementDecision> reply) {
+    /**
+     * Requests the placement of a prompt of the given length that shares no part with another prompt, without
+     * waiting for the decision.
+     */
+    void requestPlacement(BenchNode node, int tokens, Consumer<PlacementDecision> reply) {
         PromptShape prompt = new PromptShape(MODEL, tokens, 50, ImmutableList.of(new PromptPart("own", tokens)));
-        ask(node, "/model/x", PlacementRequest.Kind.FIRST, "f" + nextRequest, Optional.of(prompt), reply);
+        offerRequest(node, "/model/x", PlacementRequest.Kind.FIRST, "f" + nextRequest, Optional.of(prompt), reply);
     }
 
-    /** Asks for another place for a prompt that these engines turned away. */
-    void askPromptAgain(
+    /** Requests the placement of a prompt that the excluded engines rejected. */
+    void requestRetryPlacement(
             BenchNode node, int tokens, ImmutableSet<EndpointId> excluded, Consumer<PlacementDecision> reply) {
         PromptShape prompt = new PromptShape(MODEL, tokens, 50, ImmutableList.of(new PromptPart("own", tokens)));
         String fingerprint = "f" + nextRequest;
-        ask(node, "/model/x", PlacementRequest.Kind.REPEAT, fingerprint, Optional.of(prompt), excluded, reply);
+        offerRequest(node, "/model/x", PlacementRequest.Kind.REPEAT, fingerprint, Optional.of(prompt), excluded, reply);
     }
 
-    private void ask(
+    private void offerRequest(
             BenchNode node,
             String path,
             PlacementRequest.Kind kind,
             String fingerprint,
             Optional<PromptShape> prompt,
             Consumer<PlacementDecision> reply) {
-        ask(node, path, kind, fingerprint, prompt, ImmutableSet.of(), reply);
+        offerRequest(node, path, kind, fingerprint, prompt, ImmutableSet.of(), reply);
     }
 
-    private void ask(
+    private void offerRequest(
             BenchNode node,
             String path,
             PlacementRequest.Kind kind,
@@ -301,7 +307,7 @@
                         PlatformDocuments.endpointKey(engine.value()),
                         PlatformDocuments.engine(
                                 "engines",
-                                ANYWHERE,
+                                UNUSED_ADDRESS,
                                 domains.get(engine).value(),
                                 MODEL,
                                 weights.get(engine),
@@ -309,70 +315,70 @@
                                 cold.toMillis()));
     }
 
-    private boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof EngineCall.AskState ask) {
+    private boolean handleAction(ControlAction action, ControlInput input) {
+        if (action instanceof EngineCall.AskState query) {
             EntryId from = ((BenchNode) input).entry();
-            statesAsked.add(new StateAsked(
-                    from, ask.endpoint().incarnation(), bench.time().nowNanos()));
-            if (!statesUnanswered) {
+            stateQueries.add(new StateQuery(
+                    from, query.endpoint().incarnation(), bench.time().nowNanos()));
+            if (!stateAnswersDropped) {
                 bench.time()
                         .after(
                                 Duration.ofMillis(3),
-                                () -> input.offer(told(ask.endpoint().incarnation())));
+                                () -> input.offer(stateAnswer(query.endpoint().incarnation())));
             }
             return true;
         }
         if (action instanceof EngineCall.OrderWeights order) {
-            carryOut(((BenchNode) input).entry(), order, input);
+            executeOrder(((BenchNode) input).entry(), order, input);
             return true;
         }
         return action instanceof Decision;
     }
 
-    private EngineAnswer told(EndpointIncarnation asked) {
-        EndpointId engine = asked.endpoint();
+    private EngineAnswer stateAnswer(EndpointIncarnation queried) {
+        EndpointId engine = queried.endpoint();
         return new EngineAnswer.Told(
-                asked,
+                queried,
                 Optional.of(new EngineState(
                         starts.get(engine),
                         loading.getOrDefault(engine, false),
-                        accepted.getOrDefault(engine, 0L),
+                        acceptedOrders.getOrDefault(engine, 0L),
                         ImmutableMap.of(MODEL, weights.get(engine)))));
     }
 
-    private void carryOut(EntryId from, EngineCall.OrderWeights order, ControlInput input) {
+    private void executeOrder(EntryId from, EngineCall.OrderWeights order, ControlInput input) {
         EndpointId engine = order.endpoint().id();
         orders.add(new Order(
                 from,
                 order.endpoint().incarnation(),
                 order.fence(),
                 bench.time().nowNanos()));
-        if (dropping) {
+        if (ordersDropped) {
             bench.time().after(Duration.ofSeconds(1), () -> input.offer(unanswered(order)));
             return;
         }
-        boolean conflict =
-                loading.getOrDefault(engine, false) || accepted.getOrDefault(engine, 0L) != order.expectedOrders();
+        boolean conflict = loading.getOrDefault(engine, false)
+                || acceptedOrders.getOrDefault(engine, 0L) != order.expectedOrders();
         EngineAnswer.Outcome outcome = conflict ? EngineAnswer.Outcome.CONFLICT : EngineAnswer.Outcome.ACCEPTED;
         if (!conflict) {
-            accepted.merge(engine, 1L, Long::sum);
+            acceptedOrders.merge(engine, 1L, Long::sum);
             loading.put(engine, true);
             long start = starts.get(engine);
             bench.time()
                     .after(
-                            LOADING,
+                            LOAD_TIME,
                             () -> finishLoading(engine, start, order.weights().version()));
         }
-        if (ordersToIgnore > 0) {
-            ordersToIgnore--;
+        if (orderAnswersToLose > 0) {
+            orderAnswersToLose--;
             outcome = EngineAnswer.Outcome.UNKNOWN;
         }
-        EngineAnswer.Outcome told = outcome;
+        EngineAnswer.Outcome reported = outcome;
         bench.time()
                 .after(
                         Duration.ofMillis(3),
                         () -> input.offer(
-                                new EngineAnswer.Ordered(order.endpoint().incarnation(), told)));
+                                new EngineAnswer.Ordered(order.endpoint().incarnation(), reported)));
     }
 
     private void finishLoading(EndpointId engine, long start, long version) {
@@ -392,18 +398,18 @@
                 EntryId.of(name),
                 domain,
                 REGIONS,
-                ANYWHERE,
-                ANYWHERE,
-                ANYWHERE,
-                ANYWHERE,
-                ANYWHERE,
+                UNUSED_ADDRESS,
+                UNUSED_ADDRESS,
+                UNUSED_ADDRESS,
+                UNUSED_ADDRESS,
+                UNUSED_ADDRESS,
                 List.of(),
                 new GatewaySettings.Bounds(
                         new RetryBounds(0.2, 56, Duration.ofSeconds(10)),
                         COLD_BOUNDS,
                         Duration.ofSeconds(8),
                         SEPARATION,
-                        OLD_WEIGHTS_ALLOWED,
+                        WEIGHT_CHANGE_LIMIT,
                         Duration.ofSeconds(2),
                         Optional.empty()),
                 EntryIdentity.USUAL_CAPACITY,
--- a/src/test/java/org/yuccagw/daemon/VirtualLoad.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualLoad.java
@@ -30,70 +30,70 @@
 import org.yuccagw.standins.platform.PlatformDocuments;
 
 /**
- * Callers of a {@link VirtualFleet} whose engines say of themselves that they leave, name rate limits, or turn requests
- * away for a while. A request that was turned away is sent again, like that of a caller's entry.
+ * Simulated callers of a {@link VirtualFleet} whose engines announce that they leave, name rate limits, or reject
+ * requests with a back-off. A rejected request is retried on another engine, as an entry does for its caller.
  */
 final class VirtualLoad {
-    private static final Duration ANSWER = Duration.ofMillis(500);
-    private static final Duration FIRST_TOKEN = Duration.ofMillis(30);
-    private static final Duration TURNED_AWAY_AFTER = Duration.ofMillis(2);
-    private static final Duration EVENTS_AFTER = Duration.ofMillis(100);
+    private static final Duration ANSWER_TIME = Duration.ofMillis(500);
+    private static final Duration FIRST_TOKEN_TIME = Duration.ofMillis(30);
+    private static final Duration REJECTION_DELAY = Duration.ofMillis(2);
+    private static final Duration EVENT_ANSWER_DELAY = Duration.ofMillis(100);
     private static final int TOKENS = 800;
-    private static final int MOST_SENDS = 4;
+    private static final int MAX_SENDS = 4;
 
     final VirtualFleet fleet = new VirtualFleet();
     final List<BenchNode> nodes = new ArrayList<>();
     final List<Arrival> arrivals = new ArrayList<>();
     private final List<Arrival> eventCalls = new ArrayList<>();
-    final List<TurnedAway> turnedAway = new ArrayList<>();
+    final List<Rejection> rejections = new ArrayList<>();
     final List<Refused> refused = new ArrayList<>();
     int served;
-    int repeats;
-    private final Set<String> leaving = new HashSet<>();
-    private final Map<String, Duration> turningAway = new LinkedHashMap<>();
-    private final Map<String, RateLimit> limits = new HashMap<>();
-    private final Map<Heard, Long> heardLeavingNanos = new HashMap<>();
-    private Optional<EntryId> onlyTurnedAway = Optional.empty();
-    private Duration apart = Duration.ofMillis(3);
+    int retries;
+    private final Set<String> leavingEngines = new HashSet<>();
+    private final Map<String, Duration> backOffs = new LinkedHashMap<>();
+    private final Map<String, RateLimit> rateLimits = new HashMap<>();
+    private final Map<LeavingNotice, Long> leavingNoticeNanos = new HashMap<>();
+    private Optional<EntryId> onlyRejectedEntry = Optional.empty();
+    private Duration requestInterval = Duration.ofMillis(3);
     private int next;
 
     /**
-     * Something arrived at an engine.
+     * A request or another call that arrived at an engine.
      *
      * @param start the latest start of the engine that the sender knew
      */
-    record Arrival(EntryId from, String engine, EndpointIncarnation start, long askedNanos, long atNanos) {
+    record Arrival(EntryId from, String engine, EndpointIncarnation start, long requestedNanos, long atNanos) {
         static Arrival ofCall(EntryId from, EndpointIncarnation start, long atNanos) {
             return new Arrival(from, start.endpoint().value(), start, atNanos, atNanos);
         }
     }
 
-    /** An engine turned a request away and wants nothing of the entry for so long. */
-    record TurnedAway(EntryId from, String engine, Duration backOff, long atNanos) {}
+    /** A request that an engine rejected, with the back-off that it named to the entry. */
+    record Rejection(EntryId from, String engine, Duration backOff, long atNanos) {}
 
-    /** A caller was refused. */
+    /** A refusal that a caller received. */
     record Refused(long waitedMillis, Optional<Duration> retryAfter) {}
 
-    /** Who heard of whom that it leaves. */
-    private record Heard(EntryId entry, EndpointIncarnation start) {}
+    /** An entry that received the notice that a start of an engine leaves. */
+    private record LeavingNotice(EntryId entry, EndpointIncarnation start) {}
 
-    /** A caller's request on its way. */
+    /** A caller's request that hasn't ended. */
     private static final class Call {
         private final BenchNode node;
-        private final long askedNanos;
+        private final long requestedNanos;
         private final Set<EndpointId> failed = new HashSet<>();
         private int sends;
 
-        private Call(BenchNode node, long askedNanos) {
+        private Call(BenchNode node, long requestedNanos) {
             this.node = node;
-            this.askedNanos = askedNanos;
+            this.requestedNanos = requestedNanos;
         }
     }
 
-    /** Starts entries in two failure domains, and as many engines as wanted. */
+    /** Starts the given numbers of entries and engines, both spread over two failure domains. */
     static VirtualLoad start(int entries, int engines) {
         VirtualLoad load = new VirtualLoad();
-        load.fleet.bench.onAction(load::tellEvents);
+        load.fleet.bench.onAction(load::answerCacheEvents);
         for (int index = 0; index < entries; index++) {
             load.nodes.add(load.fleet.start("entry-" + index, domainOf(index)));
         }
@@ -109,107 +109,107 @@
         return index % 2 == 0 ? VirtualFleet.NORTHERN : VirtualFleet.SOUTHERN;
     }
 
-    // ---- What engines do.
+    // ---- Behavior of engines.
 
-    /** From now on its answers say that it leaves. */
-    void leave(String engine) {
-        leaving.add(engine);
+    /** Lets the engine announce in each further answer that it leaves. */
+    void startLeaving(String engine) {
+        leavingEngines.add(engine);
     }
 
-    /** From now on its answers name a rate limit. */
-    void limit(String engine, double perSecond) {
-        limits.put(engine, RateLimit.of(perSecond).orElseThrow());
+    /** Lets the engine name a rate limit in each further answer. */
+    void setRateLimit(String engine, double perSecond) {
+        rateLimits.put(engine, RateLimit.of(perSecond).orElseThrow());
     }
 
-    /** From now on no engine names a rate limit. */
-    void endLimits() {
-        limits.clear();
+    /** Removes the rate limits of all engines. */
+    void clearRateLimits() {
+        rateLimits.clear();
     }
 
-    /** From now on it turns away what arrives, and wants nothing for so long. */
-    void turnAway(String engine, Duration backOff) {
-        turningAway.put(engine, backOff);
+    /** Lets the engine reject each further request with the given back-off. */
+    void reject(String engine, Duration backOff) {
+        backOffs.put(engine, backOff);
     }
 
-    /** It tells every entry that it wants nothing for so long. */
-    void tellAll(String engine, Duration backOff) {
+    /** Delivers the given back-off of the engine to every entry. */
+    void sendBackOffToAll(String engine, Duration backOff) {
         EndpointIncarnation start = EndpointIncarnation.of(EndpointId.of(engine), PlatformDocuments.FIRST_START_MILLIS);
         EndpointNotice notice = EndpointNotice.ofBackOff(backOff);
         nodes.forEach(node -> node.offer(new NoticeReceived(start, notice, false)));
     }
 
-    void takeAgain(String engine) {
-        turningAway.remove(engine);
+    void acceptAgain(String engine) {
+        backOffs.remove(engine);
     }
 
-    /** Only requests of this entry are turned away. */
-    void turnAwayOnly(EntryId entry) {
-        onlyTurnedAway = Optional.of(entry);
+    /** Restricts rejections to requests of this entry. */
+    void rejectOnly(EntryId entry) {
+        onlyRejectedEntry = Optional.of(entry);
     }
 
-    /** Each engine has news of its cache whenever it is asked, a moment later. */
-    private boolean tellEvents(ControlAction action, ControlInput input) {
-        if (!(action instanceof StoreCall.AskChanges ask)) {
+    /** Answers each query for cache events with one change after a short delay. */
+    private boolean answerCacheEvents(ControlAction action, ControlInput input) {
+        if (!(action instanceof StoreCall.AskChanges query)) {
             return false;
         }
-        EndpointIncarnation engine = startNamed(ask.store().id().value());
+        EndpointIncarnation engine = parseIncarnation(query.store().id().value());
         eventCalls.add(Arrival.ofCall(((BenchNode) input).entry(), engine, now()));
         StoreAnswer.Change change = new StoreAnswer.Change(true, "s.1", "part", TOKENS, VirtualFleet.MODEL);
         StoreAnswer answer = new StoreAnswer.Changes(
-                ask.store().id(), 1, ask.since() + 1, false, now() / 1_000_000, ImmutableList.of(change));
-        fleet.bench.time().after(EVENTS_AFTER, () -> input.offer(answer));
+                query.store().id(), 1, query.since() + 1, false, now() / 1_000_000, ImmutableList.of(change));
+        fleet.bench.time().after(EVENT_ANSWER_DELAY, () -> input.offer(answer));
         return true;
     }
 
-    private static EndpointIncarnation startNamed(String text) {
+    private static EndpointIncarnation parseIncarnation(String text) {
         int at = text.indexOf('@');
         return EndpointIncarnation.of(EndpointId.of(text.substring(0, at)), Long.parseLong(text.substring(at + 1)));
     }
 
-    // ---- What callers do.
+    // ---- Requests of callers.
 
-    void callEvery(Duration time) {
-        apart = time;
+    void setRequestInterval(Duration time) {
+        requestInterval = time;
     }
 
-    /** Prompts of every entry in turn, 333 a second if nothing else was asked for. */
-    void play(Duration duration) {
-        askNext(now() + duration.toNanos());
+    /** Sends prompts through all entries in turn, by default 333 a second, and runs for the given time. */
+    void runTraffic(Duration duration) {
+        sendNext(now() + duration.toNanos());
         fleet.bench.runFor(duration);
     }
 
-    private void askNext(long endNanos) {
+    private void sendNext(long endNanos) {
         BenchNode node = nodes.get(next++ % nodes.size());
         if (!node.isDead() && VirtualFleet.configurationOf(node) > 0) {
             Call call = new Call(node, now());
-            fleet.askPrompt(node, TOKENS, decision -> onDecision(call, decision));
+            fleet.requestPlacement(node, TOKENS, decision -> onDecision(call, decision));
         }
-        if (now() + apart.toNanos() < endNanos) {
-            fleet.bench.time().after(apart, () -> askNext(endNanos));
+        if (now() + requestInterval.toNanos() < endNanos) {
+            fleet.bench.time().after(requestInterval, () -> sendNext(endNanos));
         }
     }
 
     private void onDecision(Call call, PlacementDecision decision) {
         if (decision instanceof PlacementDecision.Placed placed) {
-            arrive(call, placed);
+            send(call, placed);
         } else if (decision instanceof PlacementDecision.Refused refusal) {
-            long waited = (now() - call.askedNanos) / 1_000_000;
+            long waited = (now() - call.requestedNanos) / 1_000_000;
             refused.add(new Refused(waited, refusal.error().retryAfter()));
         }
     }
 
-    private void arrive(Call call, PlacementDecision.Placed placed) {
+    private void send(Call call, PlacementDecision.Placed placed) {
         String engine = placed.endpoint().id().value();
         EntryId entry = call.node.entry();
-        arrivals.add(new Arrival(entry, engine, placed.endpoint().incarnation(), call.askedNanos, now()));
+        arrivals.add(new Arrival(entry, engine, placed.endpoint().incarnation(), call.requestedNanos, now()));
         call.sends++;
-        Duration backOff = turningAway.get(engine);
-        if (backOff != null && onlyTurnedAway.map(entry::equals).orElse(true)) {
-            fleet.bench.time().after(TURNED_AWAY_AFTER, () -> onTurnedAway(call, placed, backOff));
+        Duration backOff = backOffs.get(engine);
+        if (backOff != null && onlyRejectedEntry.map(entry::equals).orElse(true)) {
+            fleet.bench.time().after(REJECTION_DELAY, () -> onRejected(call, placed, backOff));
             return;
         }
-        fleet.bench.time().after(FIRST_TOKEN, () -> onHead(call, placed));
-        fleet.bench.time().after(ANSWER, () -> {
+        fleet.bench.time().after(FIRST_TOKEN_TIME, () -> onHead(call, placed));
+        fleet.bench.time().after(ANSWER_TIME, () -> {
             served++;
             call.node.offer(new AttemptEnded(placed.ticket(), End.ANSWERED));
         });
@@ -218,31 +218,31 @@
     private void onHead(Call call, PlacementDecision.Placed placed) {
         String engine = placed.endpoint().id().value();
         EndpointIncarnation start = placed.endpoint().incarnation();
-        if (leaving.contains(engine)) {
-            heardLeavingNanos.putIfAbsent(new Heard(call.node.entry(), start), now());
+        if (leavingEngines.contains(engine)) {
+            leavingNoticeNanos.putIfAbsent(new LeavingNotice(call.node.entry(), start), now());
             call.node.offer(new NoticeReceived(start, EndpointNotice.ofLeaving(), false));
         }
-        Optional<RateLimit> limit = Optional.ofNullable(limits.get(engine));
-        if (limit.isPresent() || placed.rateLimited()) {
-            call.node.offer(new NoticeReceived(start, EndpointNotice.ofRateLimit(limit), placed.rateLimited()));
+        Optional<RateLimit> rateLimit = Optional.ofNullable(rateLimits.get(engine));
+        if (rateLimit.isPresent() || placed.rateLimited()) {
+            call.node.offer(new NoticeReceived(start, EndpointNotice.ofRateLimit(rateLimit), placed.rateLimited()));
         }
         call.node.offer(new AttemptBegun(placed.ticket()));
     }
 
-    private void onTurnedAway(Call call, PlacementDecision.Placed placed, Duration backOff) {
+    private void onRejected(Call call, PlacementDecision.Placed placed, Duration backOff) {
         EndpointId engine = placed.endpoint().id();
-        turnedAway.add(new TurnedAway(call.node.entry(), engine.value(), backOff, now()));
+        rejections.add(new Rejection(call.node.entry(), engine.value(), backOff, now()));
         call.node.offer(new NoticeReceived(placed.endpoint().incarnation(), EndpointNotice.ofBackOff(backOff), false));
         call.node.offer(new AttemptEnded(placed.ticket(), End.SHED));
         call.failed.add(engine);
-        if (call.sends < MOST_SENDS && !call.node.isDead()) {
-            repeats++;
+        if (call.sends < MAX_SENDS && !call.node.isDead()) {
+            retries++;
             ImmutableSet<EndpointId> failed = ImmutableSet.copyOf(call.failed);
-            fleet.askPromptAgain(call.node, TOKENS, failed, decision -> onDecision(call, decision));
+            fleet.requestRetryPlacement(call.node, TOKENS, failed, decision -> onDecision(call, decision));
         }
     }
 
-    // ---- What came of it.
+    // ---- Results.
 
     long now() {
         return fleet.bench.time().nowNanos();
@@ -255,77 +255,80 @@
                 .orElseThrow();
     }
 
-    /** Replaces an entry by a new start of it. */
+    /** Kills an entry and starts it again. */
     void restart(BenchNode node) {
         int index = nodes.indexOf(node);
         node.kill();
         nodes.set(index, fleet.start(node.entry().value(), domainOf(index)));
-        forgetLeavingHeardBy(node.entry());
-        forgetTurnedAwayAtPresent(node.entry());
+        forgetLeavingNotices(node.entry());
+        forgetCurrentRejections(node.entry());
     }
 
-    /** The entry stands still, which excuses what it does against what it was told before. */
+    /** Suspends an entry. What it sends against notices that it received before is excused. */
     void pause(BenchNode node, Duration time) {
         node.pause(time);
         EntryId entry = node.entry();
-        forgetLeavingHeardBy(entry);
-        forgetTurnedAwayAtPresent(entry);
+        forgetLeavingNotices(entry);
+        forgetCurrentRejections(entry);
         fleet.bench.time().after(time.plusMillis(1), () -> {
-            forgetLeavingHeardBy(entry);
-            forgetTurnedAwayAtPresent(entry);
+            forgetLeavingNotices(entry);
+            forgetCurrentRejections(entry);
         });
     }
 
-    /** The entry is cut off from all others, which excuses what it does against a time that was named before. */
+    /** Cuts an entry off from all others. What it sends against back-offs that were named before is excused. */
     void cut(BenchNode node) {
         fleet.bench.cutFromAll(node);
-        forgetTurnedAwayAtPresent(node.entry());
+        forgetCurrentRejections(node.entry());
     }
 
-    private void forgetLeavingHeardBy(EntryId entry) {
-        heardLeavingNanos.keySet().removeIf(heard -> heard.entry().equals(entry));
+    private void forgetLeavingNotices(EntryId entry) {
+        leavingNoticeNanos.keySet().removeIf(notice -> notice.entry().equals(entry));
     }
 
-    private void forgetTurnedAwayAtPresent(EntryId entry) {
-        turnedAway.removeIf(each ->
+    private void forgetCurrentRejections(EntryId entry) {
+        rejections.removeIf(each ->
                 each.from().equals(entry) && each.atNanos() + each.backOff().toNanos() > now());
     }
 
-    /** The engine ends and starts again under its id: what its earlier start said is void. */
+    /** Restarts an engine under its id, which voids the notices of its earlier start. */
     void restartEngine(String engine) {
-        leaving.remove(engine);
-        turningAway.remove(engine);
-        heardLeavingNanos
+        leavingEngines.remove(engine);
+        backOffs.remove(engine);
+        leavingNoticeNanos
                 .keySet()
-                .removeIf(heard -> heard.start().endpoint().value().equals(engine));
-        turnedAway.removeIf(each ->
+                .removeIf(notice -> notice.start().endpoint().value().equals(engine));
+        rejections.removeIf(each ->
                 each.engine().equals(engine) && each.atNanos() + each.backOff().toNanos() > now());
         fleet.restartEngine(engine, 1);
     }
 
-    /** Of what callers asked for so long after their entry had heard that the engine leaves, what arrived there. */
-    List<Arrival> arrivalsAfterHeardLeaving(String engine, Duration later) {
+    /**
+     * Returns the requests that arrived at an engine although the caller sent them at least the given delay after its
+     * entry had received the notice that the engine leaves.
+     */
+    List<Arrival> arrivalsAfterLeavingNotice(String engine, Duration delay) {
         return arrivals.stream()
                 .filter(arrival -> arrival.engine().equals(engine))
-                .filter(arrival -> isLater(arrival, later))
+                .filter(arrival -> arrivedAfterNotice(arrival, delay))
                 .toList();
     }
 
-    /** The same, whichever start of the engine the entry knew when it heard that. */
-    List<Arrival> arrivalsAfterHeardLeavingOfAnyStart(String engine, Duration later) {
+    /** Returns the same for the notice of any start of the engine. */
+    List<Arrival> arrivalsAfterLeavingNoticeOfAnyStart(String engine, Duration delay) {
         return arrivals.stream()
                 .filter(arrival -> arrival.engine().equals(engine))
-                .filter(arrival -> heardLeavingNanos.entrySet().stream()
-                        .filter(heard -> heard.getKey().entry().equals(arrival.from()))
-                        .filter(heard ->
-                                heard.getKey().start().endpoint().value().equals(engine))
-                        .anyMatch(heard -> arrival.askedNanos() - heard.getValue() > later.toNanos()))
+                .filter(arrival -> leavingNoticeNanos.entrySet().stream()
+                        .filter(notice -> notice.getKey().entry().equals(arrival.from()))
+                        .filter(notice ->
+                                notice.getKey().start().endpoint().value().equals(engine))
+                        .anyMatch(notice -> arrival.requestedNanos() - notice.getValue() > delay.toNanos()))
                 .toList();
     }
 
-    private boolean isLater(Arrival arrival, Duration later) {
-        Long heard = heardLeavingNanos.get(new Heard(arrival.from(), arrival.start()));
-        return heard != null && arrival.askedNanos() - heard > later.toNanos();
+    private boolean arrivedAfterNotice(Arrival arrival, Duration delay) {
+        Long notice = leavingNoticeNanos.get(new LeavingNotice(arrival.from(), arrival.start()));
+        return notice != null && arrival.requestedNanos() - notice > delay.toNanos();
     }
 
     long count(String engine, long fromNanos, long untilNanos) {
@@ -335,29 +338,32 @@
                 .count();
     }
 
-    /** Requests, calls for cache events, questions and orders about weights. */
+    /** Returns requests, queries for cache events, and state queries and orders about weights. */
     List<Arrival> allCalls() {
         List<Arrival> all = new ArrayList<>(arrivals);
         all.addAll(eventCalls);
-        fleet.statesAsked.forEach(asked -> all.add(Arrival.ofCall(asked.from(), asked.engine(), asked.atNanos())));
+        fleet.stateQueries.forEach(query -> all.add(Arrival.ofCall(query.from(), query.engine(), query.atNanos())));
         fleet.orders.forEach(order -> all.add(Arrival.ofCall(order.from(), order.engine(), order.atNanos())));
         return all;
     }
 
-    /** The most that one entry sent to one engine between so long after it was turned away and the end of that time. */
-    long mostWhileTurnedAway(Duration from, List<Arrival> sent) {
-        return turnedAway.stream()
-                .mapToLong(turned -> countWithin(turned, from, sent))
+    /**
+     * Returns the maximum number of calls that one entry sent to one engine during a back-off, counted from the given
+     * delay after the rejection.
+     */
+    long maxSentDuringBackOff(Duration from, List<Arrival> sent) {
+        return rejections.stream()
+                .mapToLong(rejection -> countWithin(rejection, from, sent))
                 .max()
                 .orElse(0);
     }
 
-    private static long countWithin(TurnedAway turned, Duration from, List<Arrival> sent) {
-        long begin = turned.atNanos() + from.toNanos();
-        long end = turned.atNanos() + turned.backOff().toNanos();
+    private static long countWithin(Rejection rejection, Duration from, List<Arrival> sent) {
+        long begin = rejection.atNanos() + from.toNanos();
+        long end = rejection.atNanos() + rejection.backOff().toNanos();
         return sent.stream()
-                .filter(arrival -> arrival.from().equals(turned.from()))
-                .filter(arrival -> arrival.engine().equals(turned.engine()))
+                .filter(arrival -> arrival.from().equals(rejection.from()))
+                .filter(arrival -> arrival.engine().equals(rejection.engine()))
                 .filter(arrival -> arrival.atNanos() >= begin && arrival.atNanos() < end)
                 .count();
     }
--- a/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
+++ b/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
@@ -24,8 +24,8 @@
 
 public class WeightSwapTest {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String OPERATOR = "Bearer " + LocalCatalogue.OPERATOR_KEY;
-    private static final String QUESTION = "{\"model\":\"assistant\",\"prompt\":\"hello\",\"max_tokens\":2}";
+    private static final String OPERATOR_AUTHORIZATION = "Bearer " + LocalCatalogue.OPERATOR_KEY;
+    private static final String COMPLETION_BODY = "{\"model\":\"assistant\",\"prompt\":\"hello\",\"max_tokens\":2}";
 
     private LocalDeployment deployment;
 
@@ -41,27 +41,27 @@
         }
     }
 
-    // An operator names another weight version while callers go on asking. The swap rolls over the pool; the user must
-    // see no failed request and, once it is over, answers of the new version from every engine.
+    // An operator names another weight version while callers continue to send requests. The swap rolls over the pool;
+    // callers must see no failed request and, once it is over, answers of the new version from every engine.
     @Test
     public void aSwapRollsOverThePoolWhileCallersAreServed() throws Exception {
-        JsonNode wanted = catalogueWithVersion("v2");
+        JsonNode newCatalogue = catalogueWithVersion("v2");
         HttpAnswer accepted =
-                deployment.send(HttpQuery.json("PUT", admin(), "/admin/catalogue?edit=swap", wanted.toString())
-                        .withHeader("Authorization", OPERATOR));
+                deployment.send(HttpQuery.json("PUT", admin(), "/admin/catalogue?edit=swap", newCatalogue.toString())
+                        .withHeader("Authorization", OPERATOR_AUTHORIZATION));
         assertEquals(accepted.status(), 200, accepted.text());
         ConcurrentLinkedQueue<String> failures = new ConcurrentLinkedQueue<>();
         Awaitility.await().atMost(Duration.ofMinutes(2)).until(() -> {
-            ask(failures);
+            complete(failures);
             return engineVersions().equals(Set.of("v2"));
         });
-        ask(failures);
+        complete(failures);
         assertTrue(failures.isEmpty(), failures.toString());
     }
 
-    private void ask(ConcurrentLinkedQueue<String> failures) throws Exception {
+    private void complete(ConcurrentLinkedQueue<String> failures) throws Exception {
         HttpAnswer answer = deployment.send(
-                HttpQuery.json("POST", deployment.callerAddresses().get(0), "/v1/completions", QUESTION)
+                HttpQuery.json("POST", deployment.callerAddresses().get(0), "/v1/completions", COMPLETION_BODY)
                         .withHeader("Authorization", "Bearer " + LocalCatalogue.workspaceKey("statistics")));
         if (answer.status() != 200) {
             failures.add(answer.text());
@@ -80,9 +80,9 @@
     }
 
     private JsonNode catalogueWithVersion(String version) throws Exception {
-        HttpAnswer present =
-                deployment.send(HttpQuery.get(admin(), "/admin/catalogue").withHeader("Authorization", OPERATOR));
-        JsonNode catalogue = JSON.readTree(present.body());
+        HttpAnswer currentCatalogue = deployment.send(
+                HttpQuery.get(admin(), "/admin/catalogue").withHeader("Authorization", OPERATOR_AUTHORIZATION));
+        JsonNode catalogue = JSON.readTree(currentCatalogue.body());
         ObjectNode model = (ObjectNode)
                 catalogue.path("services").path(LocalCatalogue.MODEL).path("model");
         model.put("version", version);
--- a/src/test/java/org/yuccagw/faults/FaultProxy.java
+++ b/src/test/java/org/yuccagw/faults/FaultProxy.java
@@ -21,17 +21,17 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * A TCP proxy before one target, on loopback, that shows the faults of a network on order.
+ * A TCP proxy on loopback in front of one target, which simulates network faults on command.
  *
- * <p>All connections and orders live on one event loop thread, so an order is in force for every byte that is read
- * after it returned. Bytes keep their order whatever the delays.
+ * <p>All connections and commands run on one event loop thread, so a command applies to every byte that is read after
+ * it returned. Bytes keep their order whatever the delays.
  */
 public final class FaultProxy {
     private static final String LOOPBACK = "127.0.0.1";
 
-    private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(
+    private final EventLoopGroup eventLoop = new MultiThreadIoEventLoopGroup(
             1, new DefaultThreadFactory("fault-proxy", true), NioIoHandler.newFactory());
-    private final Set<ProxiedConnection> open = new LinkedHashSet<>();
+    private final Set<ProxiedConnection> openConnections = new LinkedHashSet<>();
     private final ProxyRules rules = new ProxyRules();
     private NetworkAddress target;
     private Channel listener;
@@ -41,7 +41,7 @@
         this.target = target;
     }
 
-    /** Listens on a free port and passes everything to the target. */
+    /** Listens on a free port and forwards all bytes to the target. */
     public static FaultProxy start(NetworkAddress target) {
         FaultProxy proxy = new FaultProxy(target);
         proxy.listen(0);
@@ -53,42 +53,44 @@
     }
 
     public void stop() {
-        onLoop(() -> List.copyOf(open).forEach(ProxiedConnection::close));
+        runOnLoop(() -> List.copyOf(openConnections).forEach(ProxiedConnection::close));
         listener.close().syncUninterruptibly();
-        loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** New connections go there; open ones stay where they are. */
+    /** Sets the target of new connections; open ones keep theirs. */
     public void retarget(NetworkAddress newTarget) {
-        onLoop(() -> target = newTarget);
+        runOnLoop(() -> target = newTarget);
     }
 
-    /** Bytes arrive so much later, in both directions. */
+    /** Delays all bytes by the given time, in both directions. */
     public void delay(Duration duration) {
-        onLoop(() -> rules.setDelayNanos(duration.toNanos()));
+        runOnLoop(() -> rules.setDelayNanos(duration.toNanos()));
     }
 
-    /** At most so many bytes a second pass, for each connection and direction. */
+    /** Limits the bytes per second, for each connection and direction. */
     public void throttle(double bytesPerSecond) {
-        onLoop(() -> rules.setBytesPerSecond(bytesPerSecond));
+        runOnLoop(() -> rules.setBytesPerSecond(bytesPerSecond));
     }
 
     /** Closes all open connections. */
     public void cut() {
-        onLoop(() -> List.copyOf(open).forEach(ProxiedConnection::close));
+        runOnLoop(() -> List.copyOf(openConnections).forEach(ProxiedConnection::close));
     }
 
-    /** The connections open now never pass a byte again and stay open; new ones pass. */
+    /** Silences the open connections: they stay open and forward no byte any more. New connections are not affected. */
     public void silenceOpen() {
-        onLoop(() -> open.forEach(ProxiedConnection::silence));
+        runOnLoop(() -> openConnections.forEach(ProxiedConnection::silence));
     }
 
-    /** The next {@code count} times that the target begins an answer, its connection is closed instead. */
+    /**
+     * Closes the connection instead of forwarding an answer, the next {@code count} times that the target begins one.
+     */
     public void dropAnswers(int count) {
-        onLoop(() -> rules.setAnswersToDrop(count));
+        runOnLoop(() -> rules.setAnswersToDrop(count));
     }
 
-    /** Nobody listens any more, as if the target's process were gone; open connections stay. */
+    /** Stops listening, as if the process of the target had ended; open connections stay. */
     public void refuseNew() {
         listener.close().syncUninterruptibly();
     }
@@ -100,22 +102,22 @@
         }
     }
 
-    /** Neither delay, throttle nor drops any more, and new connections are accepted; silenced ones stay silent. */
+    /** Removes delay, throttle and drops, and accepts new connections; silenced ones stay silent. */
     public void heal() {
-        onLoop(rules::clear);
+        runOnLoop(rules::clear);
         acceptNew();
     }
 
-    /** Connections that are open on the caller's side. */
+    /** Returns the number of connections that are open on the side of the caller. */
     public int openConnections() {
         int[] count = new int[1];
-        onLoop(() -> count[0] = open.size());
+        runOnLoop(() -> count[0] = openConnections.size());
         return count[0];
     }
 
     private void listen(int port) {
         ServerBootstrap bootstrap = new ServerBootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.AUTO_READ, false)
@@ -132,29 +134,29 @@
 
     private void connect(Channel caller) {
         Bootstrap bootstrap = new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<>() {
                     @Override
-                    protected void initChannel(Channel reached) {
-                        // The handlers are added once both sides stand.
+                    protected void initChannel(Channel targetChannel) {
+                        // The handlers are added once both sides are connected.
                     }
                 });
-        bootstrap.connect(target.host(), target.port()).addListener((ChannelFuture reached) -> {
-            if (reached.isSuccess()) {
-                ProxiedConnection connection = new ProxiedConnection(caller, reached.channel(), rules);
-                open.add(connection);
-                caller.closeFuture().addListener(closed -> open.remove(connection));
-                connection.begin();
+        bootstrap.connect(target.host(), target.port()).addListener((ChannelFuture targetChannel) -> {
+            if (targetChannel.isSuccess()) {
+                ProxiedConnection proxied = new ProxiedConnection(caller, targetChannel.channel(), rules);
+                openConnections.add(proxied);
+                caller.closeFuture().addListener(closed -> openConnections.remove(proxied));
+                proxied.begin();
             } else {
                 caller.close();
             }
         });
     }
 
-    private void onLoop(Runnable order) {
-        loop.submit(order).syncUninterruptibly();
+    private void runOnLoop(Runnable command) {
+        eventLoop.submit(command).syncUninterruptibly();
     }
 }
--- a/src/test/java/org/yuccagw/faults/FaultProxyTest.java
+++ b/src/test/java/org/yuccagw/faults/FaultProxyTest.java
@@ -22,7 +22,7 @@
 import org.yuccagw.standins.plain.PlainServiceStandIn;
 
 public class FaultProxyTest {
-    private static final int SIZE = 500_000;
+    private static final int BODY_BYTES = 500_000;
 
     private PlainServiceStandIn service;
     private FaultProxy proxy;
@@ -43,7 +43,7 @@
     }
 
     @Test(invocationCount = 20)
-    public void bytesPassWholeAndInOrderWhileTheDelayChanges() throws Exception {
+    public void bytesArriveCompletelyAndInOrderWhileTheDelayChanges() throws Exception {
         proxy.delay(Duration.ofMillis(30));
         byte[] body = bytes();
         CompletableFuture<HttpAnswer> slow = caller.send("POST", "/a", body);
@@ -54,37 +54,37 @@
     }
 
     @Test
-    public void delayedBytesComeNoEarlierThanTheirTime() throws Exception {
+    public void delayedBytesArriveNoEarlierThanTheirDelay() throws Exception {
         proxy.delay(Duration.ofMillis(100));
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         caller.call("GET", "/a");
-        assertTrue(System.nanoTime() - begin >= TimeUnit.MILLISECONDS.toNanos(200));
+        assertTrue(System.nanoTime() - startNanos >= TimeUnit.MILLISECONDS.toNanos(200));
     }
 
     @Test
-    public void throttledBytesTakeTheirTime() throws Exception {
-        proxy.throttle(SIZE * 2.0);
-        long begin = System.nanoTime();
+    public void throttledBytesArriveNoFasterThanTheLimit() throws Exception {
+        proxy.throttle(BODY_BYTES * 2.0);
+        long startNanos = System.nanoTime();
         caller.call("POST", "/a", bytes());
-        assertTrue(System.nanoTime() - begin >= TimeUnit.MILLISECONDS.toNanos(500));
+        assertTrue(System.nanoTime() - startNanos >= TimeUnit.MILLISECONDS.toNanos(500));
     }
 
-    // Something between the two ends lost track of a connection: it shows no error and passes nothing, ever, while a
-    // new connection to the same address works.
+    // A device between the two ends has lost its state about a connection: the connection shows no error and forwards
+    // nothing any more, while a new connection to the same address works.
     @Test
-    public void aSilencedConnectionStaysOpenWhileNewOnesPass() throws Exception {
+    public void aSilencedConnectionStaysOpenWhileNewOnesWork() throws Exception {
         caller.call("GET", "/a");
         proxy.silenceOpen();
         CompletableFuture<HttpAnswer> stuck = caller.send("GET", "/a", new byte[0]);
-        TestCaller fresh = TestCaller.to(proxy.address());
-        assertEquals(fresh.call("GET", "/b").status(), 200);
+        TestCaller newCaller = TestCaller.to(proxy.address());
+        assertEquals(newCaller.call("GET", "/b").status(), 200);
         assertFalse(stuck.isDone());
         assertEquals(service.calls().size(), 2);
-        fresh.stop();
+        newCaller.stop();
     }
 
     @Test
-    public void aDroppedAnswerLeavesItsEffect() throws Exception {
+    public void aRequestWhoseAnswerIsDroppedStillRuns() throws Exception {
         proxy.dropAnswers(1);
         expectThrows(ExecutionException.class, () -> caller.call("POST", "/a"));
         assertEquals(service.calls().size(), 1);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void aCutEndsWhatIsInProgress() throws Exception {
+    public void aCutEndsRequestsInProgress() throws Exception {
         service.order(PlainFaults.none().withAnswerMillis(600_000));
         CompletableFuture<HttpAnswer> waiting = caller.send("GET", "/a", new byte[0]);
         await().until(() -> service.calls().size() == 1);
@@ -119,7 +119,7 @@
     }
 
     private static byte[] bytes() {
-        byte[] bytes = new byte[SIZE];
+        byte[] bytes = new byte[BODY_BYTES];
         new SplittableRandom(7).nextBytes(bytes);
         return bytes;
     }
--- a/src/test/java/org/yuccagw/faults/ProxiedConnection.java
+++ b/src/test/java/org/yuccagw/faults/ProxiedConnection.java
@@ -7,9 +7,9 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** One connection through the proxy: two channels and the bytes on their way between them. */
+/** A connection through the proxy: two channels and the bytes in transit between them. */
 final class ProxiedConnection {
-    private static final int MOST_PENDING_BYTES = 256 * 1024;
+    private static final int MAX_PENDING_BYTES = 256 * 1024;
 
     private final Channel caller;
     private final Channel target;
@@ -39,17 +39,17 @@
         target.close();
     }
 
-    /** Passes the bytes of one direction, each not before its time and never before an earlier one. */
+    /** Forwards the bytes of one direction, each not before its due time and never before an earlier one. */
     private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel other;
-        private final boolean answers;
+        private final boolean fromTarget;
         private long lastDueNanos = Long.MIN_VALUE;
-        private final ArrayDeque<Due> tasks = new ArrayDeque<>();
+        private final ArrayDeque<DueTask> tasks = new ArrayDeque<>();
         private int pendingBytes;
 
-        private Relay(Channel other, boolean answers) {
+        private Relay(Channel other, boolean fromTarget) {
             this.other = other;
-            this.answers = answers;
+            this.fromTarget = fromTarget;
         }
 
         @Override
@@ -59,20 +59,20 @@
                 bytes.release();
                 return;
             }
-            if (answers && !answerBegun && rules.dropsAnswer()) {
+            if (fromTarget && !answerBegun && rules.dropNextAnswer()) {
                 bytes.release();
                 close();
                 return;
             }
-            // A further request on the same connection has an answer of its own that may be dropped.
-            answerBegun = answers;
-            pass(context, bytes);
+            // A further request on the same connection has its own answer, which may be dropped.
+            answerBegun = fromTarget;
+            forward(context, bytes);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (!silent) {
-                at(Math.max(lastDueNanos, System.nanoTime()), context, other::close);
+                runAt(Math.max(lastDueNanos, System.nanoTime()), context, other::close);
             }
         }
 
@@ -81,13 +81,13 @@
             context.close();
         }
 
-        private void pass(ChannelHandlerContext context, ByteBuf bytes) {
+        private void forward(ChannelHandlerContext context, ByteBuf bytes) {
             int size = bytes.readableBytes();
             long earliest = System.nanoTime() + rules.delayNanos();
-            lastDueNanos = Math.max(earliest, lastDueNanos) + rules.nanosFor(size);
+            lastDueNanos = Math.max(earliest, lastDueNanos) + rules.transferNanos(size);
             pendingBytes += size;
-            context.channel().config().setAutoRead(pendingBytes < MOST_PENDING_BYTES);
-            at(lastDueNanos, context, () -> deliver(context, bytes, size));
+            context.channel().config().setAutoRead(pendingBytes < MAX_PENDING_BYTES);
+            runAt(lastDueNanos, context, () -> deliver(context, bytes, size));
         }
 
         private void deliver(ChannelHandlerContext context, ByteBuf bytes, int size) {
@@ -97,23 +97,23 @@
             }
             other.writeAndFlush(bytes).addListener(written -> {
                 pendingBytes -= size;
-                context.channel().config().setAutoRead(pendingBytes < MOST_PENDING_BYTES);
+                context.channel().config().setAutoRead(pendingBytes < MAX_PENDING_BYTES);
             });
         }
 
         /**
-         * Runs the task at its time and after every earlier one of this direction. The scheduler alone doesn't keep
-         * that order: two tasks that are due at the same nanosecond are given delays that were reckoned at different
-         * moments, and the later one may come first by a hair. Bytes then changed places.
+         * Runs the task at its time and after every earlier one of this direction. The scheduler alone does not keep
+         * that order: the delays of two tasks that are due at the same nanosecond are computed at different moments,
+         * so the later task may run slightly earlier. Bytes then changed places.
          */
-        private void at(long nanos, ChannelHandlerContext context, Runnable task) {
-            tasks.add(new Due(nanos, task));
+        private void runAt(long nanos, ChannelHandlerContext context, Runnable task) {
+            tasks.add(new DueTask(nanos, task));
             if (tasks.size() == 1) {
-                wakeAt(nanos, context);
+                scheduleAt(nanos, context);
             }
         }
 
-        private void wakeAt(long nanos, ChannelHandlerContext context) {
+        private void scheduleAt(long nanos, ChannelHandlerContext context) {
             long wait = Math.max(0, nanos - System.nanoTime());
             context.executor().schedule(() -> runDue(context), wait, TimeUnit.NANOSECONDS);
         }
@@ -123,10 +123,10 @@
                 tasks.poll().task().run();
             }
             if (!tasks.isEmpty()) {
-                wakeAt(tasks.peek().nanos(), context);
+                scheduleAt(tasks.peek().nanos(), context);
             }
         }
     }
 
-    private record Due(long nanos, Runnable task) {}
+    private record DueTask(long nanos, Runnable task) {}
 }
--- a/src/test/java/org/yuccagw/faults/ProxyRules.java
+++ b/src/test/java/org/yuccagw/faults/ProxyRules.java
@@ -1,6 +1,6 @@
 package org.yuccagw.faults;
 
-/** The faults in force at one proxy; on its event loop thread only. */
+/** The faults in force at one proxy. Used on its event loop thread only. */
 final class ProxyRules {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -30,12 +30,12 @@
         answersToDrop = count;
     }
 
-    long nanosFor(int bytes) {
+    long transferNanos(int bytes) {
         return (long) (bytes * NANOS_PER_SECOND / bytesPerSecond);
     }
 
-    /** Whether this beginning of an answer is to be dropped; counts it. */
-    boolean dropsAnswer() {
+    /** Returns whether the answer that begins is to be dropped, and counts it. */
+    boolean dropNextAnswer() {
         if (answersToDrop == 0) {
             return false;
         }
--- a/src/test/java/org/yuccagw/faults/package-info.java
+++ b/src/test/java/org/yuccagw/faults/package-info.java
@@ -1,2 +1,2 @@
-/** Test scaffolding: a small TCP proxy that shows the faults of a network on order. */
+/** Test support: a small TCP proxy that simulates network faults on command. */
 package org.yuccagw.faults;
--- a/src/test/java/org/yuccagw/process/Callers.java
+++ b/src/test/java/org/yuccagw/process/Callers.java
@@ -17,23 +17,23 @@
 import org.yuccagw.standins.engine.SseText;
 import org.yuccagw.standins.http.StandInJson;
 
-/** The callers of a test: they send requests, each with a marker word of its own, and note what came of them. */
+/** The callers of a test: they send requests, each with its own marker word, and record their outcomes. */
 final class Callers {
-    private static final Duration SILENCE = Duration.ofSeconds(5);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(5);
     private static final String PREAMBLE = "The cells above define the survey tables of the ministry. ".repeat(12);
 
-    private static final AtomicInteger NUMBERS = new AtomicInteger();
+    private static final AtomicInteger NEXT_NUMBER = new AtomicInteger();
 
     private final HttpCaller http;
-    private final Map<String, List<Sending>> sendings = new LinkedHashMap<>();
+    private final Map<String, List<Sending>> attempts = new LinkedHashMap<>();
     private final Map<String, Request> requests = new LinkedHashMap<>();
-    private final Map<String, List<String>> notes = new LinkedHashMap<>();
+    private final Map<String, List<String>> descriptions = new LinkedHashMap<>();
 
     Callers(HttpCaller http) {
         this.http = http;
     }
 
-    /** What is asked for, the same at each sending. */
+    /** A request, which is the same in each attempt. */
     record Request(String workspace, String service, String marker, int tokens) {
         boolean isPlain() {
             return service.equals("letters");
@@ -47,14 +47,14 @@
             return "Notebook of " + workspace + ". " + PREAMBLE + marker + " ";
         }
 
-        /** The key of a request is its marker. */
-        private HttpQuery query(EntryProcess entry) {
+        /** Builds the HTTP request. The idempotency key is the marker. */
+        private HttpQuery httpRequest(EntryProcess entry) {
             byte[] body = isPlain() ? marker.getBytes(StandardCharsets.UTF_8) : modelBody();
             String path = isPlain() ? "/letters/send" : "/v1/completions";
-            HttpQuery query = HttpQuery.of("POST", entry.callerAddress(), path, body)
+            HttpQuery httpRequest = HttpQuery.of("POST", entry.callerAddress(), path, body)
                     .withHeader("Content-Type", isPlain() ? "text/plain" : "application/json")
                     .withHeader("Authorization", "Bearer " + workspace + "-key");
-            return nonIdempotent() ? query.withHeader("Idempotency-Key", marker) : query;
+            return nonIdempotent() ? httpRequest.withHeader("Idempotency-Key", marker) : httpRequest;
         }
 
         byte[] modelBody() {
@@ -65,7 +65,7 @@
                     .put("stream", true));
         }
 
-        String expected() {
+        String expectedAnswer() {
             return isPlain()
                     ? Hashing.sha256()
                             .hashString(marker, StandardCharsets.UTF_8)
@@ -78,69 +78,73 @@
         return newRequest(workspace, service, tokens, workspace);
     }
 
-    /** A prompt that ends each engine that runs it. */
-    Request newPoison(String workspace) {
+    /** Creates a prompt that crashes each engine that runs it. */
+    Request newCrashingRequest(String workspace) {
         return newRequest(workspace, "assistant", 1, "poison-" + workspace);
     }
 
-    private Request newRequest(String workspace, String service, int tokens, String word) {
-        Request request = new Request(workspace, service, "marker-" + word + "-" + NUMBERS.incrementAndGet(), tokens);
+    private Request newRequest(String workspace, String service, int tokens, String markerWord) {
+        Request request =
+                new Request(workspace, service, "marker-" + markerWord + "-" + NEXT_NUMBER.incrementAndGet(), tokens);
         requests.put(request.marker(), request);
-        sendings.put(request.marker(), new ArrayList<>());
-        notes.put(request.marker(), new ArrayList<>());
+        attempts.put(request.marker(), new ArrayList<>());
+        descriptions.put(request.marker(), new ArrayList<>());
         return request;
     }
 
-    StreamedCall begin(Request request, EntryProcess entry) {
-        return StreamedCall.begin(http, request.query(entry), SILENCE);
+    StreamedCall start(Request request, EntryProcess entry) {
+        return StreamedCall.start(http, request.httpRequest(entry), READ_TIMEOUT);
     }
 
-    /** Asks another entry for what comes after the pieces so far, without the first request's body. */
+    /**
+     * Requests from another entry the pieces of the answer after those received, without the body of the first
+     * request.
+     */
     StreamedCall resume(Request request, EntryProcess entry, StreamedCall first) {
         String path = "/v1/resume?token=" + first.header("X-Resume-Token") + "&from="
                 + first.events().lastId();
-        HttpQuery query = HttpQuery.get(entry.callerAddress(), path)
+        HttpQuery httpRequest = HttpQuery.get(entry.callerAddress(), path)
                 .withHeader("Authorization", "Bearer " + request.workspace() + "-key");
-        return StreamedCall.begin(http, query, SILENCE);
+        return StreamedCall.start(http, httpRequest, READ_TIMEOUT);
     }
 
-    /** Sends it, waits for the end and notes what came. */
+    /** Sends a request, waits for the end and records the outcome. */
     Sending send(Request request, EntryProcess entry) throws Exception {
-        return note(request, begin(request, entry).awaitEnd());
+        return record(request, start(request, entry).awaitEnd());
     }
 
-    /** Notes what came of a call that is over. */
-    Sending note(Request request, StreamedCall call) {
+    /** Records the outcome of a call that has ended. */
+    Sending record(Request request, StreamedCall call) {
         Sending sending = read(request, call);
-        notes.get(request.marker()).add(call.describe());
-        sendings.get(request.marker()).add(sending);
+        descriptions.get(request.marker()).add(call.describe());
+        attempts.get(request.marker()).add(sending);
         return sending;
     }
 
-    /** Notes an answer that came over two connections. */
-    Sending noteResumed(Request request, StreamedCall first, StreamedCall rest) {
+    /** Records an answer that was received over two connections. */
+    Sending recordResumed(Request request, StreamedCall first, StreamedCall rest) {
         SseText begin = first.events();
         SseText end = rest.events();
         List<Integer> numbers = new ArrayList<>(begin.ids());
         numbers.addAll(end.ids());
         String text = begin.text() + end.text();
         Sending sending = end.isWhole()
-                ? Sending.answered(text, request.expected(), numbers)
-                : Sending.unclear(text, request.expected(), numbers);
-        sendings.get(request.marker()).add(sending);
+                ? Sending.answered(text, request.expectedAnswer(), numbers)
+                : Sending.unclear(text, request.expectedAnswer(), numbers);
+        attempts.get(request.marker()).add(sending);
         return sending;
     }
 
-    /** What came of each sending, for the message of a failing test. */
+    /** Describes the outcome of each attempt, for the message of a failing test. */
     String history(Request request) {
-        return request.marker() + ": " + notes.get(request.marker());
+        return request.marker() + ": " + descriptions.get(request.marker());
     }
 
-    /** All requests as their callers saw them. */
+    /** Returns all requests as their callers observed them. */
     List<ObservedRequest> observed() {
         return requests.values().stream()
                 .map(request -> new ObservedRequest(
-                        request.workspace(), request.marker(), request.nonIdempotent(), sendings.get(request.marker())))
+                        request.workspace(), request.marker(), request.nonIdempotent(), attempts.get(request.marker())))
                 .toList();
     }
 
@@ -154,15 +158,15 @@
         SseText events = call.events();
         boolean whole = call.status() == 200 && events.isWhole() && call.error().isEmpty();
         return whole
-                ? Sending.answered(events.text(), request.expected(), events.ids())
-                : Sending.unclear(events.text(), request.expected(), events.ids());
+                ? Sending.answered(events.text(), request.expectedAnswer(), events.ids())
+                : Sending.unclear(events.text(), request.expectedAnswer(), events.ids());
     }
 
     private static Sending readPlain(Request request, StreamedCall call) {
         if (call.status() != 200 || !call.isComplete()) {
-            return Sending.unclear("", request.expected(), List.of());
+            return Sending.unclear("", request.expectedAnswer(), List.of());
         }
         JsonNode answer = StandInJson.parse(call.text().getBytes(StandardCharsets.UTF_8));
-        return Sending.answered(answer.path("body_hash").asText(), request.expected(), List.of());
+        return Sending.answered(answer.path("body_hash").asText(), request.expectedAnswer(), List.of());
     }
 }
--- a/src/test/java/org/yuccagw/process/Deployment.java
+++ b/src/test/java/org/yuccagw/process/Deployment.java
@@ -21,16 +21,16 @@
 import org.yuccagw.standins.vmlist.VmRow;
 
 /**
- * A whole deployment of processes: the key-value service, the list of VMs, two stores, three engines of the pool
+ * A deployment of separate processes: the key-value service, the list of VMs, two stores, three engines of the pool
  * {@code assistant} that check fencing numbers, two of the pool {@code judge} that ignore them, the plain service
  * {@code letters}, and entries.
  */
 final class Deployment {
     private static final List<String> DOMAINS = List.of("ulemiste", "mustamae", "kadaka");
     private static final Path CATALOGUE = Path.of("src", "test", "resources", "process", "catalogue.json");
-    private static final Duration LONG = Duration.ofSeconds(60);
-    private static final int ASSISTANTS = 3;
-    private static final int JUDGES = 2;
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
+    private static final int ASSISTANT_ENGINES = 3;
+    private static final int JUDGE_ENGINES = 2;
 
     private final HttpCaller http;
     private final StandInProcess keyValue;
@@ -43,22 +43,22 @@
 
     private Deployment() throws Exception {
         http = HttpCaller.start(1);
-        keyValue = StandInProcess.begin("key-value", http, "key-value");
-        vmList = StandInProcess.begin("vm-list", http, "vm-list");
-        letters = StandInProcess.begin("letters-1", http, "plain", "name=letters-1");
+        keyValue = StandInProcess.start("key-value", http, "key-value");
+        vmList = StandInProcess.start("vm-list", http, "vm-list");
+        letters = StandInProcess.start("letters-1", http, "plain", "name=letters-1");
         for (int i = 1; i <= 2; i++) {
-            stores.add(StandInProcess.begin("store-" + i, http, "store", "name=store-" + i));
+            stores.add(StandInProcess.start("store-" + i, http, "store", "name=store-" + i));
         }
-        for (int i = 1; i <= ASSISTANTS; i++) {
-            assistants.add(beginEngine("assistant-" + i, "assistant", true));
+        for (int i = 1; i <= ASSISTANT_ENGINES; i++) {
+            assistants.add(startEngine("assistant-" + i, "assistant", true));
         }
-        for (int i = 1; i <= JUDGES; i++) {
-            judges.add(beginEngine("judge-" + i, "judge", false));
+        for (int i = 1; i <= JUDGE_ENGINES; i++) {
+            judges.add(startEngine("judge-" + i, "judge", false));
         }
     }
 
-    private StandInProcess beginEngine(String name, String model, boolean checksFencing) throws Exception {
-        return StandInProcess.begin(
+    private StandInProcess startEngine(String name, String model, boolean checksFencing) throws Exception {
+        return StandInProcess.start(
                 name,
                 http,
                 "engine",
@@ -69,7 +69,10 @@
                 "crash_marker=marker-poison");
     }
 
-    /** Starts everything, applies the catalogue and waits until each entry takes work and knows the endpoints. */
+    /**
+     * Starts all processes, applies the catalogue and waits until each entry accepts work and has learned of the
+     * endpoints.
+     */
     static Deployment start(int entryCount) throws Exception {
         Deployment deployment = new Deployment();
         try {
@@ -91,16 +94,17 @@
         for (EntryProcess entry : entries) {
             entry.start();
         }
-        entries.forEach(EntryProcess::awaitUp);
+        entries.forEach(EntryProcess::awaitHealthy);
         applyCatalogue();
         entries.forEach(EntryProcess::awaitReady);
         entries.forEach(this::awaitEndpoints);
         entries.forEach(this::awaitFullDirectory);
     }
 
-    /** Ends every fault that a test left behind, and waits until all is well. */
+    /** Ends every fault that a test left, and waits until the deployment is healthy. */
     void repair() throws Exception {
-        keyValue.turn(StandInJson.object().put("down", false).put("delay_ms", 0).set("writes", StandInJson.object()));
+        keyValue.setKnobs(
+                StandInJson.object().put("down", false).put("delay_ms", 0).set("writes", StandInJson.object()));
         for (StandInProcess standIn : standIns()) {
             if (standIn.isCrashed()) {
                 standIn.restart();
@@ -159,7 +163,7 @@
         return stores;
     }
 
-    /** Everything that engines and the plain service did so far. */
+    /** Returns all runs of engines and the plain service so far. */
     List<ObservedRun> runs() throws Exception {
         List<ObservedRun> runs = new ArrayList<>();
         for (StandInProcess standIn : standIns()) {
@@ -168,7 +172,7 @@
         return runs;
     }
 
-    /** Tells the list of VMs where everything is now. */
+    /** Sends the current addresses of all processes to the list of VMs. */
     void listVms() throws Exception {
         List<VmRow> rows = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
@@ -182,7 +186,7 @@
         ObjectNode knobs = StandInJson.object();
         ArrayNode list = knobs.putArray("vms");
         rows.forEach(row -> list.add(StandInJson.tree(row)));
-        vmList.turn(knobs);
+        vmList.setKnobs(knobs);
     }
 
     private static void addRows(List<VmRow> rows, String kind, String pool, List<StandInProcess> processes) {
@@ -196,17 +200,17 @@
         }
     }
 
-    /** Waits until the entry's directory names every running entry at its present address. */
+    /** Waits until the directory of the entry lists every running entry at its current address. */
     void awaitFullDirectory(EntryProcess entry) {
         List<String> expected = entries.stream()
                 .filter(each -> each.process().isAlive())
                 .map(each -> each.directAddress().toString())
                 .sorted()
                 .toList();
-        await().atMost(LONG).until(() -> directory(entry).equals(expected));
+        await().atMost(TIMEOUT).until(() -> directory(entry).equals(expected));
     }
 
-    /** The caller addresses that the entry's directory names, sorted. */
+    /** Returns the caller addresses that the directory of the entry lists, sorted. */
     List<String> directory(EntryProcess entry) throws Exception {
         HttpAnswer answer =
                 http.send(HttpQuery.get(entry.directAddress(), "/v1/directory")).get(10, TimeUnit.SECONDS);
@@ -215,13 +219,16 @@
                 .toList();
     }
 
-    /** Waits until the entry would use every endpoint. */
-    /** Waits until the entry may use the plain service and every engine that a test hasn't crashed, and no other. */
+    /**
+     * Waits until the entry may use the plain service and every engine that a test hasn't crashed, and no other
+     * endpoint.
+     */
     void awaitEndpoints(EntryProcess entry) {
-        await().atMost(LONG).until(() -> usableEndpoints(entry) == living(assistants) + living(judges) + 1);
+        await().atMost(TIMEOUT)
+                .until(() -> usableEndpoints(entry) == runningCount(assistants) + runningCount(judges) + 1);
     }
 
-    private static long living(List<StandInProcess> engines) {
+    private static long runningCount(List<StandInProcess> engines) {
         return engines.stream().filter(engine -> !engine.isCrashed()).count();
     }
 
@@ -230,8 +237,9 @@
         try {
             for (JsonNode endpoint : admin(entry, "/admin/endpoints").path("endpoints")) {
                 boolean engine = !endpoint.path("pool").asText().equals("letters");
-                boolean known = !engine || !endpoint.path("version").asText("").isBlank();
-                usable += known && endpoint.path("takes_new_work").asBoolean(false) ? 1 : 0;
+                boolean versionKnown =
+                        !engine || !endpoint.path("version").asText("").isBlank();
+                usable += versionKnown && endpoint.path("takes_new_work").asBoolean(false) ? 1 : 0;
             }
         } catch (ExecutionException expected) {
             return 0;
--- a/src/test/java/org/yuccagw/process/EntryFailuresTest.java
+++ b/src/test/java/org/yuccagw/process/EntryFailuresTest.java
@@ -23,14 +23,14 @@
 import org.yuccagw.process.Callers.Request;
 import org.yuccagw.standins.http.StandInJson;
 
-/** Eight entries and everything around them as processes; one fault at a time. */
+/** Eight entries and the services around them as separate processes, under one fault at a time or two. */
 @Test(groups = "process")
 public class EntryFailuresTest {
     private static final int ENTRIES = 8;
-    private static final int LONG_ANSWER = 150;
+    private static final int LONG_ANSWER_TOKENS = 150;
     private static final long SEED = 20_261_202;
-    private static final int PAIRS = 3;
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final int FAULT_PAIRS = 3;
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private Deployment deployment;
     private Callers callers;
@@ -58,53 +58,55 @@
     }
 
     @Test
-    public void everyEntryServesEveryServiceAndNamesAllEntries() throws Exception {
+    public void everyEntryServesEveryServiceAndListsAllEntries() throws Exception {
         for (EntryProcess entry : deployment.entries()) {
             assertEquals(deployment.directory(entry).size(), ENTRIES);
             assertServed(callers.newRequest("alpha", "assistant", 4), entry);
             assertServed(callers.newRequest("beta", "judge", 4), entry);
             assertServed(callers.newRequest("alpha", "letters", 0), entry);
         }
-        assertPromises();
+        assertInvariants();
     }
 
-    // The entry that passes an answer on dies. The caller sees its connection end in mid-answer and asks another entry
-    // for the rest. The engine has gone on meanwhile; nothing is missing, nothing comes twice, nothing runs again.
+    // The entry that forwards an answer is killed. The caller loses its connection within the answer and requests the
+    // rest from another entry. The engine has continued meanwhile; no piece is missing or repeated, and the request
+    // does not run again.
     @Test
-    public void anAnswerIsResumedAtAnotherEntryWhenItsOwnIsKilled() throws Exception {
-        EntryProcess lost = deployment.entry(0);
-        Request request = callers.newRequest("alpha", "assistant", LONG_ANSWER);
-        StreamedCall call = callers.begin(request, lost);
+    public void anAnswerIsResumedAtAnotherEntryWhenItsEntryIsKilled() throws Exception {
+        EntryProcess killed = deployment.entry(0);
+        Request request = callers.newRequest("alpha", "assistant", LONG_ANSWER_TOKENS);
+        StreamedCall call = callers.start(request, killed);
         awaitTokens(call, 5);
-        lost.process().kill();
+        killed.process().kill();
         call.awaitEnd();
         assertFalse(call.events().isWhole());
         StreamedCall rest = callers.resume(request, deployment.entry(1), call).awaitEnd();
-        assertAnswered(request, callers.noteResumed(request, call, rest));
+        assertAnswered(request, callers.recordResumed(request, call, rest));
         assertEquals(runsOf(request), 1);
-        assertPromises();
+        assertInvariants();
     }
 
-    // An entry stands still with a letter in its hands, as a VM does when its host moves it. The caller gives up and
-    // sends the letter through another entry under the same key. The first one wakes up and goes on with what it had.
+    // An entry is suspended with a letter that it has accepted, as a VM is when its host moves it. The caller gives
+    // up and sends the letter through another entry under the same key. The first entry resumes and continues with
+    // its copy.
     @Test
-    public void aPausedEntryThatWakesUpSendsNoSecondLetter() throws Exception {
-        EntryProcess paused = deployment.entry(2);
+    public void aSuspendedEntryThatResumesSendsNoSecondLetter() throws Exception {
+        EntryProcess suspended = deployment.entry(2);
         Request letter = callers.newRequest("beta", "letters", 0);
-        paused.process().pause();
-        StreamedCall stuck = callers.begin(letter, paused).awaitEnd();
-        callers.note(letter, stuck);
+        suspended.process().suspend();
+        StreamedCall timedOut = callers.start(letter, suspended).awaitEnd();
+        callers.record(letter, timedOut);
         callers.send(letter, deployment.entry(3));
-        paused.process().carryOn();
-        paused.awaitReady();
-        await().atMost(LONG).until(() -> isAnswered(callers.send(letter, deployment.entry(4))));
-        assertServed(letter, paused);
+        suspended.process().resume();
+        suspended.awaitReady();
+        await().atMost(TIMEOUT).until(() -> isAnswered(callers.send(letter, deployment.entry(4))));
+        assertServed(letter, suspended);
         assertEquals(runsOf(letter), 1);
-        assertPromises();
+        assertInvariants();
     }
 
-    // A VM is replaced: its entry comes back first at the same address and then, after another kill, at a new one.
-    // Callers that ask any entry for the directory find it where it is now.
+    // A VM is replaced: its entry returns first at the same address and then, after another kill, at a new one.
+    // Callers that request the directory from any entry find it at its current address.
     @Test
     public void aRestartedEntryIsFoundAtItsOldAndAtItsNewAddress() throws Exception {
         EntryProcess entry = deployment.entry(5);
@@ -113,22 +115,23 @@
         entry.awaitReady();
         deployment.awaitEndpoints(entry);
         assertServed(callers.newRequest("alpha", "assistant", 4), entry);
-        String old = entry.directAddress().toString();
+        String oldAddress = entry.directAddress().toString();
         entry.process().kill();
-        entry.moveElsewhere();
+        entry.changeAddresses();
         deployment.listVms();
         entry.start();
         entry.awaitReady();
         deployment.entries().forEach(deployment::awaitFullDirectory);
-        assertFalse(deployment.directory(deployment.entry(6)).contains(old));
-        assertPromises();
+        assertFalse(deployment.directory(deployment.entry(6)).contains(oldAddress));
+        assertInvariants();
     }
 
-    // The key-value service is down from before the first request until after the last. Prompts are served as ever. A
-    // letter can't be claimed and is refused at once as not run. An entry that restarts takes the catalogue from peers.
+    // The key-value service is down from before the first request until after the last. Prompts are served as usual.
+    // A letter can't be claimed and is refused at once as not run. An entry that restarts gets the catalogue from
+    // peers.
     @Test
     public void withoutTheKeyValueServicePromptsAreServedAndLettersRefusedAsNotRun() throws Exception {
-        deployment.keyValue().turn(StandInJson.object().put("down", true));
+        deployment.keyValue().setKnobs(StandInJson.object().put("down", true));
         EntryProcess restarted = deployment.entry(6);
         restarted.process().kill();
         restarted.start();
@@ -140,147 +143,148 @@
         Request letter = callers.newRequest("beta", "letters", 0);
         assertEquals(callers.send(letter, deployment.entry(0)).verdict(), Verdict.NOT_RUN);
         assertEquals(runsOf(letter), 0);
-        deployment.keyValue().turn(StandInJson.object().put("down", false));
-        await().atMost(LONG).until(() -> isAnswered(callers.send(letter, deployment.entry(1))));
-        assertPromises();
+        deployment.keyValue().setKnobs(StandInJson.object().put("down", false));
+        await().atMost(TIMEOUT).until(() -> isAnswered(callers.send(letter, deployment.entry(1))));
+        assertInvariants();
     }
 
-    // An operator stops an entry while it passes on an answer that is longer than callers keep a directory. Others stop
-    // naming it, the answer comes to its end, and only then does the process exit, with 0.
+    // An operator stops an entry while it forwards an answer that takes longer than callers keep a directory. Other
+    // entries stop listing it, the answer is completed, and only then the process exits, with 0.
     @Test
     public void aPlannedStopCutsNoAnswer() throws Exception {
         EntryProcess stopped = deployment.entry(7);
-        Request request = callers.newRequest("alpha", "assistant", 10 * LONG_ANSWER);
-        StreamedCall call = callers.begin(request, stopped);
+        Request request = callers.newRequest("alpha", "assistant", 10 * LONG_ANSWER_TOKENS);
+        StreamedCall call = callers.start(request, stopped);
         awaitTokens(call, 3);
         stopped.process().terminate();
-        await().atMost(LONG)
+        await().atMost(TIMEOUT)
                 .until(() -> !deployment
                         .directory(deployment.entry(0))
                         .contains(stopped.directAddress().toString()));
-        assertAnswered(request, callers.note(request, call.awaitEnd()));
-        assertEquals(stopped.process().awaitExit(LONG.toSeconds()), 0);
-        assertPromises();
+        assertAnswered(request, callers.record(request, call.awaitEnd()));
+        assertEquals(stopped.process().awaitExit(TIMEOUT.toSeconds()), 0);
+        assertInvariants();
     }
 
-    // The engine dies in the middle of an answer. The entry goes on at another engine with the text so far; the caller
-    // sees one answer without a seam.
+    // The engine fails within an answer. The entry continues it at another engine with the text so far; the caller
+    // receives one answer without a gap.
     @Test
-    public void anIdempotentAnswerGoesOnAtAnotherEngineWhenItsOwnDies() throws Exception {
-        Request request = callers.newRequest("alpha", "assistant", LONG_ANSWER);
-        StreamedCall call = callers.begin(request, deployment.entry(1));
+    public void anIdempotentAnswerContinuesAtAnotherEngineWhenItsEngineFails() throws Exception {
+        Request request = callers.newRequest("alpha", "assistant", LONG_ANSWER_TOKENS);
+        StreamedCall call = callers.start(request, deployment.entry(1));
         awaitTokens(call, 5);
         crashEngineOf(request, deployment.assistants());
-        assertAnswered(request, callers.note(request, call.awaitEnd()));
-        assertPromises();
+        assertAnswered(request, callers.record(request, call.awaitEnd()));
+        assertInvariants();
     }
 
-    // The engine dies in the middle of an answer that may not be repeated. The caller gets the start of it and an error
-    // that says that it may have run. Sent again under its key, at any entry, it doesn't run a second time.
+    // The engine fails within an answer that may not be repeated. The caller receives the start of it and an error
+    // that says that the request may have run. Sent again under its key, at any entry, the request doesn't run a
+    // second time.
     @Test
-    public void aNonIdempotentRequestDoesNotRunAgainWhenItsEngineDies() throws Exception {
-        Request request = callers.newRequest("beta", "judge", LONG_ANSWER);
-        StreamedCall call = callers.begin(request, deployment.entry(2));
+    public void aNonIdempotentRequestDoesNotRunAgainWhenItsEngineFails() throws Exception {
+        Request request = callers.newRequest("beta", "judge", LONG_ANSWER_TOKENS);
+        StreamedCall call = callers.start(request, deployment.entry(2));
         awaitTokens(call, 5);
         crashEngineOf(request, deployment.judges());
-        assertEquals(callers.note(request, call.awaitEnd()).verdict(), Verdict.UNCLEAR);
+        assertEquals(callers.record(request, call.awaitEnd()).verdict(), Verdict.UNCLEAR);
         assertEquals(call.error().path("ran").asText(), "may-have-run");
         deployment.repair();
         for (EntryProcess entry : deployment.entries()) {
             assertEquals(callers.send(request, entry).verdict(), Verdict.UNCLEAR);
         }
         assertEquals(runsOf(request), 1);
-        assertPromises();
+        assertInvariants();
     }
 
-    // One prompt crashes each engine that runs it, and its caller sends it again and again, each time elsewhere. Two
-    // engines are lost to it and no third; whoever asks for anything else is served.
+    // One prompt crashes each engine that runs it, and its caller sends it again and again, each time to another
+    // entry. Two engines are lost and no third; all other requests are served.
     @Test
-    public void aPromptThatEndsEnginesIsRefusedEverywhereAfterTwo() throws Exception {
-        Request poison = callers.newPoison("beta");
+    public void aPromptThatCrashesEnginesIsRefusedEverywhereAfterTwo() throws Exception {
+        Request crashing = callers.newCrashingRequest("beta");
         try {
-            callers.send(poison, deployment.entry(0));
-            callers.send(poison, deployment.entry(1));
-            await().atMost(LONG).until(() -> refusesAsQuarantined(poison, deployment.entry(2)));
-            long runs = runsOf(poison);
-            assertTrue(runs <= 2, runs + " runs, " + callers.history(poison));
-            for (StandInProcess ended : enginesOf(poison, deployment.assistants())) {
+            callers.send(crashing, deployment.entry(0));
+            callers.send(crashing, deployment.entry(1));
+            await().atMost(TIMEOUT).until(() -> refusesAsQuarantined(crashing, deployment.entry(2)));
+            long runs = runsOf(crashing);
+            assertTrue(runs <= 2, runs + " runs, " + callers.history(crashing));
+            for (StandInProcess ended : enginesOf(crashing, deployment.assistants())) {
                 ended.crash();
             }
             deployment.entry(0).process().kill();
-            startAgain(deployment.entry(0));
+            restart(deployment.entry(0));
             for (EntryProcess entry : deployment.entries()) {
-                await().atMost(LONG).until(() -> refusesAsQuarantined(poison, entry));
+                await().atMost(TIMEOUT).until(() -> refusesAsQuarantined(crashing, entry));
             }
-            assertEquals(runsOf(poison), runs);
+            assertEquals(runsOf(crashing), runs);
             assertServed(callers.newRequest("alpha", "assistant", 4), deployment.entry(3));
         } finally {
-            for (StandInProcess engine : enginesOf(poison, deployment.assistants())) {
+            for (StandInProcess engine : enginesOf(crashing, deployment.assistants())) {
                 engine.crash();
             }
         }
-        assertPromises();
+        assertInvariants();
     }
 
-    // Two faults at once, of kinds and places that a fixed seed picks. Requests of every service go through every entry
-    // meanwhile, and each that wasn't answered is sent again afterwards: prompts are answered in the end, nothing that
-    // may not repeat runs twice, no refusal lied.
+    // Two faults at once, of kinds and places that a fixed seed selects. Requests of every service go through every
+    // entry meanwhile, and each one without an answer is sent again afterwards: prompts are answered in the end, no
+    // request that may not repeat runs twice, and no request that was refused as not run has run.
     @Test
-    public void pairsOfFaultsBreakNoPromise() throws Exception {
+    public void pairsOfFaultsBreakNoInvariant() throws Exception {
         SplittableRandom random = new SplittableRandom(SEED);
         List<Fault> faults = Fault.all(deployment);
-        for (int round = 0; round < PAIRS; round++) {
+        for (int round = 0; round < FAULT_PAIRS; round++) {
             Fault first = faults.remove(random.nextInt(faults.size()));
             Fault second = faults.remove(random.nextInt(faults.size()));
             String pair = first.name() + " and " + second.name() + ", seed " + SEED;
             first.begin().run();
             second.begin().run();
-            Map<Request, StreamedCall> begun = beginOneOfEachAtEveryEntry();
-            for (Map.Entry<Request, StreamedCall> each : begun.entrySet()) {
-                callers.note(each.getKey(), each.getValue().awaitEnd());
+            Map<Request, StreamedCall> started = startOneOfEachAtEveryEntry();
+            for (Map.Entry<Request, StreamedCall> each : started.entrySet()) {
+                callers.record(each.getKey(), each.getValue().awaitEnd());
             }
             second.end().run();
             first.end().run();
-            begun.keySet().forEach(this::sendUntilSettled);
-            assertPromises(pair);
+            started.keySet().forEach(this::sendUntilSettled);
+            assertInvariants(pair);
         }
     }
 
-    private Map<Request, StreamedCall> beginOneOfEachAtEveryEntry() {
-        Map<Request, StreamedCall> begun = new LinkedHashMap<>();
+    private Map<Request, StreamedCall> startOneOfEachAtEveryEntry() {
+        Map<Request, StreamedCall> started = new LinkedHashMap<>();
         for (EntryProcess entry : deployment.entries()) {
             for (String service : List.of("assistant", "judge", "letters")) {
                 Request request = callers.newRequest("alpha", service, 10);
-                begun.put(request, callers.begin(request, entry));
+                started.put(request, callers.start(request, entry));
             }
         }
-        return begun;
+        return started;
     }
 
-    /** Sends it until it is answered or, if it may not repeat, until its outcome is known to be lost. */
+    /** Sends a request until it is answered or, if it may not repeat, until its outcome is reported as lost. */
     private void sendUntilSettled(Request request) {
         EntryProcess entry = deployment.entry(0);
-        await().atMost(LONG).until(() -> {
-            StreamedCall call = callers.begin(request, entry).awaitEnd();
+        await().atMost(TIMEOUT).until(() -> {
+            StreamedCall call = callers.start(request, entry).awaitEnd();
             boolean lost = call.error().path("code").asText().equals("outcome_unknown");
-            return isAnswered(callers.note(request, call)) || (request.nonIdempotent() && lost);
+            return isAnswered(callers.record(request, call)) || (request.nonIdempotent() && lost);
         });
     }
 
     private boolean refusesAsQuarantined(Request request, EntryProcess entry) throws Exception {
-        StreamedCall call = callers.begin(request, entry).awaitEnd();
-        callers.note(request, call);
+        StreamedCall call = callers.start(request, entry).awaitEnd();
+        callers.record(request, call);
         return call.error().path("code").asText().equals("quarantined");
     }
 
-    private void startAgain(EntryProcess entry) throws Exception {
+    private void restart(EntryProcess entry) throws Exception {
         entry.start();
         entry.awaitReady();
         deployment.awaitEndpoints(entry);
     }
 
     private static void awaitTokens(StreamedCall call, int count) {
-        await().atMost(LONG).until(() -> call.events().lastId() >= count || call.isOver());
+        await().atMost(TIMEOUT).until(() -> call.events().lastId() >= count || call.hasEnded());
         assertTrue(call.events().lastId() >= count, call.status() + " " + call.text());
     }
 
@@ -319,11 +323,11 @@
         assertEquals(sending.verdict(), Verdict.ANSWERED, callers.history(request));
     }
 
-    private void assertPromises() throws Exception {
-        assertPromises("");
+    private void assertInvariants() throws Exception {
+        assertInvariants("");
     }
 
-    private void assertPromises(String circumstances) throws Exception {
+    private void assertInvariants(String circumstances) throws Exception {
         List<Violation> broken = InvariantChecker.check(callers.observed(), deployment.runs());
         assertTrue(broken.isEmpty(), broken + " " + circumstances);
     }
--- a/src/test/java/org/yuccagw/process/EntryProcess.java
+++ b/src/test/java/org/yuccagw/process/EntryProcess.java
@@ -17,10 +17,13 @@
 import org.yuccagw.faults.FaultProxy;
 import org.yuccagw.standins.http.StandInJson;
 
-/** An entry daemon in a process of its own. Its way to the key-value service and to its callers leads over proxies. */
+/**
+ * An entry daemon in a process of its own. Its connections to the key-value service and from its callers go through
+ * proxies.
+ */
 final class EntryProcess {
     static final String OPERATOR_KEY_HASH = "c9736463f555cdb7d2a78cfd7aa8b8c4f09d906d78f8dab9228eda30a28c2818";
-    private static final Duration START = Duration.ofSeconds(90);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(90);
     private static final String TOKEN_KEY = "0f1e2d3c4b5a69788796a5b4c3d2e1f00f1e2d3c4b5a69788796a5b4c3d2e1f0";
 
     private final String name;
@@ -41,11 +44,11 @@
         this.http = http;
         this.keyValue = keyValue;
         this.vmList = vmList;
-        takeNewAddresses();
+        allocateAddresses();
         this.callers = FaultProxy.start(caller);
     }
 
-    /** An entry with free addresses that doesn't run yet. */
+    /** Creates an entry with free addresses without starting it. */
     static EntryProcess create(String name, String domain, HttpCaller http, FaultProxy keyValue, NetworkAddress vmList)
             throws IOException {
         return new EntryProcess(name, domain, http, keyValue, vmList);
@@ -59,12 +62,12 @@
         return domain;
     }
 
-    /** Where callers of tests connect: the proxy. */
+    /** Returns the address at which callers of tests connect, that of the proxy. */
     NetworkAddress callerAddress() {
         return callers.address();
     }
 
-    /** The address that the entry itself names in the directory. */
+    /** Returns the address with which the entry lists itself in the directory. */
     NetworkAddress directAddress() {
         return caller;
     }
@@ -89,7 +92,7 @@
         return process;
     }
 
-    /** Starts it where it was before. */
+    /** Starts the entry at its previous addresses. */
     void start() throws IOException {
         Path settings = Files.createTempFile(JvmProcess.directory(), name + "-", ".json");
         Files.write(settings, StandInJson.bytes(settings()));
@@ -101,22 +104,22 @@
                 settings.toAbsolutePath().toString());
     }
 
-    /** From the next start on it listens elsewhere. */
-    void moveElsewhere() throws IOException {
-        takeNewAddresses();
+    /** Takes new addresses, which the entry uses from its next start. */
+    void changeAddresses() throws IOException {
+        allocateAddresses();
         callers.retarget(caller);
     }
 
-    void awaitUp() {
-        await().atMost(START).until(() -> answersOk("/healthz"));
+    void awaitHealthy() {
+        await().atMost(START_TIMEOUT).until(() -> isSuccess("/healthz"));
     }
 
     void awaitReady() {
-        await().atMost(START).until(() -> answersOk("/readyz"));
+        await().atMost(START_TIMEOUT).until(() -> isSuccess("/readyz"));
     }
 
     boolean isReady() throws Exception {
-        return answersOk("/readyz");
+        return isSuccess("/readyz");
     }
 
     void stop() throws InterruptedException {
@@ -127,7 +130,7 @@
         }
     }
 
-    private boolean answersOk(String path) throws Exception {
+    private boolean isSuccess(String path) throws Exception {
         if (!process.isAlive()) {
             throw new IllegalStateException(name + " has ended");
         }
@@ -140,7 +143,7 @@
         }
     }
 
-    private void takeNewAddresses() throws IOException {
+    private void allocateAddresses() throws IOException {
         caller = FreePorts.next();
         admin = FreePorts.next();
         peer = FreePorts.next();
--- a/src/test/java/org/yuccagw/process/GatewayProcessTest.java
+++ b/src/test/java/org/yuccagw/process/GatewayProcessTest.java
@@ -29,21 +29,21 @@
 import org.yuccagw.standins.keyvalue.KeyValueStandIn;
 import org.yuccagw.standins.platform.SmallDeployment;
 
-/** Entries on the users' platform as processes of their own, ended by signals. */
+/** Entries on the users' platform as separate processes that are ended by signals. */
 @Test(groups = "process")
 public class GatewayProcessTest {
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private final List<Process> processes = new ArrayList<>();
     private final List<GatewaySettings> settings = new ArrayList<>();
     private KeyValueStandIn keyValue;
     private HttpCaller caller;
     private ScriptedEndpoint endpoint;
-    private Path folder;
+    private Path directory;
 
     @BeforeMethod
     public void startTwoEntries() throws Exception {
-        folder = Files.createTempDirectory("gateways");
+        directory = Files.createTempDirectory("gateways");
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         caller = HttpCaller.start(1);
         endpoint = new ScriptedEndpoint();
@@ -52,8 +52,8 @@
         start("entry-2");
         for (int index = 0; index < 2; index++) {
             int entry = index;
-            await().atMost(LONG).until(() -> directoryOf(entry).contains(callersOf(0)));
-            await().atMost(LONG).until(() -> directoryOf(entry).contains(callersOf(1)));
+            await().atMost(TIMEOUT).until(() -> directoryTextOf(entry).contains(callerAddressOf(0)));
+            await().atMost(TIMEOUT).until(() -> directoryTextOf(entry).contains(callerAddressOf(1)));
         }
     }
 
@@ -68,35 +68,37 @@
     }
 
     @Test
-    public void anAnswerComesThroughEveryEntryAsItsEndpointGaveIt() throws Exception {
+    public void everyEntryForwardsTheAnswerOfTheEndpointUnchanged() throws Exception {
         for (GatewaySettings entry : settings) {
-            await().atMost(LONG).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
+            await().atMost(TIMEOUT).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
             HttpAnswer answer = send(entry.callers(), SmallDeployment.PLAIN + "x");
             assertEquals(answer.text(), "body");
             assertEquals(answer.header("Yuccagw-Response-Seal"), "seal-1");
         }
     }
 
-    // Someone explains a failed request from an entry's output. Its lines have to be those that the commands read.
+    // Operators explain a failed request from the output of an entry. Its lines must have the format that the
+    // commands read.
     @Test
-    public void theLinesOfAnEntryAreReadByTheCommandsThatExplain() throws Exception {
+    public void theLogLinesOfAnEntryAreReadByTheCommandsThatExplain() throws Exception {
         GatewaySettings entry = settings.get(0);
-        await().atMost(LONG).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
-        await().atMost(LONG).until(() -> eventsWrittenBy("entry-1").containsAll(List.of("started", "placed", "ended")));
+        await().atMost(TIMEOUT).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
+        await().atMost(TIMEOUT)
+                .until(() -> eventsLoggedBy("entry-1").containsAll(List.of("started", "placed", "ended")));
     }
 
-    private List<String> eventsWrittenBy(String name) throws IOException {
-        return Files.readAllLines(outputOf(name)).stream()
+    private List<String> eventsLoggedBy(String name) throws IOException {
+        return Files.readAllLines(logFileOf(name)).stream()
                 .map(line -> DecisionLine.parse(line, name))
                 .flatMap(Optional::stream)
                 .map(DecisionLine::event)
                 .toList();
     }
 
-    // Every entry loses power in the same moment and comes back while the service is away for a while longer. Until it
-    // returns nobody knows where requests go, so nobody may say that it is ready; then all serve again by themselves.
+    // All entries lose power at once and return while the key-value service is still unavailable. Until it returns no
+    // entry has the routes, so none may report that it is ready; then all serve again without intervention.
     @Test
-    public void afterTheLossOfAllEntriesTheyServeAgainOnceTheServiceAnswers() throws Exception {
+    public void allEntriesServeAgainAfterTheLossOfAllOnceTheServiceAnswers() throws Exception {
         processes.forEach(Process::destroyForcibly);
         for (Process process : processes) {
             process.waitFor();
@@ -107,55 +109,56 @@
             launch(entry.entry().value());
         }
         GatewaySettings first = settings.get(0);
-        await().atMost(LONG).until(() -> status(first.readiness(), SmallDeployment.READINESS) == 503);
+        await().atMost(TIMEOUT).until(() -> status(first.readiness(), SmallDeployment.READINESS) == 503);
         assertEquals(status(first.callers(), SmallDeployment.PLAIN + "x"), 503);
         keyValue.order(ServiceFaults.none());
         for (GatewaySettings entry : settings) {
-            await().atMost(LONG).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
+            await().atMost(TIMEOUT).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
         }
     }
 
-    // A VM loses power. Callers who ask the other entry must not be sent to the dead one, where each would lose a
-    // second of its time on the connection.
+    // A VM loses power. Callers that request the directory from the other entry must not be sent to the failed one,
+    // where each would lose a second on the connection.
     @Test
     public void aKilledEntryLeavesTheDirectoryOfTheOther() {
         processes.get(0).destroyForcibly();
-        await().atMost(LONG).until(() -> !directoryOf(1).contains(callersOf(0)));
-        assertTrue(directoryOf(1).contains(callersOf(1)));
+        await().atMost(TIMEOUT).until(() -> !directoryTextOf(1).contains(callerAddressOf(0)));
+        assertTrue(directoryTextOf(1).contains(callerAddressOf(1)));
     }
 
-    // The platform stops an entry. It must say at once that it takes no more, be out of the other's directory, still
-    // answer those who kept an old directory, and end by itself with 0.
+    // The platform stops an entry. The entry must report at once that it isn't ready, leave the directory of the
+    // other, still answer callers with an old directory, and exit with 0.
     @Test
-    public void anEntryThatIsStoppedLeavesFirstServesOnAndEndsByItself() throws Exception {
+    public void aStoppedEntryLeavesTheDirectoryServesOnAndExits() throws Exception {
         processes.get(0).destroy();
-        await().atMost(LONG).until(() -> status(settings.get(0).readiness(), SmallDeployment.READINESS) == 503);
-        await().atMost(LONG).until(() -> !directoryOf(1).contains(callersOf(0)));
-        assertTrue(status(settings.get(0).callers(), "/nowhere/x") == 404, "still answers");
-        assertTrue(processes.get(0).waitFor(LONG.toSeconds(), TimeUnit.SECONDS));
+        await().atMost(TIMEOUT).until(() -> status(settings.get(0).readiness(), SmallDeployment.READINESS) == 503);
+        await().atMost(TIMEOUT).until(() -> !directoryTextOf(1).contains(callerAddressOf(0)));
+        assertTrue(status(settings.get(0).callers(), "/nowhere/x") == 404, "no longer answers");
+        assertTrue(processes.get(0).waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
         assertEquals(processes.get(0).exitValue(), 0);
     }
 
-    // The platform says that the settings changed. An entry that takes SIGHUP for an end would cut every request.
+    // The platform signals changed settings. An entry that treats SIGHUP as a request to end would cut every request.
     @Test
-    public void anEntryOutlivesSighup() throws Exception {
+    public void anEntrySurvivesSighup() throws Exception {
         new ProcessBuilder("kill", "-HUP", Long.toString(processes.get(0).pid()))
                 .start()
                 .waitFor();
-        await().atMost(LONG).until(() -> Files.readString(outputOf("entry-1")).contains("event=\"settings-read\""));
+        await().atMost(TIMEOUT)
+                .until(() -> Files.readString(logFileOf("entry-1")).contains("event=\"settings-read\""));
         assertEquals(status(settings.get(0).readiness(), SmallDeployment.READINESS), 200);
     }
 
     private void start(String name) throws Exception {
         byte[] document = SmallDeployment.settings(name, keyValue.address(), SmallDeployment.freePorts(4));
-        Path file = folder.resolve(name + ".json");
+        Path file = directory.resolve(name + ".json");
         Files.write(file, document);
         settings.add(GatewaySettingsReader.parse(document));
         launch(name);
     }
 
     private void launch(String name) throws IOException {
-        Path file = folder.resolve(name + ".json");
+        Path file = directory.resolve(name + ".json");
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx112m",
@@ -166,20 +169,20 @@
                         "--settings",
                         file.toString())
                 .redirectErrorStream(true)
-                .redirectOutput(new File(outputOf(name).toString()))
+                .redirectOutput(new File(logFileOf(name).toString()))
                 .start();
         processes.add(process);
     }
 
-    private Path outputOf(String name) {
-        return folder.resolve(name + ".log");
+    private Path logFileOf(String name) {
+        return directory.resolve(name + ".log");
     }
 
-    private String callersOf(int entry) {
+    private String callerAddressOf(int entry) {
         return settings.get(entry).callers().toString();
     }
 
-    private String directoryOf(int entry) {
+    private String directoryTextOf(int entry) {
         try {
             return send(settings.get(entry).directory(), SmallDeployment.DIRECTORY)
                     .text();
@@ -199,7 +202,7 @@
     private HttpAnswer send(NetworkAddress address, String path) throws IOException {
         HttpQuery query = SmallDeployment.request(address, path).overFreshConnection();
         try {
-            return caller.send(query).get(LONG.toSeconds(), TimeUnit.SECONDS);
+            return caller.send(query).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
             throw new IOException(e);
         } catch (InterruptedException e) {
--- a/src/test/java/org/yuccagw/process/JvmProcess.java
+++ b/src/test/java/org/yuccagw/process/JvmProcess.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A JVM of its own with the classes of this one. Its output goes to a file below {@code target/processes}. */
+/** A separate JVM with the class path of this one. Its output goes to a file below {@code target/processes}. */
 final class JvmProcess {
     private static final Path DIRECTORY = Path.of("target", "processes");
     private static final String[] OPTIONS = {
@@ -17,11 +17,11 @@
     };
 
     private final Process process;
-    private final Path output;
+    private final Path outputFile;
 
-    private JvmProcess(Process process, Path output) {
+    private JvmProcess(Process process, Path outputFile) {
         this.process = process;
-        this.output = output;
+        this.outputFile = outputFile;
     }
 
     static Path directory() throws IOException {
@@ -29,7 +29,7 @@
     }
 
     static JvmProcess start(String name, Class<?> main, String... arguments) throws IOException {
-        Path output = Files.createTempFile(directory(), name + "-", ".log");
+        Path outputFile = Files.createTempFile(directory(), name + "-", ".log");
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(Arrays.asList(OPTIONS));
@@ -37,59 +37,62 @@
         command.add(System.getProperty("java.class.path"));
         command.add(main.getName());
         command.addAll(Arrays.asList(arguments));
-        File file = output.toFile();
+        File file = outputFile.toFile();
         Process started = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(file)
                 .start();
-        return new JvmProcess(started, output);
+        return new JvmProcess(started, outputFile);
     }
 
-    /** The first line of output so far that starts with the text; empty text if there is none yet. */
-    String line(String start) throws IOException {
+    /**
+     * Returns the first line of output so far that starts with the given text, or an empty string if there is none
+     * yet.
+     */
+    String findLine(String start) throws IOException {
         if (!process.isAlive()) {
-            throw new IOException("process " + process.pid() + " has ended, see " + output);
+            throw new IOException("process " + process.pid() + " has ended, see " + outputFile);
         }
-        return Files.readAllLines(output).stream()
+        return Files.readAllLines(outputFile).stream()
                 .filter(line -> line.startsWith(start))
                 .findFirst()
                 .orElse("");
     }
 
-    /** All that it has written so far. */
-    String written() throws IOException {
-        return Files.readString(output);
+    /** Returns the output so far. */
+    String output() throws IOException {
+        return Files.readString(outputFile);
     }
 
     boolean isAlive() {
         return process.isAlive();
     }
 
-    /** SIGKILL, and waits for the end. */
+    /** Sends SIGKILL and waits for the end. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void terminate() {
         process.destroy();
     }
 
-    /** The exit code, once it has ended. */
+    /** Waits for the end and returns the exit code. */
     int awaitExit(long seconds) throws InterruptedException {
         if (!process.waitFor(seconds, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("process " + process.pid() + " still runs, see " + output);
+            throw new IllegalStateException("process " + process.pid() + " still runs, see " + outputFile);
         }
         return process.exitValue();
     }
 
-    /** SIGSTOP: the process stands still, its connections stay open. */
-    void pause() throws IOException, InterruptedException {
+    /** Sends SIGSTOP: the process is suspended, its connections stay open. */
+    void suspend() throws IOException, InterruptedException {
         signal("-STOP");
     }
 
-    /** SIGCONT. */
-    void carryOn() throws IOException, InterruptedException {
+    /** Sends SIGCONT. */
+    void resume() throws IOException, InterruptedException {
         signal("-CONT");
     }
 
--- a/src/test/java/org/yuccagw/process/StandInProcess.java
+++ b/src/test/java/org/yuccagw/process/StandInProcess.java
@@ -19,12 +19,12 @@
 import org.yuccagw.standins.http.StandInJson;
 
 /**
- * A stand-in in a process of its own with a fault proxy before it. An engine crashes on order and leaves its record to
- * be read, so that no run of an earlier incarnation is forgotten.
+ * A stand-in in a process of its own behind a fault proxy. An engine crashes on command and keeps its record
+ * readable, so that the runs of earlier incarnations are not lost.
  */
 final class StandInProcess {
-    private static final Duration START = Duration.ofSeconds(60);
-    private static final String READY = "ready ";
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
+    private static final String READY_PREFIX = "ready ";
 
     private final String name;
     private final String[] arguments;
@@ -46,13 +46,14 @@
     }
 
     /** Starts the process and returns at once. */
-    static StandInProcess begin(String name, HttpCaller http, String... arguments) throws Exception {
+    static StandInProcess start(String name, HttpCaller http, String... arguments) throws Exception {
         return new StandInProcess(name, http, arguments);
     }
 
-    /** Waits until it listens, and points the proxy there. */
+    /** Waits until the stand-in listens, and points the proxy to it. */
     StandInProcess awaitReady() {
-        String line = await().atMost(START).until(() -> process.line(READY), found -> !found.isEmpty());
+        String line =
+                await().atMost(START_TIMEOUT).until(() -> process.findLine(READY_PREFIX), found -> !found.isEmpty());
         List<String> words = Splitter.on(' ').splitToList(line);
         direct = NetworkAddress.parse(words.get(1));
         control = NetworkAddress.parse(words.get(3));
@@ -69,7 +70,7 @@
         return incarnation;
     }
 
-    /** Where everybody reaches it: the proxy. */
+    /** Returns the address at which other processes reach the stand-in, that of the proxy. */
     NetworkAddress address() {
         return proxy.address();
     }
@@ -78,7 +79,7 @@
         return proxy;
     }
 
-    /** A proxy of one reader alone. */
+    /** Starts a separate proxy for one client. */
     FaultProxy ownProxy() {
         return FaultProxy.start(direct);
     }
@@ -88,21 +89,21 @@
         return StandInJson.parse(answer.body());
     }
 
-    void turn(JsonNode knobs) throws Exception {
+    void setKnobs(JsonNode knobs) throws Exception {
         HttpQuery query = HttpQuery.of("POST", control, "/knobs", StandInJson.bytes(knobs));
         http.send(query).get(30, TimeUnit.SECONDS);
     }
 
-    /** The runs of all its incarnations. */
+    /** Returns the runs of all incarnations. */
     List<ObservedRun> runs() throws Exception {
         List<ObservedRun> runs = new ArrayList<>(earlierRuns);
         runs.addAll(ObservedRun.allIn(record()));
         return runs;
     }
 
-    /** Ends an engine as a crash would: nobody reaches it any more, its record stays to be read. */
+    /** Ends an engine like a crash: it is unreachable, but its record stays readable. */
     void crash() throws Exception {
-        turn(StandInJson.object().put("kill", true));
+        setKnobs(StandInJson.object().put("kill", true));
         proxy.refuseNew();
         proxy.cut();
         crashed = true;
@@ -112,7 +113,7 @@
         return crashed;
     }
 
-    /** Starts it anew, with empty memory and the next incarnation, behind the same address. */
+    /** Restarts the stand-in with empty memory and the next incarnation, behind the same address. */
     void restart() throws Exception {
         proxy.cut();
         earlierRuns.addAll(ObservedRun.allIn(record()));
--- a/src/test/java/org/yuccagw/process/StreamedCall.java
+++ b/src/test/java/org/yuccagw/process/StreamedCall.java
@@ -15,21 +15,21 @@
 import org.yuccagw.standins.engine.SseText;
 import org.yuccagw.standins.http.StandInJson;
 
-/** One call whose answer may be looked at while it comes. */
+/** An HTTP call whose answer can be read while it arrives. */
 final class StreamedCall implements HttpStreamListener {
     private static final int NO_ANSWER = 0;
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    private final CompletableFuture<Void> over = new CompletableFuture<>();
+    private final CompletableFuture<Void> ended = new CompletableFuture<>();
     private volatile int status = NO_ANSWER;
     private volatile HeaderMap headers = new HeaderMap();
     private volatile boolean complete;
     private volatile String failure = "";
 
-    static StreamedCall begin(HttpCaller http, HttpQuery query, Duration silence) {
+    static StreamedCall start(HttpCaller http, HttpQuery query, Duration readTimeout) {
         StreamedCall call = new StreamedCall();
         http.stream(
-                query.withTimeouts(Duration.ofSeconds(5), silence),
+                query.withTimeouts(Duration.ofSeconds(5), readTimeout),
                 http.worker().getIoThread(),
                 call);
         return call;
@@ -51,31 +51,31 @@
     @Override
     public void onEnd() {
         complete = true;
-        over.complete(null);
+        ended.complete(null);
     }
 
     @Override
     public void onFailure(Phase phase, boolean silent, IOException cause) {
         failure = phase + (silent ? ", silent: " : ": ") + cause;
-        over.complete(null);
+        ended.complete(null);
     }
 
-    /** Waits for the end, good or bad. */
+    /** Waits until the call ends, successfully or not. */
     StreamedCall awaitEnd() throws Exception {
-        over.get(120, TimeUnit.SECONDS);
+        ended.get(120, TimeUnit.SECONDS);
         return this;
     }
 
-    boolean isOver() {
-        return over.isDone();
+    boolean hasEnded() {
+        return ended.isDone();
     }
 
-    /** 0 while no answer began. */
+    /** Returns the status of the answer, or 0 if no answer has begun. */
     int status() {
         return status;
     }
 
-    /** Whether the connection delivered the answer to its end. */
+    /** Returns whether the answer was received to its end. */
     boolean isComplete() {
         return complete;
     }
@@ -93,13 +93,13 @@
         return SseText.of(text());
     }
 
-    /** For the message of a failing test. */
+    /** Describes the call for the message of a failing test. */
     String describe() {
         return "status " + status + (complete ? " complete, " : " broken off, ")
                 + events().ids().size() + " tokens, " + header("X-Request-Id") + " " + error() + " " + failure;
     }
 
-    /** The error object of the answer, also of one that broke off with an error event. */
+    /** Returns the error object of the answer, also of one that ended early with an error event. */
     JsonNode error() {
         String text = text();
         int begin = text.indexOf("{\"error\"");
--- a/src/test/java/org/yuccagw/process/package-info.java
+++ b/src/test/java/org/yuccagw/process/package-info.java
@@ -1,2 +1,4 @@
-/** Real processes under faults: entries and stand-ins in JVMs of their own, connections through fault proxies. */
+/**
+ * Tests with real processes under faults: entries and stand-ins in separate JVMs, connections through fault proxies.
+ */
 package org.yuccagw.process;
