--- a/src/main/java/org/yuccagw/core/notice/EndpointLeaves.java
+++ b/src/main/java/org/yuccagw/core/notice/EndpointLeaving.java
@@ -4,4 +4,4 @@
 import org.yuccagw.core.id.EndpointIncarnation;
 
 /** An endpoint said that it leaves, to this entry or to another one. */
-public record EndpointLeaves(EndpointIncarnation endpoint) implements ControlEvent {}
+public record EndpointLeaving(EndpointIncarnation endpoint) implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
+++ b/src/main/java/org/yuccagw/core/notice/NoticesComponent.java
@@ -211,7 +211,7 @@
         }
         context.perform(
                 Decision.of("endpoint-said-leaving").with("endpoint", endpoint).with("from", from));
-        context.raise(new EndpointLeaves(endpoint));
+        context.raise(new EndpointLeaving(endpoint));
         EndpointUpdate update = new EndpointUpdate(endpoint, true, Optional.empty());
         if (from.equals(context.self().entry()) || broadcaster.forwardsFor(from)) {
             broadcaster.broadcast(update);
--- a/src/main/java/org/yuccagw/core/placing/EndpointChoice.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointChoice.java
@@ -15,7 +15,7 @@
 /** Chooses the endpoint for a request among those that may take it: the one of the lowest cost that has room. */
 final class EndpointChoice {
     private final Scoring scoring;
-    private final PromptNeeds needs;
+    private final PrefillPlanner needs;
     private final ReadSpeed speed;
     private final Function<ServiceName, Duration> shortestTarget;
     private final DoubleSupplier tieBreak;
@@ -28,7 +28,7 @@
      */
     EndpointChoice(
             Scoring scoring,
-            PromptNeeds needs,
+            PrefillPlanner needs,
             ReadSpeed speed,
             Function<ServiceName, Duration> shortestTarget,
             DoubleSupplier tieBreak) {
--- a/src/main/java/org/yuccagw/core/placing/EndpointTable.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointTable.java
@@ -27,7 +27,7 @@
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.ServiceName;
-import org.yuccagw.core.notice.EndpointLeaves;
+import org.yuccagw.core.notice.EndpointLeaving;
 import org.yuccagw.core.peers.PeerStatus;
 import org.yuccagw.core.peers.PeersComponent;
 
@@ -79,7 +79,7 @@
             replaceLoad(received.from(), news.load());
         } else if (event instanceof PeersComponent.PeerLost lost) {
             replaceLoads(lost.entry(), ImmutableList.of());
-        } else if (event instanceof EndpointLeaves leaves) {
+        } else if (event instanceof EndpointLeaving leaves) {
             present(leaves.endpoint()).ifPresent(EndpointState::leave);
         } else if (event instanceof WorkTransferred transferred) {
             present(transferred.endpoint()).ifPresent(endpoint -> move(endpoint, transferred));
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -78,7 +78,7 @@
     private final StoresComponent stores;
     private final RateLimitsComponent rateLimits;
     private final NoticesComponent notices;
-    private final PromptNeeds needs;
+    private final PrefillPlanner needs;
     private final Fleet fleet;
     private final Answers answers;
     private final EndpointTable endpoints;
@@ -132,7 +132,7 @@
         this.regions = regions;
         this.retries = bounds.retries();
         this.stores = stores;
-        this.needs = new PromptNeeds(stores, caches);
+        this.needs = new PrefillPlanner(stores, caches);
         this.weights = weights;
         this.fleet = fleet;
         this.answers = answers;
--- a/src/main/java/org/yuccagw/core/placing/PromptNeeds.java
+++ b/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
@@ -20,11 +20,11 @@
  * <p>Example: a prompt of parts 500, 8,000 and 3,000 (its own) for an engine that holds the first, while a store holds
  * the second: 8,000 tokens are fetched and 3,000 read.
  */
-final class PromptNeeds {
+final class PrefillPlanner {
     private final StoresComponent stores;
     private final EngineCachesComponent caches;
 
-    PromptNeeds(StoresComponent stores, EngineCachesComponent caches) {
+    PrefillPlanner(StoresComponent stores, EngineCachesComponent caches) {
         this.stores = stores;
         this.caches = caches;
     }
--- a/src/test/java/org/yuccagw/core/placing/UsualFaultsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/FaultBaselineTest.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.id.ServiceName;
 
-public class UsualFaultsTest {
+public class FaultBaselineTest {
     private static final FailureDomain DOMAIN = FailureDomain.of("a");
     private static final int CALLS = 3_000;
 
--- a/src/test/java/org/yuccagw/core/placing/PromptNeedsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
@@ -38,13 +38,13 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
-import org.yuccagw.core.ratelimit.NoOthers;
+import org.yuccagw.core.ratelimit.NoPeers;
 import org.yuccagw.core.stores.EngineCachesComponent;
 import org.yuccagw.core.stores.StoreAnswer;
 import org.yuccagw.core.stores.StoreCall;
 import org.yuccagw.core.stores.StoresComponent;
 
-public class PromptNeedsTest {
+public class PrefillPlannerTest {
     private static final FailureDomain NEAR = FailureDomain.of("near");
     private static final ServiceName SERVICE = ServiceName.of("engines");
     private static final EngineTraits ENGINE = new EngineTraits(8, 50_000, 1_000, 1_000, 12, ImmutableList.of("model"));
@@ -53,7 +53,7 @@
     private static final PromptShape PROMPT = new PromptShape(
             "model", 5_200, 50, ImmutableList.of(new PromptPart("session", 5_000), new PromptPart("own", 200)));
 
-    private PromptNeeds needs;
+    private PrefillPlanner needs;
 
     @BeforeMethod
     public void startTheEntry() {
@@ -61,11 +61,11 @@
         bench.onAction((action, input) -> answer(bench, action, input));
         StoresComponent stores = StoresComponent.of(() -> List.of(EntryId.of("entry-1")));
         EngineCachesComponent caches =
-                EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
+                EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoPeers.unlimitedCalls());
         BenchNode node = bench.start("entry-1", NEAR, List.of(stores, caches));
         node.offer(new ConfigurationComponent.Applied(deployment()));
         bench.runFor(Duration.ofSeconds(1));
-        needs = new PromptNeeds(stores, caches);
+        needs = new PrefillPlanner(stores, caches);
     }
 
     // Newer weights are named, and the parts that lie in the stores are of the older ones. An engine that still runs
--- a/src/test/java/org/yuccagw/core/placing/WaitingRequestsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/RequestQueueTest.java
@@ -23,7 +23,7 @@
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
 
-public class WaitingRequestsTest {
+public class RequestQueueTest {
     private static final ServiceName SERVICE = ServiceName.of("engines");
     private static final long MILLI = 1_000_000;
 
--- a/src/test/java/org/yuccagw/core/ratelimit/NoOthers.java
+++ b/src/test/java/org/yuccagw/core/ratelimit/NoPeers.java
@@ -6,12 +6,12 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /** The surroundings of an entry that hears of no other one. */
-public final class NoOthers implements RateLimitsComponent.Fleet {
-    private NoOthers() {}
+public final class NoPeers implements RateLimitsComponent.Fleet {
+    private NoPeers() {}
 
     /** Calls to endpoints that ask for nothing. */
     public static InternalCalls unlimitedCalls() {
-        NoOthers nobody = new NoOthers();
+        NoPeers nobody = new NoPeers();
         return InternalCalls.of(new EndpointConstraints(RateLimitsComponent.of(nobody), NoticesComponent.of(nobody)));
     }
 
--- a/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
@@ -36,7 +36,7 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
-import org.yuccagw.core.ratelimit.NoOthers;
+import org.yuccagw.core.ratelimit.NoPeers;
 
 public class EngineCachesComponentTest {
     private static final String SALT = "s.1";
@@ -61,7 +61,7 @@
         asked = new HashSet<>();
         gap = false;
         bench.onAction(this::perform);
-        caches = EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
+        caches = EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoPeers.unlimitedCalls());
         node = bench.start("entry-1", FailureDomain.of("near"), List.of(caches));
         node.offer(new ConfigurationComponent.Applied(deployment()));
         node.offer(seen(engine("near", 1)));
--- a/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
@@ -21,8 +21,8 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.serving.RunCount;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.serving.ActiveRequests;
 import org.yuccagw.adapters.serving.ServingServer;
 import org.yuccagw.adapters.serving.ServingServices;
 import org.yuccagw.adapters.settings.GatewaySettings;
@@ -81,7 +81,7 @@
                 new ServingServices(
                         () -> snapshot,
                         this::place,
-                        HttpCaller.on(worker),
+                        HttpClient.on(worker),
                         PlatformDialect.create(),
                         DecisionLog.start(),
                         Metrics.create(),
@@ -90,7 +90,7 @@
                         Optional.empty()),
                 settings,
                 worker,
-                RunCount.create());
+                ActiveRequests.create());
     }
 
     @AfterMethod(alwaysRun = true)
--- a/src/test/java/org/yuccagw/daemon/EndToEndTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndToEndTest.java
@@ -10,13 +10,13 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
 import org.yuccagw.client.ClientSettings;
-import org.yuccagw.client.Completion;
+import org.yuccagw.client.CompletionRequest;
 import org.yuccagw.client.CompletionAnswer;
 import org.yuccagw.client.YuccagwClient;
 import org.yuccagw.core.error.YuccagwException;
@@ -48,7 +48,7 @@
 
     @Test
     public void theDirectoryListsEveryEntry() throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.get(deployment.callerAddresses().get(0), "/v1/directory"));
         JsonNode directory = JSON.readTree(answer.body());
         assertEquals(directory.path("entries").size(), 3, answer.text());
@@ -60,7 +60,7 @@
         String prompt = "Explain cell 7 of the notebook. ".repeat(20);
         StringBuilder streamed = new StringBuilder();
         CompletionAnswer answer =
-                client.complete(Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
+                client.complete(CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
         assertEquals(answer.text(), EngineStandIn.expectedAnswer(prompt, 20));
         assertEquals(streamed.toString(), answer.text());
         assertEquals(answer.answerTokens(), 20);
@@ -68,7 +68,7 @@
 
     @Test
     public void anUnstreamedAnswerHasTheFormatOfCompletions() throws Exception {
-        HttpAnswer answer = deployment.send(
+        HttpResponse answer = deployment.send(
                 post("/v1/completions", "{\"model\":\"assistant\",\"prompt\":\"label me\"," + "\"max_tokens\":5}"));
         assertEquals(answer.status(), 200, answer.text());
         JsonNode body = JSON.readTree(answer.body());
@@ -78,7 +78,7 @@
 
     @Test
     public void aChatAnswerHasTheFormatOfChatCompletions() throws Exception {
-        HttpAnswer answer = deployment.send(post(
+        HttpResponse answer = deployment.send(post(
                 "/v1/chat/completions",
                 "{\"model\":\"assistant\",\"max_tokens\":5,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}"));
         assertEquals(answer.status(), 200, answer.text());
@@ -94,7 +94,7 @@
 
     @Test
     public void aPlainServiceIsReachedThroughTheSameEntry() throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.get(deployment.callerAddresses().get(1), "/notebook/preview?x=1")
                         .withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), 200, answer.text());
@@ -102,7 +102,7 @@
 
     @Test
     public void aNonIdempotentCallWithoutAKeyIsRefusedAsNotRun() throws Exception {
-        HttpAnswer answer = deployment.send(post("/notebook/label", "{}"));
+        HttpResponse answer = deployment.send(post("/notebook/label", "{}"));
         assertEquals(answer.status(), 400, answer.text());
         assertEquals(JSON.readTree(answer.body()).path("error").path("ran").asText(), "not-run");
     }
@@ -110,8 +110,8 @@
     @Test
     public void aRepeatedKeyReturnsTheStoredAnswerAndRunsOnce() throws Exception {
         HttpQuery label = post("/notebook/label", "{\"column\":\"age\"}").withHeader("Idempotency-Key", "label-1");
-        HttpAnswer first = deployment.send(label);
-        HttpAnswer second = deployment.send(label);
+        HttpResponse first = deployment.send(label);
+        HttpResponse second = deployment.send(label);
         assertEquals(first.status(), 200, first.text());
         assertEquals(second.text(), first.text());
         assertEquals(second.header("Idempotent-Replayed"), "true", second.text());
@@ -124,7 +124,7 @@
     @Test
     public void aKeyedCompletionRunsOnceForTheClientLibrary() throws Exception {
         IdempotencyKey key = YuccagwClient.newKey();
-        Completion keyedCompletion = Completion.of(LocalCatalogue.MODEL, "call the referee")
+        CompletionRequest keyedCompletion = CompletionRequest.of(LocalCatalogue.MODEL, "call the referee")
                 .withMaxTokens(4)
                 .once(key);
         CompletionAnswer first = client.complete(keyedCompletion, piece -> {});
@@ -137,7 +137,7 @@
     @Test
     public void aRepeatedPromptIsMostlyReusedAfterItsEviction() throws Exception {
         String prompt = "The whole notebook context of the budget tables. ".repeat(100);
-        Completion completion = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
+        CompletionRequest completion = CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
         client.complete(completion, piece -> {});
         client.complete(completion, piece -> {});
         long fullBlockBytes = prompt.length() / 64 * 1024L;
@@ -158,7 +158,7 @@
      * Returns whether most of the prompt is reused. Called at intervals longer than the lag of cache events: an entry
      * that has not learned of the eviction imports no blocks.
      */
-    private boolean isMostlyReused(Completion completion) throws YuccagwException {
+    private boolean isMostlyReused(CompletionRequest completion) throws YuccagwException {
         CompletionAnswer answer = client.complete(completion, piece -> {});
         boolean mostlyReused = answer.cachedTokens() > answer.promptTokens() * 3 / 4 && storeBytesRead() > 0;
         deployment.engines().forEach(EngineStandIn::evictAll);
--- a/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.platform.GatewaySettingsReader;
@@ -37,7 +37,7 @@
     private ScriptedEndpoint limited;
     private ScriptedEndpoint busy;
     private ScriptedEndpoint leaving;
-    private HttpCaller caller;
+    private HttpClient caller;
     private GatewaySettings settings;
     private GatewayDaemon daemon;
     private int sentRequests;
@@ -46,7 +46,7 @@
     public void startAll() throws Exception {
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         endpoint = new ScriptedEndpoint();
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         keyValue.put(
                 PlatformDocuments.CONFIGURATION,
                 PlatformDocuments.configuration(3)
@@ -97,13 +97,13 @@
 
     @Test
     public void theDirectoryListsTheEntry() throws Exception {
-        HttpAnswer answer = send(HttpQuery.get(settings.directory(), SmallDeployment.DIRECTORY));
+        HttpResponse answer = send(HttpQuery.get(settings.directory(), SmallDeployment.DIRECTORY));
         assertTrue(answer.text().contains("\"" + settings.callers() + "\""), answer.text());
     }
 
     @Test
     public void anAnswerHasTheHeadersAndTheBodyOfTheEndpoint() throws Exception {
-        HttpAnswer answer = post("/once/plain");
+        HttpResponse answer = post("/once/plain");
         assertEquals(answer.status(), 200);
         assertEquals(answer.text(), "body");
         assertEquals(answer.header("Yuccagw-Response-Seal"), "seal-1");
@@ -133,7 +133,7 @@
 
     @Test
     public void aStreamArrivesCompletelyAndInOrder() throws Exception {
-        HttpAnswer answer = post("/stream/stream");
+        HttpResponse answer = post("/stream/stream");
         assertEquals(answer.text(), "id: 1\ndata: word1\n\nid: 2\ndata: word2\n\nid: 3\ndata: word3\n\n");
     }
 
@@ -152,7 +152,7 @@
     // The endpoint sends a late answer to another request instead of the answer to this one.
     @Test
     public void anAnswerToAnotherRequestIsNotForwarded() throws Exception {
-        HttpAnswer answer = post("/once/foreign");
+        HttpResponse answer = post("/once/foreign");
         assertEquals(answer.status(), 502);
         assertFalse(answer.text().contains("forged"));
     }
@@ -241,7 +241,7 @@
         long startNanos = System.nanoTime();
         int refused = 0;
         for (int index = 0; index < 20; index++) {
-            HttpAnswer answer = post("/spared/limited");
+            HttpResponse answer = post("/spared/limited");
             if (answer.status() == 503) {
                 refused++;
                 assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0, answer.text());
@@ -261,7 +261,7 @@
                 .until(() ->
                         post("/busy/busy").status() == 503 && !busy.requests().isEmpty());
         for (int index = 0; index < 5; index++) {
-            HttpAnswer answer = post("/busy/busy");
+            HttpResponse answer = post("/busy/busy");
             assertEquals(answer.status(), 503);
             assertTrue(Double.parseDouble(answer.header("Retry-After")) > 20, answer.header("Retry-After"));
         }
@@ -278,7 +278,7 @@
         assertEquals(leaving.requests().size(), 1);
     }
 
-    private HttpAnswer post(String path) throws Exception {
+    private HttpResponse post(String path) throws Exception {
         return send(request(path, "key-1"));
     }
 
@@ -299,7 +299,7 @@
         }
     }
 
-    private HttpAnswer send(HttpQuery query)
+    private HttpResponse send(HttpQuery query)
             throws InterruptedException, ExecutionException, java.util.concurrent.TimeoutException {
         return caller.send(query).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
