--- a/src/main/java/org/yuccagw/core/stores/CacheHolderEvents.java
+++ b/src/main/java/org/yuccagw/core/stores/CacheHolderEvents.java
@@ -22,82 +22,89 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * Follows the events of some holders of cache parts, which are stores or engines: one waiting call after the other for
- * each of them.
+ * Follows the events of a set of holders of cache parts, which are stores or engines. Each holder is polled with one
+ * waiting call after the other.
  *
- * <p>A holder that takes no calls at present counts as one whose events nobody follows.
+ * <p>A holder that accepts no calls at present is treated as a holder whose events aren't followed: its contents aren't
+ * used.
  *
- * <p>Events may be lost. What happens then is given by who follows: a store is asked for its list; an engine isn't,
- * since a list stalls its work, and counts as holding nothing until it tells of something again.
+ * <p>Events may be lost. The owner of this object decides what happens then: a store is queried for its full list. An
+ * engine isn't, since a list stalls its work; it counts as holding nothing until new events report parts.
  */
 final class CacheHolderEvents {
-    private static final Duration WAIT = Duration.ofMillis(900);
-    private static final Duration AFTER_CHANGES = Duration.ofMillis(150);
-    private static final Duration AFTER_SILENCE = Duration.ofMillis(300);
+    private static final Duration POLL_WAIT = Duration.ofMillis(900);
+    private static final Duration DELAY_AFTER_CHANGES = Duration.ofMillis(150);
+    private static final Duration DELAY_AFTER_FAILURE = Duration.ofMillis(300);
 
-    /** Calls for events that a holder takes from others than the first entries in its order. */
-    private static final int SPARE_WATCHERS = 2;
+    /** Poll slots of a holder that stay free for entries other than the chosen followers. */
+    private static final int RESERVED_WATCHERS = 2;
 
-    /** A lead that takes over must know soon what engines hold; a look costs no call. */
-    private static final Duration LOOK_AT_TURN = Duration.ofMillis(500);
+    /**
+     * Short, because an entry that becomes a lead needs the contents of the engines soon. The check itself makes no
+     * call.
+     */
+    private static final Duration UNFOLLOWED_CHECK_INTERVAL = Duration.ofMillis(500);
 
     private final Supplier<List<EntryId>> entries;
-    private final Consumer<StoredParts> afterGap;
-    private final Calls calls;
+    private final Consumer<StoredParts> onEventsLost;
+    private final CallPolicy callPolicy;
     private final Map<StoreId, StoredParts> holders = new LinkedHashMap<>();
     private final Map<StoreId, Long> sentNanos = new LinkedHashMap<>();
     private final Map<StoreId, Long> backOffUntilNanos = new HashMap<>();
-    private List<StoredParts> leftToOthers = new ArrayList<>();
+    private List<StoredParts> unfollowed = new ArrayList<>();
     private ControlContext context;
 
-    private CacheHolderEvents(Supplier<List<EntryId>> entries, Consumer<StoredParts> afterGap, Calls calls) {
+    private CacheHolderEvents(Supplier<List<EntryId>> entries, Consumer<StoredParts> onEventsLost, CallPolicy callPolicy) {
         this.entries = entries;
-        this.afterGap = afterGap;
-        this.calls = calls;
+        this.onEventsLost = onEventsLost;
+        this.callPolicy = callPolicy;
     }
 
     /**
-     * The following by one entry.
+     * Creates the event polling of one entry.
      *
-     * @param entries those that follow the same holders; one that isn't among them knows nothing of these
-     * @param afterGap called when events of a holder were lost
-     * @param calls which holders take calls
+     * @param entries the entries that follow the same holders; an entry that isn't among them follows none
+     * @param onEventsLost called when events of a holder were lost
+     * @param callPolicy decides which holders may be called
      */
-    static CacheHolderEvents of(Supplier<List<EntryId>> entries, Consumer<StoredParts> afterGap, Calls calls) {
-        return new CacheHolderEvents(entries, afterGap, calls);
+    static CacheHolderEvents of(Supplier<List<EntryId>> entries, Consumer<StoredParts> onEventsLost, CallPolicy callPolicy) {
+        return new CacheHolderEvents(entries, onEventsLost, callPolicy);
     }
 
     void start(ControlContext startContext) {
         context = startContext;
-        context.after(LOOK_AT_TURN, this::lookAtTurns);
+        context.after(UNFOLLOWED_CHECK_INTERVAL, this::pollUnfollowed);
     }
 
-    /** Calls to holders, as far as these bear them. */
-    interface Calls {
-        /** Holders that take every call. */
-        Calls UNLIMITED = new Calls() {
+    /** Decides whether a holder may be called, and records the calls. */
+    interface CallPolicy {
+        /** Allows every call. */
+        CallPolicy UNLIMITED = new CallPolicy() {
             @Override
-            public boolean may(CacheStore holder) {
+            public boolean allowsCall(CacheStore holder) {
                 return true;
             }
 
             @Override
-            public void made(CacheStore holder) {}
+            public void recordCall(CacheStore holder) {}
         };
 
-        /** Whether the holder may be called now. */
-        boolean may(CacheStore holder);
+        /** Returns whether the holder may be called now. */
+        boolean allowsCall(CacheStore holder);
 
-        /** It is called now. */
-        void made(CacheStore holder);
+        /** Records a call that is made now. */
+        void recordCall(CacheStore holder);
     }
 
-    /** One timer for all that others follow: of many entries few follow anything, and each timer wakes a thread. */
-    private void lookAtTurns() {
-        context.after(LOOK_AT_TURN, this::lookAtTurns);
-        List<StoredParts> looked = leftToOthers;
-        leftToOthers = new ArrayList<>();
-        looked.forEach(this::ask);
+    /**
+     * Polls the holders that this entry doesn't follow at present, all on one timer: with many entries each follows few
+     * holders, and every timer wakes a thread.
+     */
+    private void pollUnfollowed() {
+        context.after(UNFOLLOWED_CHECK_INTERVAL, this::pollUnfollowed);
+        List<StoredParts> candidates = unfollowed;
+        unfollowed = new ArrayList<>();
+        candidates.forEach(this::poll);
     }
 
     void handle(ControlEvent event) {
@@ -106,62 +113,62 @@
         } else if (event instanceof StoreAnswer.Listed listed) {
             onListed(listed);
         } else if (event instanceof StoreAnswer.Noticed noticed) {
-            noticed.notice().backOff().ifPresent(time -> backOff(noticed.store(), time));
+            noticed.notice().backOff().ifPresent(duration -> backOff(noticed.store(), duration));
         } else if (event instanceof StoreAnswer.Silent silent) {
             onSilent(silent);
         }
     }
 
-    Collection<StoredParts> all() {
+    Collection<StoredParts> holders() {
         return holders.values();
     }
 
-    Optional<StoredParts> of(StoreId id) {
+    Optional<StoredParts> find(StoreId id) {
         return Optional.ofNullable(holders.get(id));
     }
 
-    ImmutableList<CacheStore> configured() {
+    ImmutableList<CacheStore> configuredStores() {
         return holders.values().stream().map(StoredParts::store).collect(ImmutableList.toImmutableList());
     }
 
-    /** Follows these from now on, and no others; what is known of a holder that changed is dropped. */
-    void adopt(List<CacheStore> wanted) {
+    /** Follows exactly these holders from now on. The state of a holder that was removed or changed is dropped. */
+    void setHolders(List<CacheStore> followed) {
         Map<StoreId, CacheStore> byId =
-                wanted.stream().collect(Collectors.toMap(CacheStore::id, store -> store, (one, other) -> one));
+                followed.stream().collect(Collectors.toMap(CacheStore::id, store -> store, (one, other) -> one));
         holders.values()
                 .removeIf(
                         stored -> !stored.store().equals(byId.get(stored.store().id())));
-        for (CacheStore store : wanted) {
+        for (CacheStore store : followed) {
             if (!holders.containsKey(store.id())) {
                 StoredParts stored = new StoredParts(store);
                 holders.put(store.id(), stored);
-                ask(stored);
+                poll(stored);
             }
         }
     }
 
-    private void ask(StoredParts stored) {
+    private void poll(StoredParts stored) {
         CacheStore store = stored.store();
         if (holders.get(store.id()) != stored) {
             return;
         }
-        if (!isFollower(store) || !calls.may(store) || backsOff(store.id())) {
-            stored.doubt();
-            leftToOthers.add(stored);
+        if (!isFollower(store) || !callPolicy.allowsCall(store) || isBackingOff(store.id())) {
+            stored.markUnconfirmed();
+            unfollowed.add(stored);
             return;
         }
         sentNanos.put(store.id(), context.nowNanos());
-        calls.made(store);
-        context.perform(new StoreCall.AskChanges(store, stored.next(), WAIT));
+        callPolicy.recordCall(store);
+        context.perform(new StoreCall.AskChanges(store, stored.nextEvent(), POLL_WAIT));
     }
 
-    private void backOff(StoreId holder, Duration time) {
+    private void backOff(StoreId holder, Duration duration) {
         backOffUntilNanos.merge(
-                holder, context.nowNanos() + time.toNanos(), (known, until) -> until - known > 0 ? until : known);
+                holder, context.nowNanos() + duration.toNanos(), (current, until) -> until - current > 0 ? until : current);
     }
 
-    /** Whether the holder wants no calls from this entry yet. */
-    private boolean backsOff(StoreId holder) {
+    /** Returns whether the holder requested a back-off that hasn't ended yet. */
+    private boolean isBackingOff(StoreId holder) {
         Long until = backOffUntilNanos.get(holder);
         boolean over = until == null || context.nowNanos() - until >= 0;
         if (over) {
@@ -171,24 +178,24 @@
     }
 
     /**
-     * Whether this entry may follow the holder, which takes a fixed number of calls and turns further ones away: that
-     * would cost each of many entries a call in vain several times a second. So the first entries in an order that
-     * differs from holder to holder follow it; the others know nothing of it.
+     * Returns whether this entry may follow the holder. A holder accepts a fixed number of waiting calls and rejects
+     * further ones, which would cost each of many entries a failed call several times a second. So the first entries in
+     * an order that differs between holders follow it; the others don't use its contents.
      */
     private boolean isFollower(CacheStore store) {
         List<EntryId> all = entries.get();
         if (!all.contains(context.self().entry())) {
             return false;
         }
-        int most = Math.max(1, store.mostWatchers() - SPARE_WATCHERS);
-        if (all.size() <= most) {
+        int maxFollowers = Math.max(1, store.mostWatchers() - RESERVED_WATCHERS);
+        if (all.size() <= maxFollowers) {
             return true;
         }
-        int own = order(store, context.self().entry());
-        return all.stream().filter(entry -> order(store, entry) < own).count() < most;
+        int own = followerRank(store, context.self().entry());
+        return all.stream().filter(entry -> followerRank(store, entry) < own).count() < maxFollowers;
     }
 
-    private static int order(CacheStore store, EntryId entry) {
+    private static int followerRank(CacheStore store, EntryId entry) {
         return Hashing.murmur3_32_fixed()
                 .hashString(store.id().value() + ' ' + entry.value(), StandardCharsets.UTF_8)
                 .asInt();
@@ -199,22 +206,22 @@
         if (stored == null) {
             return;
         }
-        if (stored.meet(changes.epoch(), context.nowNanos())) {
+        if (stored.updateEpoch(changes.epoch(), context.nowNanos())) {
             context.perform(Decision.of("store-restarted").with("store", changes.store()));
-            ask(stored);
+            poll(stored);
             return;
         }
-        stored.readClock(changes.clockMillis(), context.nowNanos());
-        if (changes.gap()) {
+        stored.updateClock(changes.clockMillis(), context.nowNanos());
+        if (changes.eventsLost()) {
             context.perform(Decision.of("store-events-lost").with("store", changes.store()));
-            stored.reach(changes.next());
-            afterGap.accept(stored);
+            stored.setNextEvent(changes.next());
+            onEventsLost.accept(stored);
             return;
         }
-        changes.changes().forEach(stored::take);
-        stored.reach(changes.next());
-        stored.confirm(sentNanos.get(changes.store()));
-        askAgain(stored, changes.changes().isEmpty() ? Duration.ZERO : AFTER_CHANGES);
+        changes.changes().forEach(stored::apply);
+        stored.setNextEvent(changes.next());
+        stored.markConfirmed(sentNanos.get(changes.store()));
+        pollAfter(stored, changes.changes().isEmpty() ? Duration.ZERO : DELAY_AFTER_CHANGES);
     }
 
     private void onListed(StoreAnswer.Listed listed) {
@@ -222,15 +229,15 @@
         if (stored == null) {
             return;
         }
-        stored.meet(listed.epoch(), context.nowNanos());
+        stored.updateEpoch(listed.epoch(), context.nowNanos());
         stored.clear();
-        listed.held().forEach(stored::take);
-        stored.reach(listed.next());
-        stored.confirm(sentNanos.get(listed.store()));
-        askAgain(stored, Duration.ZERO);
+        listed.held().forEach(stored::apply);
+        stored.setNextEvent(listed.next());
+        stored.markConfirmed(sentNanos.get(listed.store()));
+        pollAfter(stored, Duration.ZERO);
     }
 
-    /** A broken call is the first sign of a crash: nothing is believed of the holder until it answers again. */
+    /** Stops the use of the holder's contents until it answers again: a broken call is the first sign of a crash. */
     private void onSilent(StoreAnswer.Silent silent) {
         StoredParts stored = holders.get(silent.store());
         if (stored == null) {
@@ -241,20 +248,20 @@
                     .with("dependency", "store " + silent.store())
                     .with("reason", silent.reason()));
         }
-        stored.doubt();
-        askAgain(stored, AFTER_SILENCE);
+        stored.markUnconfirmed();
+        pollAfter(stored, DELAY_AFTER_FAILURE);
     }
 
-    /** Goes on after a gap without knowing what the holder held before. */
-    void goOnKnowingNothing(StoredParts stored) {
-        long next = stored.next();
+    /** Continues after lost events with empty contents, without querying the full list. */
+    void resumeWithEmptyState(StoredParts stored) {
+        long next = stored.nextEvent();
         stored.clear();
-        stored.reach(next);
-        stored.confirm(sentNanos.get(stored.store().id()));
-        askAgain(stored, AFTER_CHANGES);
+        stored.setNextEvent(next);
+        stored.markConfirmed(sentNanos.get(stored.store().id()));
+        pollAfter(stored, DELAY_AFTER_CHANGES);
     }
 
-    private void askAgain(StoredParts stored, Duration wait) {
-        context.after(wait, () -> ask(stored));
+    private void pollAfter(StoredParts stored, Duration delay) {
+        context.after(delay, () -> poll(stored));
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/CachePlan.java
+++ b/src/main/java/org/yuccagw/core/stores/CachePlan.java
@@ -5,14 +5,16 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * Where an endpoint fetches the parts of one prompt from and where it saves them to, one element for each part.
+ * The stores from which an endpoint fetches the parts of one prompt and to which it saves them, one element for each
+ * part.
  *
- * @param untilMillis on the endpoints' clock: a fetch that hasn't ended by then is thrown away
+ * @param untilMillis deadline of the fetches in milliseconds on the endpoints' clock; the endpoint discards a fetch
+ *     that hasn't ended by then
  */
 public record CachePlan(
         ImmutableList<Optional<Source>> fetches, ImmutableList<Optional<NetworkAddress>> saves, long untilMillis) {
 
-    /** A store and how many tokens of the part it holds. */
+    /** A store that holds a part, and the number of the part's tokens that it holds. */
     public record Source(NetworkAddress store, int tokens) {}
 
     public boolean hasFetch() {
--- a/src/main/java/org/yuccagw/core/stores/CacheSalt.java
+++ b/src/main/java/org/yuccagw/core/stores/CacheSalt.java
@@ -6,15 +6,17 @@
 import org.yuccagw.core.deployment.WorkspaceAccess;
 
 /**
- * The name under which engines and stores keep parts of prompts; parts are found under the same name only.
+ * The cache salt: the name under which engines and stores keep parts of prompts. A part is found under the salt that it
+ * was saved with and under no other.
  *
- * <p>Guards against two failures. A prompt of an isolated workspace could use what another workspace's prompt left: its
- * name holds the workspace. And a prompt could use what was computed with other weights: the name holds the version,
- * and the request also demands that version of the engine, so that name and weights can't differ. What prompts leave
- * that are bound to some regions has a name of its own as well, so that nobody moves it out of them.
+ * <p>Guards against two failures. A prompt of an isolated workspace could use cached parts of another workspace: the
+ * salt contains the workspace. And a prompt could use parts that were computed with other weights: the salt contains
+ * the weight version, and the request also demands that version of the engine, so that salt and weights can't differ.
+ * Prompts that are restricted to some regions have a salt of their own as well, so that no store or engine copies their
+ * parts out of these regions.
  *
- * <p>Example: {@code s.7} for version 7 of workspaces that share, {@code w.audit.7} for the isolated {@code audit},
- * {@code s.@north+south.7} for prompts that are bound to two regions.
+ * <p>Example: {@code s.7} for version 7 of workspaces that share their cache, {@code w.audit.7} for the isolated
+ * workspace {@code audit}, {@code s.@north+south.7} for prompts that are restricted to two regions.
  */
 public final class CacheSalt {
     private static final char SEPARATOR = '.';
@@ -22,9 +24,10 @@
     private CacheSalt() {}
 
     /**
-     * The name.
+     * Returns the salt of a prompt.
      *
-     * @param homes of the prompt, by its route and its workspace
+     * @param homes the regions that the prompt's route and workspace allow
+     * @param version the weight version
      */
     public static String of(Optional<WorkspaceAccess> workspace, Homes homes, long version) {
         boolean isolated = workspace.map(WorkspaceAccess::isolated).orElse(false);
@@ -33,13 +36,13 @@
         return owner + bound + SEPARATOR + version;
     }
 
-    /** The version of the weights in a name; empty if the name isn't one of ours. */
+    /** Returns the weight version in a salt, or empty if no entry made the salt. */
     static OptionalLong versionOf(String salt) {
         String digits = salt.substring(salt.lastIndexOf(SEPARATOR) + 1);
         try {
             return OptionalLong.of(Long.parseLong(digits));
-        } catch (NumberFormatException foreign) {
-            // Not made by an entry, so nothing is known of its use.
+        } catch (NumberFormatException e) {
+            // The salt wasn't made by an entry, so its meaning is unknown.
             return OptionalLong.empty();
         }
     }
--- a/src/main/java/org/yuccagw/core/stores/EngineCachesComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/EngineCachesComponent.java
@@ -29,14 +29,14 @@
 import org.yuccagw.core.ratelimit.InternalCalls;
 
 /**
- * What engines hold in their own memory, as their cache events tell.
+ * Tracks which parts of prompts the engines hold in their own memory, from their cache events.
  *
- * <p>A hint only: an engine decides itself what it reuses, so a belief that is out of date costs a computation that
- * wasn't foreseen and nothing else. Each entry follows the engines of its own failure domain only, since events are
- * many and bytes between domains dear; and an engine takes few calls for its events, so of many entries each follows
- * some.
+ * <p>The result is only a hint: an engine decides itself which parts it reuses, so an outdated state costs an unplanned
+ * computation and nothing else. Each entry follows only the engines of its own failure domain, since events are many
+ * and bytes between failure domains are expensive. An engine accepts few calls for its events, so with many entries
+ * each entry follows only some of the engines.
  *
- * <p>Invariant: what is believed of an engine ends when it starts again or is not listed any more.
+ * <p>Invariant: the state of an engine is dropped when the engine restarts or is no longer listed.
  */
 public final class EngineCachesComponent implements ControlComponent {
     private final CacheHolderEvents events;
@@ -47,15 +47,15 @@
     private ControlContext context;
 
     private EngineCachesComponent(Supplier<List<EntryId>> entries, InternalCalls calls) {
-        this.events = CacheHolderEvents.of(entries, this::goOn, new EngineCalls());
+        this.events = CacheHolderEvents.of(entries, this::onEventsLost, new EngineCallPolicy());
         this.calls = calls;
     }
 
     /**
-     * The knowledge of one entry.
+     * Creates the component of one entry.
      *
-     * @param entries those that follow the same engines, this one among them
-     * @param calls what engines bear of calls that are no requests
+     * @param entries the entries that follow the same engines, this one among them
+     * @param calls limits the internal calls to each engine
      */
     public static EngineCachesComponent of(Supplier<List<EntryId>> entries, InternalCalls calls) {
         return new EngineCachesComponent(entries, calls);
@@ -71,14 +71,14 @@
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof ConfigurationComponent.Applied applied) {
             deployment = Optional.of(applied.deployment());
-            adopt();
+            updateHolders();
         } else if (event instanceof KeyValueRecordUpdated updated
                 && updated.record() instanceof KeyValueRecord.EndpointListed record) {
-            list(record.endpoint());
+            onListed(record.endpoint());
         } else if (event instanceof KeyValueRecordRemoved removed
                 && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
             if (listed.remove(subject.endpoint()) != null) {
-                adopt();
+                updateHolders();
             }
         } else if (event instanceof StoreAnswer.Noticed noticed && engines.containsKey(noticed.store())) {
             context.raise(new NoticeReceived(engines.get(noticed.store()), noticed.notice(), false));
@@ -86,50 +86,50 @@
         events.handle(event);
     }
 
-    private void list(ListedEndpoint endpoint) {
-        ListedEndpoint known = listed.put(endpoint.id(), endpoint);
-        boolean same = known != null
-                && known.incarnation().equals(endpoint.incarnation())
-                && known.address().equals(endpoint.address());
-        if (!same) {
-            adopt();
+    private void onListed(ListedEndpoint endpoint) {
+        ListedEndpoint previous = listed.put(endpoint.id(), endpoint);
+        boolean isUnchanged = previous != null
+                && previous.incarnation().equals(endpoint.incarnation())
+                && previous.address().equals(endpoint.address());
+        if (!isUnchanged) {
+            updateHolders();
         }
     }
 
-    private void adopt() {
+    private void updateHolders() {
         ImmutableList.Builder<CacheStore> holders = ImmutableList.builder();
         engines.clear();
-        for (ListedEndpoint endpoint : followed()) {
+        for (ListedEndpoint endpoint : followedEngines()) {
             engines.put(holderId(endpoint), endpoint.incarnation());
             deployment
-                    .flatMap(known -> known.service(endpoint.service()))
+                    .flatMap(configuration -> configuration.service(endpoint.service()))
                     .flatMap(BackEndService::engine)
                     .ifPresent(traits -> holders.add(holder(endpoint, traits)));
         }
-        events.adopt(holders.build());
+        events.setHolders(holders.build());
     }
 
     /**
-     * The engines of the own failure domain, or all if it has none. Events of the others would cross domains, a few
-     * kilobytes a second from each engine to each entry, and prompts are seldom sent there.
+     * Returns the engines of the own failure domain, or all engines if it has none. Events of the others would cross
+     * failure domains, a few kilobytes a second from each engine to each entry, and prompts are seldom sent there.
      */
-    private List<ListedEndpoint> followed() {
-        List<ListedEndpoint> near = listed.values().stream()
+    private List<ListedEndpoint> followedEngines() {
+        List<ListedEndpoint> local = listed.values().stream()
                 .filter(endpoint -> !endpoint.weights().isEmpty())
                 .filter(endpoint -> endpoint.domain().equals(context.self().domain()))
                 .toList();
-        return near.isEmpty() ? ImmutableList.copyOf(listed.values()) : near;
+        return local.isEmpty() ? ImmutableList.copyOf(listed.values()) : local;
     }
 
-    /** Calls for events, which are only a help, leave engines alone that ask for fewer calls. */
-    private final class EngineCalls implements CacheHolderEvents.Calls {
+    /** Makes no calls for events to engines that requested fewer internal calls, since events are optional. */
+    private final class EngineCallPolicy implements CacheHolderEvents.CallPolicy {
         @Override
-        public boolean may(CacheStore holder) {
+        public boolean allowsCall(CacheStore holder) {
             return !calls.asksForFewer(engines.get(holder.id()));
         }
 
         @Override
-        public void made(CacheStore holder) {
+        public void recordCall(CacheStore holder) {
             calls.made(engines.get(holder.id()));
         }
     }
@@ -150,14 +150,17 @@
                 0);
     }
 
-    /** How many parts at the beginning of the prompt the engine holds; empty if it isn't known at present. */
+    /**
+     * Returns how many parts at the beginning of the prompt the engine holds, or empty if its contents aren't known at
+     * present.
+     */
     public Optional<Integer> heldParts(ListedEndpoint engine, PromptShape prompt, String salt) {
-        return events.of(holderId(engine))
+        return events.find(holderId(engine))
                 .filter(stored -> stored.isFresh(context.nowNanos()))
-                .map(stored -> countHeld(stored, prompt, salt));
+                .map(stored -> countHeldParts(stored, prompt, salt));
     }
 
-    private static int countHeld(StoredParts stored, PromptShape prompt, String salt) {
+    private static int countHeldParts(StoredParts stored, PromptShape prompt, String salt) {
         int count = 0;
         for (PromptPart part : prompt.sharedParts()) {
             if (stored.tokens(salt, part.id()) < part.tokens()) {
@@ -168,7 +171,7 @@
         return count;
     }
 
-    private void goOn(StoredParts stored) {
-        events.goOnKnowingNothing(stored);
+    private void onEventsLost(StoredParts stored) {
+        events.resumeWithEmptyState(stored);
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/PartName.java
+++ b/src/main/java/org/yuccagw/core/stores/PartName.java
@@ -1,8 +1,9 @@
 package org.yuccagw.core.stores;
 
 /**
- * Names a part of prompts in a store.
+ * Identifies a part of a prompt in a store.
  *
- * @param salt see {@link CacheSalt}
+ * @param salt the salt of the part, see {@link CacheSalt}
+ * @param part the id of the part
  */
 public record PartName(String salt, String part) {}
--- a/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
@@ -19,51 +19,55 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * Frees parts in managed stores that were computed with weights which nothing runs any more.
+ * Frees parts in managed stores that were computed with weights that no engine runs any more.
  *
- * <p>Such a store drops nothing by itself. After a few namings it would be full of parts that no prompt can use, and
- * nothing new could be saved: after two namings on a played day 44 tokens a millisecond, a tenth of what the engines
- * read, were computed again though some engine had computed them before.
+ * <p>Such a store evicts nothing by itself. After a few namings of weights it would be full of parts that no prompt can
+ * use, and no new part could be saved: after two namings 44 tokens a millisecond, a tenth of what the engines prefill,
+ * were recomputed although some engine had computed them before.
  *
- * <p>A store frees at once, whoever reads. A part is therefore freed only when no transfer of it can be under way:
+ * <p>A store frees a part at once, even while it is being read. A part is therefore freed only when no transfer of it
+ * can be in progress:
  *
  * <ol>
- *   <li>Entries plan no fetch under older weights once newer ones were named {@link #OLD_FETCHES} ago.
- *   <li>A fetch that was planned before is thrown away by the engine after {@link StoresComponent#FETCH_TIME}.
- *   <li>An entry may have learned of the naming late, by {@link #LEARNED_WITHIN}.
- *   <li>All listed engines run the newer weights, so nothing could begin on the older ones in any case.
+ *   <li>Entries plan no fetch of an older version once the newer version was named {@link #OLD_FETCHES} ago.
+ *   <li>The engine discards a fetch that was planned before after {@link StoresComponent#FETCH_TIMEOUT}.
+ *   <li>An entry may have learned of the naming late, by up to {@link #MAX_NAMING_DELAY}.
+ *   <li>All listed engines run the newer weights, so no fetch of the older version can begin.
  * </ol>
  *
- * <p>One entry does this, the holder of the weights' duty, since it knows best what engines run. Two that did it at
- * once would do no harm: freeing what is gone changes nothing.
+ * <p>One entry frees parts: the holder of the weights duty, since it has the most recent view of what engines run. Two
+ * entries doing it at once would do no harm, because freeing a part that was freed before has no effect.
  *
- * <p>Example: version 2 is named at 20 s and all engines run it at 24 s. At 26.5 s the holder asks each store what it
- * holds, and frees what was computed with version 1.
+ * <p>Example: version 2 is named at 20 s and all engines run it at 24 s. At 26.5 s the holder queries each store for
+ * its contents and frees what was computed with version 1.
  */
 public final class RetiredPartsComponent implements ControlComponent {
-    /** Loading all engines takes about as long; what runs on older weights later is an exception. */
+    /**
+     * Loading all engines takes about as long; only in exceptional cases does an engine run the older weights for
+     * longer.
+     */
     public static final Duration OLD_FETCHES = Duration.ofSeconds(3);
 
-    /** The tightest bound of the platform on how late an entry may learn of a change. */
-    static final Duration LEARNED_WITHIN = Duration.ofSeconds(2);
+    /** The tightest bound that the platform sets on the time within which an entry must learn of a change. */
+    static final Duration MAX_NAMING_DELAY = Duration.ofSeconds(2);
 
-    static final Duration RETIRED_AFTER =
-            OLD_FETCHES.plus(StoresComponent.FETCH_TIME).plus(LEARNED_WITHIN);
+    static final Duration RETIREMENT_DELAY =
+            OLD_FETCHES.plus(StoresComponent.FETCH_TIMEOUT).plus(MAX_NAMING_DELAY);
 
-    private static final Duration LOOK = Duration.ofMillis(500);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
-    /** A store that gave no answer is asked again after this, since it may be away for seconds. */
-    private static final Duration AGAIN = Duration.ofSeconds(2);
+    /** Delay before a store that didn't answer is queried again; it may be unavailable for seconds. */
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
 
     private final BooleanSupplier mayAct;
     private final NamedWeightsComponent named;
     private final Function<String, OptionalLong> lowestRunning;
     private final StoresComponent stores;
 
-    /** For each store, the versions below which nothing is left there, by model. */
-    private final Map<StoreId, Map<String, Long>> cleaned = new HashMap<>();
+    /** For each store and model, the version below which all parts were freed. */
+    private final Map<StoreId, Map<String, Long>> freedBelow = new HashMap<>();
 
-    private final Set<StoreId> busy = new HashSet<>();
+    private final Set<StoreId> storesInProgress = new HashSet<>();
     private ControlContext context;
 
     private RetiredPartsComponent(
@@ -78,10 +82,12 @@
     }
 
     /**
-     * The freeing by one entry.
+     * Creates the component of one entry.
      *
-     * @param mayAct whether this entry is the one that frees
-     * @param lowestRunning the lowest version of a model that any engine runs
+     * @param mayAct whether this entry is the one that frees parts
+     * @param named the named weights
+     * @param lowestRunning returns the lowest version of a model that any engine runs
+     * @param stores the configured stores
      */
     public static RetiredPartsComponent of(
             BooleanSupplier mayAct,
@@ -94,7 +100,7 @@
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        context.after(LOOK, this::look);
+        context.after(CHECK_INTERVAL, this::check);
     }
 
     @Override
@@ -106,83 +112,88 @@
         }
     }
 
-    private void look() {
-        context.after(LOOK, this::look);
+    private void check() {
+        context.after(CHECK_INTERVAL, this::check);
         if (!mayAct.getAsBoolean()) {
-            cleaned.clear();
+            freedBelow.clear();
             return;
         }
-        Map<String, Long> retired = retiredBelow();
-        for (CacheStore store : stores.configured()) {
-            boolean due = store.managed() && !retired.isEmpty() && !retired.equals(cleaned.get(store.id()));
-            if (due && busy.add(store.id())) {
+        Map<String, Long> retiredBelow = retiredBelow();
+        for (CacheStore store : stores.configuredStores()) {
+            boolean isDue = store.managed() && !retiredBelow.isEmpty() && !retiredBelow.equals(freedBelow.get(store.id()));
+            if (isDue && storesInProgress.add(store.id())) {
                 context.perform(new StoreCall.Inspect(store));
             }
         }
     }
 
-    /** For each model the version below which no part can be of use; models without older weights are left out. */
+    /**
+     * Returns for each model the version below which no part can be used. Models without older versions are left out.
+     */
     private Map<String, Long> retiredBelow() {
-        Map<String, Long> retired = new HashMap<>();
+        Map<String, Long> retiredBelow = new HashMap<>();
         for (String model : named.models()) {
-            OptionalLong newest = named.newestOlderThan(model, RETIRED_AFTER, context.nowNanos());
+            OptionalLong newest = named.newestOlderThan(model, RETIREMENT_DELAY, context.nowNanos());
             OptionalLong lowest = lowestRunning.apply(model);
             if (newest.isPresent() && lowest.isPresent()) {
-                retired.put(model, Math.min(newest.getAsLong(), lowest.getAsLong()));
+                retiredBelow.put(model, Math.min(newest.getAsLong(), lowest.getAsLong()));
             }
         }
-        return retired;
+        return retiredBelow;
     }
 
     private void onInspected(StoreAnswer.Inspected inspected) {
         if (inspected.contents().isEmpty() || !mayAct.getAsBoolean()) {
-            leaveForLater(inspected.store(), "no answer");
+            retryLater(inspected.store(), "no answer");
             return;
         }
-        Map<String, Long> retired = retiredBelow();
-        ImmutableList<PartName> useless = useless(inspected.contents().get(), retired);
-        cleaned.put(inspected.store(), retired);
-        if (useless.isEmpty()) {
-            busy.remove(inspected.store());
+        Map<String, Long> retiredBelow = retiredBelow();
+        ImmutableList<PartName> unusable = unusableParts(inspected.contents().get(), retiredBelow);
+        freedBelow.put(inspected.store(), retiredBelow);
+        if (unusable.isEmpty()) {
+            storesInProgress.remove(inspected.store());
             return;
         }
         long epoch = inspected.contents().get().epoch();
         context.perform(Decision.of("parts-freed")
                 .with("store", inspected.store())
                 .with("epoch", epoch)
-                .with("parts", useless.size())
-                .with("below", retired));
-        stores.configured().stream()
+                .with("parts", unusable.size())
+                .with("below", retiredBelow));
+        stores.configuredStores().stream()
                 .filter(store -> store.id().equals(inspected.store()))
-                .forEach(store -> context.perform(new StoreCall.FreeParts(store, epoch, useless)));
+                .forEach(store -> context.perform(new StoreCall.FreeParts(store, epoch, unusable)));
     }
 
-    /** A partial part doesn't tell its model, so it has to be older than what counts as useless for every model. */
-    private static ImmutableList<PartName> useless(StoreAnswer.Contents contents, Map<String, Long> retired) {
-        long below = retired.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    /**
+     * Returns the parts that can't be used any more. The model of a partial part is unknown, so its version must be
+     * below the limits of all models.
+     */
+    private static ImmutableList<PartName> unusableParts(StoreAnswer.Contents contents, Map<String, Long> retiredBelow) {
+        long below = retiredBelow.values().stream().mapToLong(Long::longValue).min().orElse(0);
         Stream<PartName> held = contents.held().stream()
-                .filter(part -> isOlder(part.salt(), retired.getOrDefault(part.model(), 0L)))
+                .filter(part -> isOlder(part.salt(), retiredBelow.getOrDefault(part.model(), 0L)))
                 .map(StoreAnswer.Change::name);
         Stream<PartName> partial = contents.partial().stream().filter(name -> isOlder(name.salt(), below));
         return Stream.concat(held, partial).collect(ImmutableList.toImmutableList());
     }
 
     private static boolean isOlder(String salt, long version) {
-        OptionalLong madeWith = CacheSalt.versionOf(salt);
-        return madeWith.isPresent() && madeWith.getAsLong() < version;
+        OptionalLong partVersion = CacheSalt.versionOf(salt);
+        return partVersion.isPresent() && partVersion.getAsLong() < version;
     }
 
     private void onFreed(StoreAnswer.Freed freed) {
         if (freed.done()) {
-            busy.remove(freed.store());
+            storesInProgress.remove(freed.store());
         } else {
-            cleaned.remove(freed.store());
-            leaveForLater(freed.store(), freed.detail());
+            freedBelow.remove(freed.store());
+            retryLater(freed.store(), freed.detail());
         }
     }
 
-    private void leaveForLater(StoreId store, String reason) {
+    private void retryLater(StoreId store, String reason) {
         context.perform(Decision.of("parts-not-freed").with("store", store).with("reason", reason));
-        context.after(AGAIN, () -> busy.remove(store));
+        context.after(RETRY_DELAY, () -> storesInProgress.remove(store));
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/StoreAnswer.java
+++ b/src/main/java/org/yuccagw/core/stores/StoreAnswer.java
@@ -6,49 +6,51 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.notice.EndpointNotice;
 
-/** What came of a {@link StoreCall}. */
+/** The outcome of a {@link StoreCall}. */
 public sealed interface StoreAnswer extends ControlEvent {
     StoreId store();
 
     /**
-     * Changes in order.
+     * The events since the previous call, in order.
      *
      * @param epoch differs after each restart of the store
-     * @param next number to ask from the next time
-     * @param gap whether events are missing before these
-     * @param clockMillis the endpoints' clock when the store answered
+     * @param next the event number to start the next call from
+     * @param eventsLost whether events before these are missing
+     * @param clockMillis the endpoints' clock in milliseconds when the store answered
      */
-    record Changes(StoreId store, long epoch, long next, boolean gap, long clockMillis, ImmutableList<Change> changes)
+    record Changes(StoreId store, long epoch, long next, boolean eventsLost, long clockMillis, ImmutableList<Change> changes)
             implements StoreAnswer {}
 
-    /** Everything that it holds whole. */
+    /** All parts that the store holds whole. */
     record Listed(StoreId store, long epoch, long next, ImmutableList<Change> held) implements StoreAnswer {}
 
-    /** What fills it; empty if it gave no answer. */
+    /** The contents of a store, or empty if it didn't answer. */
     record Inspected(StoreId store, Optional<Contents> contents) implements StoreAnswer {}
 
     /**
-     * What fills a store.
+     * The parts that occupy a store's capacity.
      *
      * @param held whole parts
-     * @param partial parts that are being written, or whose writing broke off; they take room until they are freed
+     * @param partial parts that are being written or whose write was interrupted; they occupy capacity until they are
+     *     freed
      */
     record Contents(long epoch, ImmutableList<Change> held, ImmutableList<PartName> partial) {}
 
-    /** Parts were freed, or not: then the store has restarted, or can't be reached. */
+    /** The outcome of freeing parts. Nothing was freed if the store has restarted or is unreachable. */
     record Freed(StoreId store, boolean done, String detail) implements StoreAnswer {}
 
-    /** The head of an answer says something of the holder; comes before the answer. */
+    /** A notice in the headers of an answer; reported before the answer itself. */
     record Noticed(StoreId store, EndpointNotice notice) implements StoreAnswer {}
 
-    /** No answer: it may be gone, or cut off from this entry. */
+    /** The call failed: the store may have terminated, or this entry can't reach it. */
     record Silent(StoreId store, String reason) implements StoreAnswer {}
 
     /**
-     * A part became whole there, or went away.
+     * A part became whole in a store, or was removed from it.
      *
-     * @param tokens that it holds of the part now
-     * @param model for which the part was computed
+     * @param held whether the store holds the part whole now
+     * @param tokens number of the part's tokens that the store holds now
+     * @param model the model for which the part was computed
      */
     record Change(boolean held, String salt, String part, int tokens, String model) {
         PartName name() {
--- a/src/main/java/org/yuccagw/core/stores/StoreCall.java
+++ b/src/main/java/org/yuccagw/core/stores/StoreCall.java
@@ -5,28 +5,28 @@
 import org.yuccagw.core.control.ControlAction;
 import org.yuccagw.core.deployment.CacheStore;
 
-/** What an entry asks of a cache store. */
+/** A call to a cache store. */
 public sealed interface StoreCall extends ControlAction {
     CacheStore store();
 
     /**
-     * Asks what changed; answered by {@link StoreAnswer.Changes}.
+     * Polls for events; answered by {@link StoreAnswer.Changes}.
      *
-     * @param since number of the next event, 0 for all that the store still knows
-     * @param longestWait how long the call may wait for an event
+     * @param since number of the next event, 0 for all events that the store still keeps
+     * @param longestWait how long the store may hold the call open until an event occurs
      */
     record AskChanges(CacheStore store, long since, Duration longestWait) implements StoreCall {}
 
-    /** Asks for whole and partial parts; answered by {@link StoreAnswer.Inspected}. */
+    /** Queries whole and partial parts; answered by {@link StoreAnswer.Inspected}. */
     record Inspect(CacheStore store) implements StoreCall {}
 
     /**
-     * Frees parts at once, whoever reads them; answered by {@link StoreAnswer.Freed}.
+     * Frees parts at once, even while they are being read; answered by {@link StoreAnswer.Freed}.
      *
-     * @param epoch the store's; after a restart nothing is freed
+     * @param epoch the epoch in which the parts were listed; a store that has restarted since frees nothing
      */
     record FreeParts(CacheStore store, long epoch, ImmutableList<PartName> parts) implements StoreCall {}
 
-    /** Asks for everything that it holds; answered by {@link StoreAnswer.Listed}. */
+    /** Queries all parts that the store holds whole; answered by {@link StoreAnswer.Listed}. */
     record AskList(CacheStore store) implements StoreCall {}
 }
--- a/src/main/java/org/yuccagw/core/stores/StoredParts.java
+++ b/src/main/java/org/yuccagw/core/stores/StoredParts.java
@@ -5,24 +5,25 @@
 import org.yuccagw.core.deployment.CacheStore;
 
 /**
- * What one store holds, as its events tell.
+ * The parts that one holder, a store or an engine, holds according to its events.
  *
- * <p>Knowledge is used only while it is fresh. Guards against a store that restarted empty and is being filled again: a
- * part that was whole before may be half written now, and a fetch would read what isn't there yet. An entry stops using
- * what it knows {@link StoresComponent#FRESH} after the last call that the store answered, and nobody saves to a store
- * whose restart was seen less than {@link StoresComponent#NEWBORN} ago, by when everybody has noticed it.
+ * <p>The contents are used only while they are fresh. Guards against a store that restarted empty and is being filled
+ * again: a part that was whole before may be half written now, and a fetch would read bytes that aren't there yet. An
+ * entry stops using the contents {@link StoresComponent#MAX_CONFIRMATION_AGE} after it sent the last call that the
+ * store answered. No entry saves to a store whose restart it observed less than {@link
+ * StoresComponent#SAVE_DELAY_AFTER_RESTART} ago; after that time all entries have noticed the restart.
  */
 final class StoredParts {
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NOT_CONFIRMED = Long.MIN_VALUE;
 
     private final CacheStore store;
     private final Map<String, Map<String, Integer>> tokensBySalt = new HashMap<>();
-    private final Map<String, Long> savesUnderWay = new HashMap<>();
+    private final Map<String, Long> pendingSaves = new HashMap<>();
     private long epoch;
-    private boolean epochKnown;
-    private long epochSeenNanos;
-    private long next;
-    private long confirmedNanos = NEVER;
+    private boolean isEpochKnown;
+    private long epochObservedNanos;
+    private long nextEvent;
+    private long confirmedNanos = NOT_CONFIRMED;
     private long clockMillis;
     private long clockReadNanos;
     private long heldTokens;
@@ -36,17 +37,17 @@
         return store;
     }
 
-    long next() {
-        return next;
+    long nextEvent() {
+        return nextEvent;
     }
 
-    /** Takes over the epoch of an answer; true if the store has restarted since the one before. */
-    boolean meet(long answeredEpoch, long nowNanos) {
-        boolean restarted = epochKnown && answeredEpoch != epoch;
-        if (!epochKnown || restarted) {
+    /** Records the epoch of an answer; returns whether the store has restarted since the previous answer. */
+    boolean updateEpoch(long answeredEpoch, long nowNanos) {
+        boolean restarted = isEpochKnown && answeredEpoch != epoch;
+        if (!isEpochKnown || restarted) {
             epoch = answeredEpoch;
-            epochKnown = true;
-            epochSeenNanos = nowNanos;
+            isEpochKnown = true;
+            epochObservedNanos = nowNanos;
             clear();
         }
         return restarted;
@@ -54,80 +55,83 @@
 
     void clear() {
         tokensBySalt.clear();
-        savesUnderWay.clear();
+        pendingSaves.clear();
         heldTokens = 0;
-        next = 0;
+        nextEvent = 0;
     }
 
-    void reach(long nextNumber) {
-        next = nextNumber;
+    void setNextEvent(long eventNumber) {
+        nextEvent = eventNumber;
     }
 
-    void take(StoreAnswer.Change change) {
+    void apply(StoreAnswer.Change change) {
         Map<String, Integer> parts = tokensBySalt.computeIfAbsent(change.salt(), salt -> new HashMap<>());
         Integer before = change.held() ? parts.put(change.part(), change.tokens()) : parts.remove(change.part());
         heldTokens += (change.held() ? change.tokens() : 0) - (before == null ? 0 : before);
-        savesUnderWay.remove(change.salt() + '/' + change.part());
+        pendingSaves.remove(change.salt() + '/' + change.part());
     }
 
-    /** The store answered a call that was sent at {@code sentNanos}. */
-    void confirm(long sentNanos) {
+    /** Records that the store answered a call that was sent at {@code sentNanos}. */
+    void markConfirmed(long sentNanos) {
         confirmedNanos = sentNanos;
     }
 
-    void doubt() {
-        confirmedNanos = NEVER;
+    void markUnconfirmed() {
+        confirmedNanos = NOT_CONFIRMED;
     }
 
     boolean isFresh(long nowNanos) {
-        return confirmedNanos != NEVER && nowNanos - confirmedNanos < StoresComponent.FRESH.toNanos();
+        return confirmedNanos != NOT_CONFIRMED && nowNanos - confirmedNanos < StoresComponent.MAX_CONFIRMATION_AGE.toNanos();
     }
 
-    /** Whether saves may go there. */
-    boolean takesSaves(long nowNanos) {
-        return isFresh(nowNanos) && nowNanos - epochSeenNanos > StoresComponent.NEWBORN.toNanos();
+    /** Returns whether parts may be saved to the store. */
+    boolean acceptsSaves(long nowNanos) {
+        return isFresh(nowNanos) && nowNanos - epochObservedNanos > StoresComponent.SAVE_DELAY_AFTER_RESTART.toNanos();
     }
 
-    void readClock(long millis, long nowNanos) {
+    void updateClock(long millis, long nowNanos) {
         clockMillis = millis;
         clockReadNanos = nowNanos;
     }
 
-    /** The endpoints' clock now, or a little less. */
-    long clockAt(long nowNanos) {
+    /**
+     * Returns the endpoints' clock in milliseconds, or a little less, since the answer that reported it took time to
+     * arrive.
+     */
+    long clockMillisAt(long nowNanos) {
         return clockMillis + (nowNanos - clockReadNanos) / 1_000_000;
     }
 
     /**
-     * Counts a transfer of this entry against its part of the store's link.
+     * Reserves this entry's share of the store's link for a transfer.
      *
-     * @param nanos time that the transfer takes on that part
+     * @param nanos duration of the transfer on that share
      */
-    void addTransfer(long nanos, long nowNanos) {
+    void reserveLink(long nanos, long nowNanos) {
         linkBusyUntilNanos = Math.max(linkBusyUntilNanos, nowNanos) + nanos;
     }
 
-    /** How long a transfer that is asked for now would wait for those that this entry asked for before. */
+    /** Returns how long a transfer requested now would wait for the transfers that this entry requested before. */
     long linkWaitNanos(long nowNanos) {
         return Math.max(0, linkBusyUntilNanos - nowNanos);
     }
 
-    /** Tokens of the part that lie there whole, 0 if none. */
+    /** Returns the number of the part's tokens that the store holds, 0 if none. */
     int tokens(String salt, String part) {
         return tokensBySalt.getOrDefault(salt, Map.of()).getOrDefault(part, 0);
     }
 
-    /** Notes a save that was asked for, so that it isn't asked for again at once. */
+    /** Records a requested save, so that it isn't requested again at once. */
     void beginSave(String salt, String part, long nowNanos) {
-        savesUnderWay.put(salt + '/' + part, nowNanos);
+        pendingSaves.put(salt + '/' + part, nowNanos);
     }
 
     boolean isSaving(String salt, String part, long nowNanos) {
-        Long since = savesUnderWay.get(salt + '/' + part);
-        return since != null && nowNanos - since < StoresComponent.SAVE_PATIENCE.toNanos();
+        Long since = pendingSaves.get(salt + '/' + part);
+        return since != null && nowNanos - since < StoresComponent.SAVE_TIMEOUT.toNanos();
     }
 
-    boolean hasRoom(int tokens) {
-        return heldTokens + tokens < store.capacityTokens() * StoresComponent.FILL_LIMIT;
+    boolean hasFreeCapacity(int tokens) {
+        return heldTokens + tokens < store.capacityTokens() * StoresComponent.MAX_FILL_RATIO;
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/StoresComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/StoresComponent.java
@@ -20,50 +20,54 @@
 import org.yuccagw.core.prompt.PromptShape;
 
 /**
- * Knows what all cache stores hold and plans what an endpoint fetches and saves for a prompt.
+ * Tracks the contents of all cache stores and plans what an endpoint fetches and saves for a prompt.
  *
- * <p>All shared parts of a prompt are fetched where a store holds them whole; an endpoint that still holds a part
- * itself doesn't fetch it. Parts that no store holds are saved once they are computed: short ones to stores that begin
- * a transfer quickly, long ones to those with room, and near ones before far ones. The last part of a prompt is never
- * saved, since no other prompt shares it.
+ * <p>All shared parts of a prompt are fetched if a store holds them whole; an endpoint that still holds a part itself
+ * doesn't fetch it. Parts that no store holds are saved once they are computed: short ones to stores that begin a
+ * transfer quickly, long ones to stores with free capacity, and to local stores before remote ones. The last part of a
+ * prompt is never saved, since no other prompt shares it.
  *
- * <p>Example: a notebook of 5,000 tokens is computed once, in 100 ms, and saved. When it returns after its engine has
- * evicted it, it is there again after 30 ms of transfer.
+ * <p>Example: a notebook of 5,000 tokens is computed once, in 100 ms, and saved. When it is sent again after its engine
+ * has evicted it, a transfer of 30 ms restores it.
  */
 public final class StoresComponent implements ControlComponent {
-    /** Twice the wait of a call for events: one lost call is borne. */
-    static final Duration FRESH = Duration.ofMillis(1800);
+    /** Twice the wait of a poll for events, so that one lost poll is tolerated. */
+    static final Duration MAX_CONFIRMATION_AGE = Duration.ofMillis(1800);
 
-    /** Longer than anyone uses what it knew of the store before its restart. */
-    static final Duration NEWBORN = Duration.ofMillis(2200);
+    /** Longer than {@link #MAX_CONFIRMATION_AGE}: no entry uses the contents from before the restart any more. */
+    static final Duration SAVE_DELAY_AFTER_RESTART = Duration.ofMillis(2200);
 
-    /** A save begins when its prompt is read, which may wait behind others, and its event comes some 100 ms late. */
-    static final Duration SAVE_PATIENCE = Duration.ofSeconds(3);
+    /**
+     * A save begins when its prompt is prefilled, which may wait behind others, and its event arrives some 100 ms late.
+     */
+    static final Duration SAVE_TIMEOUT = Duration.ofSeconds(3);
 
-    /** What was reserved and is not yet told by events must fit beside what is. */
-    static final double FILL_LIMIT = 0.9;
+    /** Leaves capacity for saves that were requested and aren't reported by events yet. */
+    static final double MAX_FILL_RATIO = 0.9;
 
-    static final Duration FETCH_TIME = Duration.ofMillis(1500);
+    static final Duration FETCH_TIMEOUT = Duration.ofMillis(1500);
 
-    /** Parts up to this size are short: reading them takes less than the quickest large store needs to begin. */
+    /**
+     * Up to this size the prefill of a part takes less time than the quickest large store needs to begin a transfer.
+     */
     private static final int SHORT_PART_TOKENS = 1_500;
 
     /**
-     * Longest predicted wait for a store's link with which a part is still fetched. Beyond that the link carries more
-     * than it can: fetches would end too late, and their parts would be computed after all, later still. On a day whose
-     * stores were asked for 0.8 of what they carry, 327 fetches ended too late.
+     * Longest predicted wait for a store's link with which a part is still fetched. Beyond it the link is overloaded:
+     * fetches would miss their deadline, and their parts would be recomputed after all, later still. With stores loaded
+     * to 0.8 of their links, 327 fetches missed their deadline.
      */
-    private static final Duration LONGEST_LINK_WAIT = Duration.ofMillis(700);
+    private static final Duration MAX_LINK_WAIT_FOR_FETCHES = Duration.ofMillis(700);
 
-    /** Saves go last: a part that isn't saved now is saved when it returns. */
-    private static final Duration LONGEST_LINK_WAIT_FOR_SAVES = Duration.ofMillis(250);
+    /** Saves yield to fetches: a part that isn't saved now is saved when it is sent again. */
+    private static final Duration MAX_LINK_WAIT_FOR_SAVES = Duration.ofMillis(250);
 
     private static final double BITS_PER_MEGABIT = 1e6;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** Transfers between failure domains take so many times as long, as the platform tells. */
-    private static final double FAR_TRANSFER = 2;
+    /** Transfers between failure domains take this many times as long, according to the platform. */
+    private static final double REMOTE_TRANSFER_FACTOR = 2;
 
     private final Supplier<List<EntryId>> entries;
     private final CacheHolderEvents events;
@@ -72,13 +76,13 @@
 
     private StoresComponent(Supplier<List<EntryId>> entries) {
         this.entries = entries;
-        this.events = CacheHolderEvents.of(entries, this::askForList, CacheHolderEvents.Calls.UNLIMITED);
+        this.events = CacheHolderEvents.of(entries, this::requestList, CacheHolderEvents.CallPolicy.UNLIMITED);
     }
 
     /**
-     * The knowledge of the stores of one entry.
+     * Creates the component of one entry.
      *
-     * @param entries those that share the stores' links, this one among them
+     * @param entries the entries that share the stores' links, this one among them
      */
     public static StoresComponent of(Supplier<List<EntryId>> entries) {
         return new StoresComponent(entries);
@@ -98,21 +102,24 @@
                     .mapToLong(EngineTraits::tokenBytes)
                     .max()
                     .orElse(0);
-            events.adopt(applied.deployment().stores());
+            events.setHolders(applied.deployment().stores());
         }
         events.handle(event);
     }
 
-    // ---- Plans.
+    // ---- Cache plans.
 
     /**
-     * How a part of a prompt would come to an endpoint.
+     * The transfer of one part of a prompt to an endpoint.
      *
-     * @param millis time of the transfer, without what others ask of the links
+     * @param millis transfer time in milliseconds, without contention on the links
      */
     public record Transfer(int tokens, double millis) {}
 
-    /** The transfer of a part to an endpoint; empty if no store holds the part whole, or its link is too busy. */
+    /**
+     * Returns the transfer of a part to an endpoint, or empty if no store holds the part whole or its link is
+     * overloaded.
+     */
     public Optional<Transfer> transfer(String salt, PromptPart part, FailureDomain domain, EngineTraits engine) {
         return source(salt, part, Optional.of(domain))
                 .map(stored ->
@@ -122,26 +129,26 @@
     private double transferMillis(CacheStore store, int tokens, FailureDomain domain, EngineTraits engine) {
         double bits = 8.0 * tokens * engine.tokenBytes();
         double megabits = Math.min(store.linkMegabits(), engine.linkMegabits());
-        double near = megabits > 0 ? bits / (megabits * BITS_PER_MEGABIT) * MILLIS_PER_SECOND : 0;
-        return store.firstMillis() + (store.domain().equals(domain) ? near : near * FAR_TRANSFER);
+        double localMillis = megabits > 0 ? bits / (megabits * BITS_PER_MEGABIT) * MILLIS_PER_SECOND : 0;
+        return store.firstMillis() + (store.domain().equals(domain) ? localMillis : localMillis * REMOTE_TRANSFER_FACTOR);
     }
 
     /**
-     * The plan for a prompt on an endpoint; notes the saves as under way.
+     * Plans the fetches and saves of a prompt on an endpoint, and records the saves as requested.
      *
-     * @param domain of the endpoint
-     * @param heldParts how many parts at the beginning of the prompt the endpoint holds; they are named as fetches
-     *     all the same, in case it drops them meanwhile, but don't count as transfers
-     * @param mayKeep whether parts that no store holds may be saved in a failure domain
+     * @param domain the endpoint's failure domain
+     * @param heldParts number of parts at the beginning of the prompt that the endpoint holds; they are planned as
+     *     fetches all the same, in case it evicts them meanwhile, but don't count as transfers
+     * @param maySave whether parts that no store holds may be saved in a failure domain
      */
     public Optional<CachePlan> plan(
-            PromptShape prompt, String salt, FailureDomain domain, int heldParts, Predicate<FailureDomain> mayKeep) {
-        if (events.all().isEmpty() || prompt.parts().size() < 2) {
+            PromptShape prompt, String salt, FailureDomain domain, int heldParts, Predicate<FailureDomain> maySave) {
+        if (events.holders().isEmpty() || prompt.parts().size() < 2) {
             return Optional.empty();
         }
         ImmutableList.Builder<Optional<CachePlan.Source>> fetches = ImmutableList.builder();
         ImmutableList.Builder<Optional<NetworkAddress>> saves = ImmutableList.builder();
-        long until = 0;
+        long deadlineMillis = 0;
         List<PromptPart> shared = prompt.sharedParts();
         for (int index = 0; index < shared.size(); index++) {
             PromptPart part = shared.get(index);
@@ -150,57 +157,58 @@
             fetches.add(source.map(
                     stored -> new CachePlan.Source(stored.store().address(), stored.tokens(salt, part.id()))));
             if (index >= heldParts) {
-                source.ifPresent(stored -> countTransfer(stored, part.tokens()));
+                source.ifPresent(stored -> reserveLink(stored, part.tokens()));
             }
-            Optional<StoredParts> target = target(salt, part, isSession, source, domain, mayKeep);
+            Optional<StoredParts> target = target(salt, part, isSession, source, domain, maySave);
             target.ifPresent(stored -> {
                 stored.beginSave(salt, part.id(), context.nowNanos());
-                countTransfer(stored, part.tokens());
+                reserveLink(stored, part.tokens());
             });
             saves.add(target.map(stored -> stored.store().address()));
             if (source.isPresent()) {
-                long end = source.get().clockAt(context.nowNanos()) + FETCH_TIME.toMillis();
-                until = until == 0 ? end : Math.min(until, end);
+                long end = source.get().clockMillisAt(context.nowNanos()) + FETCH_TIMEOUT.toMillis();
+                deadlineMillis = deadlineMillis == 0 ? end : Math.min(deadlineMillis, end);
             }
         }
         fetches.add(Optional.empty());
         saves.add(Optional.empty());
-        return Optional.of(new CachePlan(fetches.build(), saves.build(), until));
+        return Optional.of(new CachePlan(fetches.build(), saves.build(), deadlineMillis));
     }
 
-    /** Every entry uses its part of a link; requests come evenly to all. */
-    private void countTransfer(StoredParts stored, int tokens) {
+    /** Each entry uses an equal share of a link, since requests are spread evenly over the entries. */
+    private void reserveLink(StoredParts stored, int tokens) {
         double bits = 8.0 * tokens * tokenBytes;
         double seconds = bits
                 / (stored.store().linkMegabits()
                         * BITS_PER_MEGABIT
                         / Math.max(1, entries.get().size()));
         if (Double.isFinite(seconds)) {
-            stored.addTransfer((long) (seconds * NANOS_PER_SECOND), context.nowNanos());
+            stored.reserveLink((long) (seconds * NANOS_PER_SECOND), context.nowNanos());
         }
     }
 
-    private boolean hasLink(StoredParts stored, Duration longestWait) {
-        return stored.linkWaitNanos(context.nowNanos()) < longestWait.toNanos();
+    private boolean hasLinkCapacity(StoredParts stored, Duration maxWait) {
+        return stored.linkWaitNanos(context.nowNanos()) < maxWait.toNanos();
     }
 
     private Optional<StoredParts> source(String salt, PromptPart part, Optional<FailureDomain> domain) {
-        return events.all().stream()
+        return events.holders().stream()
                 .filter(stored -> stored.isFresh(context.nowNanos()))
                 .filter(stored -> stored.tokens(salt, part.id()) >= part.tokens())
-                .filter(stored -> hasLink(stored, LONGEST_LINK_WAIT))
+                .filter(stored -> hasLinkCapacity(stored, MAX_LINK_WAIT_FOR_FETCHES))
                 .min(Comparator.comparingDouble(stored -> distance(stored.store(), domain)));
     }
 
-    /** A near store first, then one that begins quickly. */
+    /** Orders local stores before remote ones, then those that begin a transfer quickly before slower ones. */
     private static double distance(CacheStore store, Optional<FailureDomain> domain) {
-        boolean far = domain.isPresent() && !store.domain().equals(domain.get());
-        return (far ? 1_000 : 0) + store.firstMillis();
+        boolean isRemote = domain.isPresent() && !store.domain().equals(domain.get());
+        return (isRemote ? 1_000 : 0) + store.firstMillis();
     }
 
     /**
-     * Where a part is saved. Parts that many sessions begin with are asked for all the time, so each failure domain
-     * gets a copy in a quick store; the part of one session gets one copy, in a quick store if it is short.
+     * Returns the store to save a part to. Parts that many sessions begin with are fetched all the time, so each
+     * failure domain gets a copy in a quick store; the part of one session gets one copy, in a quick store if the part
+     * is short.
      */
     private Optional<StoredParts> target(
             String salt,
@@ -208,47 +216,47 @@
             boolean isSession,
             Optional<StoredParts> source,
             FailureDomain domain,
-            Predicate<FailureDomain> mayKeep) {
-        boolean saving = events.all().stream().anyMatch(stored -> stored.isSaving(salt, part.id(), context.nowNanos()));
-        boolean heldSomewhere =
-                events.all().stream().anyMatch(stored -> stored.tokens(salt, part.id()) >= part.tokens());
-        if (saving || (isSession && heldSomewhere)) {
+            Predicate<FailureDomain> maySave) {
+        boolean isSaving = events.holders().stream().anyMatch(stored -> stored.isSaving(salt, part.id(), context.nowNanos()));
+        boolean isHeldAnywhere =
+                events.holders().stream().anyMatch(stored -> stored.tokens(salt, part.id()) >= part.tokens());
+        if (isSaving || (isSession && isHeldAnywhere)) {
             return Optional.empty();
         }
-        boolean quick = !isSession || part.tokens() <= SHORT_PART_TOKENS;
-        Optional<StoredParts> best = events.all().stream()
-                .filter(stored -> mayKeep.test(stored.store().domain()))
-                .filter(stored -> stored.takesSaves(context.nowNanos()) && stored.hasRoom(part.tokens()))
-                .filter(stored -> hasLink(stored, LONGEST_LINK_WAIT_FOR_SAVES))
+        boolean preferQuick = !isSession || part.tokens() <= SHORT_PART_TOKENS;
+        Optional<StoredParts> candidate = events.holders().stream()
+                .filter(stored -> maySave.test(stored.store().domain()))
+                .filter(stored -> stored.acceptsSaves(context.nowNanos()) && stored.hasFreeCapacity(part.tokens()))
+                .filter(stored -> hasLinkCapacity(stored, MAX_LINK_WAIT_FOR_SAVES))
                 .min(Comparator.comparingDouble(
-                                (StoredParts stored) -> quick ? stored.store().firstMillis() : isLarge(stored))
+                                (StoredParts stored) -> preferQuick ? stored.store().firstMillis() : sizeRank(stored))
                         .thenComparingDouble(stored -> distance(stored.store(), Optional.of(domain)))
                         .thenComparingInt(stored -> (stored.store().id().value() + part.id()).hashCode()));
-        boolean nearer = best.isPresent()
+        boolean isNearer = candidate.isPresent()
                 && source.isPresent()
-                && distance(best.get().store(), Optional.of(domain))
+                && distance(candidate.get().store(), Optional.of(domain))
                         < distance(source.get().store(), Optional.of(domain));
-        return source.isEmpty() || nearer ? best : Optional.empty();
+        return source.isEmpty() || isNearer ? candidate : Optional.empty();
     }
 
-    /** Stores of at least half the size of the largest one come first. */
-    private double isLarge(StoredParts stored) {
-        return stored.store().capacityTokens() >= largest() / 2.0 ? 0 : 1;
+    /** Orders stores of at least half the capacity of the largest one before the others. */
+    private double sizeRank(StoredParts stored) {
+        return stored.store().capacityTokens() >= maxCapacityTokens() / 2.0 ? 0 : 1;
     }
 
-    private double largest() {
-        return events.all().stream()
+    private double maxCapacityTokens() {
+        return events.holders().stream()
                 .mapToLong(stored -> stored.store().capacityTokens())
                 .max()
                 .orElse(0);
     }
 
-    /** The stores that are configured. */
-    ImmutableList<CacheStore> configured() {
-        return events.configured();
+    /** Returns the configured stores. */
+    ImmutableList<CacheStore> configuredStores() {
+        return events.configuredStores();
     }
 
-    private void askForList(StoredParts stored) {
+    private void requestList(StoredParts stored) {
         context.perform(new StoreCall.AskList(stored.store()));
     }
 }
--- a/src/main/java/org/yuccagw/core/stores/package-info.java
+++ b/src/main/java/org/yuccagw/core/stores/package-info.java
@@ -1,2 +1,4 @@
-/** What the cache stores hold, and from where a prompt's parts are fetched and to where they are saved. */
+/**
+ * Contents of the cache stores and engine caches, and the plans of which parts of a prompt are fetched and saved where.
+ */
 package org.yuccagw.core.stores;
--- a/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
@@ -48,104 +48,104 @@
                     new PromptPart("common", 2_500), new PromptPart("session", 5_000), new PromptPart("own", 200)));
 
     private ControlBench bench;
-    private BenchNode node;
+    private BenchNode entry;
     private EngineCachesComponent caches;
     private List<StoreAnswer.Change> pending;
-    private Set<String> asked;
-    private boolean gap;
+    private Set<String> polledHolders;
+    private boolean eventsLost;
 
     @BeforeMethod
-    public void startTheEntry() {
+    public void startEntry() {
         bench = ControlBench.of(3);
         pending = new ArrayList<>();
-        asked = new HashSet<>();
-        gap = false;
+        polledHolders = new HashSet<>();
+        eventsLost = false;
         bench.onAction(this::perform);
         caches = EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
-        node = bench.start("entry-1", FailureDomain.of("near"), List.of(caches));
-        node.offer(new ConfigurationComponent.Applied(deployment()));
-        node.offer(seen(engine("near", 1)));
+        entry = bench.start("entry-1", FailureDomain.of("near"), List.of(caches));
+        entry.offer(new ConfigurationComponent.Applied(deployment()));
+        entry.offer(listed(engine("near", 1)));
         bench.runFor(Duration.ofSeconds(1));
     }
 
     @Test
-    public void partsCountAsHeldFromTheBeginningOfThePromptOn() {
-        tell(true, "session", 5_000);
-        assertEquals(held(1), Optional.of(0));
-        tell(true, "common", 2_500);
-        assertEquals(held(1), Optional.of(2));
-        tell(false, "common", 0);
-        assertEquals(held(1), Optional.of(0));
+    public void onlyAnUnbrokenSequenceOfPartsFromTheBeginningOfThePromptCountsAsHeld() {
+        reportPart(true, "session", 5_000);
+        assertEquals(heldPartCount(1), Optional.of(0));
+        reportPart(true, "common", 2_500);
+        assertEquals(heldPartCount(1), Optional.of(2));
+        reportPart(false, "common", 0);
+        assertEquals(heldPartCount(1), Optional.of(0));
     }
 
     @Test
-    public void aPartOfWhichSomeBlocksWereDroppedIsNotHeld() {
-        tell(true, "common", 2_496);
-        assertEquals(held(1), Optional.of(0));
+    public void aPartWithEvictedBlocksDoesNotCountAsHeld() {
+        reportPart(true, "common", 2_496);
+        assertEquals(heldPartCount(1), Optional.of(0));
     }
 
-    // An engine starts again and has lost its memory. A prompt that is sent there as to one that holds its session is
-    // computed whole, behind a queue that was taken for short.
+    // An engine restarts and loses its memory. A prompt that is sent there because the engine held its session is
+    // computed whole, behind a queue whose length was underestimated.
     @Test
-    public void whatAnEarlierStartHeldIsForgotten() {
-        tell(true, "common", 2_500);
-        node.offer(seen(engine("near", 2)));
+    public void theContentsOfAnEngineAreDroppedWhenItRestarts() {
+        reportPart(true, "common", 2_500);
+        entry.offer(listed(engine("near", 2)));
         bench.runFor(Duration.ofSeconds(1));
-        assertEquals(held(2), Optional.of(0));
-        assertEquals(held(1), Optional.empty());
+        assertEquals(heldPartCount(2), Optional.of(0));
+        assertEquals(heldPartCount(1), Optional.empty());
     }
 
     @Test
-    public void afterLostEventsAnEngineCountsAsHoldingNothingUntilItTellsAnew() {
-        tell(true, "common", 2_500);
-        gap = true;
+    public void afterLostEventsAnEngineCountsAsHoldingNothingUntilItReportsParts() {
+        reportPart(true, "common", 2_500);
+        eventsLost = true;
         bench.runFor(Duration.ofSeconds(1));
-        gap = false;
+        eventsLost = false;
         bench.runFor(Duration.ofSeconds(1));
-        assertEquals(held(1), Optional.of(0));
-        tell(true, "common", 2_500);
-        assertEquals(held(1), Optional.of(1));
+        assertEquals(heldPartCount(1), Optional.of(0));
+        reportPart(true, "common", 2_500);
+        assertEquals(heldPartCount(1), Optional.of(1));
     }
 
     @Test
     public void anEngineThatIsNotListedAnyMoreIsNotFollowed() {
-        node.offer(new KeyValueRecordRemoved(
+        entry.offer(new KeyValueRecordRemoved(
                 new KeyValueRecord.Subject.EndpointSubject(EndpointId.of("engine-near")), 9, false));
         bench.runFor(Duration.ofSeconds(1));
-        assertEquals(held(1), Optional.empty());
+        assertEquals(heldPartCount(1), Optional.empty());
     }
 
-    // Every entry followed every engine, and the events were half of all bytes between failure domains.
+    // If every entry followed every engine, the events would be half of all bytes between failure domains.
     @Test
-    public void enginesOfOtherFailureDomainsAreNotFollowedWhileThereAreNearOnes() {
-        node.offer(seen(engine("far", 1)));
+    public void enginesOfOtherFailureDomainsAreNotFollowedWhileThereAreLocalOnes() {
+        entry.offer(listed(engine("far", 1)));
         bench.runFor(Duration.ofSeconds(1));
-        assertFalse(asked.contains("engine-far@1"), asked.toString());
+        assertFalse(polledHolders.contains("engine-far@1"), polledHolders.toString());
     }
 
-    private Optional<Integer> held(long startedMillis) {
+    private Optional<Integer> heldPartCount(long startedMillis) {
         return caches.heldParts(engine("near", startedMillis), PROMPT, SALT);
     }
 
-    private void tell(boolean held, String part, int tokens) {
+    private void reportPart(boolean held, String part, int tokens) {
         pending.add(new StoreAnswer.Change(held, SALT, part, tokens, "model"));
         bench.runFor(Duration.ofMillis(600));
     }
 
     private boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges ask) {
-            asked.add(ask.store().id().value());
+        if (action instanceof StoreCall.AskChanges poll) {
+            polledHolders.add(poll.store().id().value());
             bench.time().after(Duration.ofMillis(100), () -> {
                 ImmutableList<StoreAnswer.Change> changes = ImmutableList.copyOf(pending);
                 pending.clear();
-                input.offer(new StoreAnswer.Changes(ask.store().id(), 1, 1, gap, 1_000, changes));
+                input.offer(new StoreAnswer.Changes(poll.store().id(), 1, 1, eventsLost, 1_000, changes));
             });
             return true;
         }
         return action instanceof Decision;
     }
 
-    private static KeyValueRecordUpdated seen(ListedEndpoint endpoint) {
+    private static KeyValueRecordUpdated listed(ListedEndpoint endpoint) {
         return new KeyValueRecordUpdated(new KeyValueRecord.EndpointListed(endpoint), 1, false);
     }
 
--- a/src/test/java/org/yuccagw/core/stores/RetiredPartsComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/RetiredPartsComponentTest.java
@@ -33,120 +33,120 @@
 public class RetiredPartsComponentTest {
     private static final String MODEL = "model";
     private static final CacheStore MANAGED = store("managed", true);
-    private static final CacheStore SELF_CLEANING = store("self-cleaning", false);
+    private static final CacheStore SELF_EVICTING = store("self-cleaning", false);
 
     private ControlBench bench;
-    private BenchNode node;
+    private BenchNode entry;
     private boolean holdsDuty;
     private long lowestRunning;
     private boolean silent;
     private long epoch;
     private Set<PartName> whole;
     private Set<PartName> partial;
-    private List<StoreId> inspected;
+    private List<StoreId> inspectedStores;
 
     @BeforeMethod
-    public void startTheEntry() {
+    public void startEntry() {
         holdsDuty = true;
         lowestRunning = 1;
         silent = false;
         epoch = 1;
-        whole = names("s.1", "s.2", "w.audit.1");
-        partial = names("s.1", "s.2");
-        inspected = new ArrayList<>();
+        whole = partNames("s.1", "s.2", "w.audit.1");
+        partial = partNames("s.1", "s.2");
+        inspectedStores = new ArrayList<>();
         bench = ControlBench.of(3);
         bench.onAction(this::perform);
         NamedWeightsComponent named = NamedWeightsComponent.of(Duration.ofSeconds(8));
         StoresComponent stores = StoresComponent.of(List::of);
         RetiredPartsComponent retired =
                 RetiredPartsComponent.of(() -> holdsDuty, named, model -> OptionalLong.of(lowestRunning), stores);
-        node = bench.start("entry-1", List.of(named, stores, retired));
-        node.offer(new ConfigurationComponent.Applied(Deployment.of(
+        entry = bench.start("entry-1", List.of(named, stores, retired));
+        entry.offer(new ConfigurationComponent.Applied(Deployment.of(
                 1,
                 List.of(),
                 List.of(),
-                List.of(MANAGED, SELF_CLEANING),
+                List.of(MANAGED, SELF_EVICTING),
                 List.of(),
                 new RequestLimits(1, 1, Duration.ofSeconds(1), Duration.ofSeconds(1)))));
-        name(1);
+        nameWeights(1);
         bench.runFor(Duration.ofSeconds(1));
     }
 
-    // A store that drops nothing by itself keeps what was computed with weights of before. After a few namings nothing
-    // new finds room there, and prompts that return are computed again and again.
+    // A store that evicts nothing by itself keeps the parts of older weights. After a few namings no new part fits, and
+    // repeated prompts are recomputed every time.
     @Test
-    public void partsOfOlderWeightsAreFreedOnceNothingCanReadThem() {
-        name(2);
+    public void partsOfOlderWeightsAreFreedOnceNoRequestCanReadThem() {
+        nameWeights(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(1));
-        assertEquals(whole, names("s.2"));
-        assertEquals(partial, names("s.2"));
+        bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(1));
+        assertEquals(whole, partNames("s.2"));
+        assertEquals(partial, partNames("s.2"));
     }
 
-    // A fetch that was planned right before an entry heard of newer weights may still be under way; the engine would
-    // read what has been given to another part.
+    // A fetch that was planned right before an entry learned of newer weights may still be in progress; the engine
+    // would read space that now holds another part.
     @Test
-    public void nothingIsFreedWhileAFetchMayBeUnderWay() {
-        name(2);
+    public void nothingIsFreedWhileAFetchMayBeInProgress() {
+        nameWeights(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.minusMillis(100));
+        bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.minusMillis(100));
         assertEquals(whole.size(), 3);
     }
 
-    // One engine couldn't be given the newer weights. What it runs still reads what was computed with the older ones.
+    // One engine couldn't be updated to the newer weights. Requests that it runs still read parts of the older ones.
     @Test
     public void nothingIsFreedWhileAnEngineRunsOlderWeights() {
-        name(2);
-        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(5));
+        nameWeights(2);
+        bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(5));
         assertEquals(whole.size(), 3);
         lowestRunning = 2;
         bench.runFor(Duration.ofSeconds(1));
-        assertEquals(whole, names("s.2"));
+        assertEquals(whole, partNames("s.2"));
     }
 
     @Test
-    public void onlyTheHolderOfTheDutyFrees() {
+    public void onlyTheHolderOfTheDutyFreesParts() {
         holdsDuty = false;
-        name(2);
+        nameWeights(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(5));
-        assertTrue(inspected.isEmpty());
+        bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(5));
+        assertTrue(inspectedStores.isEmpty());
     }
 
     @Test
-    public void aStoreThatGaveNoAnswerIsAskedAgain() {
+    public void aStoreThatDidNotAnswerIsQueriedAgain() {
         silent = true;
-        name(2);
+        nameWeights(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(3));
+        bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(3));
         silent = false;
         bench.runFor(Duration.ofSeconds(3));
-        assertEquals(whole, names("s.2"));
+        assertEquals(whole, partNames("s.2"));
     }
 
     @Test
-    public void aStoreIsAskedOnceForEachNamingAndOneThatDropsByItselfNever() {
-        name(2);
+    public void aManagedStoreIsQueriedOncePerNamingAndASelfEvictingStoreNever() {
+        nameWeights(2);
         lowestRunning = 2;
-        bench.runFor(RetiredPartsComponent.RETIRED_AFTER.plusSeconds(20));
-        long before = inspected.size();
+        bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(20));
+        long inspectionsBefore = inspectedStores.size();
         bench.runFor(Duration.ofSeconds(20));
-        assertEquals(inspected.size(), before);
-        assertTrue(inspected.stream().allMatch(MANAGED.id()::equals));
+        assertEquals(inspectedStores.size(), inspectionsBefore);
+        assertTrue(inspectedStores.stream().allMatch(MANAGED.id()::equals));
     }
 
-    private void name(long version) {
-        node.offer(new KeyValueRecordUpdated(
+    private void nameWeights(long version) {
+        entry.offer(new KeyValueRecordUpdated(
                 new KeyValueRecord.WeightsNamed(new ModelWeights(MODEL, version)), version, false));
     }
 
-    private static Set<PartName> names(String... salts) {
+    private static Set<PartName> partNames(String... salts) {
         return Set.of(salts).stream().map(salt -> new PartName(salt, "part")).collect(Collectors.toSet());
     }
 
     private boolean perform(ControlAction action, ControlInput input) {
         if (action instanceof StoreCall.Inspect inspect) {
-            inspected.add(inspect.store().id());
+            inspectedStores.add(inspect.store().id());
             bench.time().after(Duration.ofMillis(10), () -> input.offer(contents(inspect.store())));
             return true;
         }
--- a/src/test/java/org/yuccagw/core/stores/StoresComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/StoresComponentTest.java
@@ -35,7 +35,7 @@
 import org.yuccagw.core.prompt.PromptShape;
 
 public class StoresComponentTest {
-    private static final FailureDomain HERE = FailureDomain.of("ulemiste");
+    private static final FailureDomain LOCAL_DOMAIN = FailureDomain.of("ulemiste");
     private static final CacheStore QUICK = store("quick", 1, 100_000, 0.5);
     private static final CacheStore LARGE = store("large", 2, 1_000_000, 6);
     private static final String SALT = "s.1";
@@ -47,12 +47,12 @@
                     new PromptPart("common", 2_500), new PromptPart("session", 5_000), new PromptPart("own", 200)));
 
     private ControlBench bench;
-    private BenchNode node;
+    private BenchNode entry;
     private StoresComponent stores;
     private Map<StoreId, FakeStore> fakes;
     private List<EntryId> entries;
 
-    /** What a store answers to the calls for its events. */
+    /** The state of a simulated store, which answers polls for its events. */
     private static final class FakeStore {
         private final List<StoreAnswer.Change> pending = new ArrayList<>();
         private long epoch = 1;
@@ -62,59 +62,59 @@
     }
 
     @BeforeMethod
-    public void startTheEntry() {
+    public void startEntry() {
         bench = ControlBench.of(3);
         entries = List.of(EntryId.of("entry-1"));
         fakes = new HashMap<>(Map.of(QUICK.id(), new FakeStore(), LARGE.id(), new FakeStore()));
         bench.onAction(this::perform);
         stores = StoresComponent.of(() -> entries);
-        node = bench.start("entry-1", List.of(stores));
-        node.offer(new ConfigurationComponent.Applied(deployment()));
+        entry = bench.start("entry-1", List.of(stores));
+        entry.offer(new ConfigurationComponent.Applied(deployment()));
         bench.runFor(Duration.ofSeconds(5));
     }
 
     @Test
-    public void whatNoStoreHoldsIsSavedOnceAndFetchedOnceItLiesThereWhole() {
-        CachePlan first = plan();
-        assertFalse(first.hasFetch());
+    public void aPartThatNoStoreHoldsIsSavedOnceAndFetchedOnceItIsWhole() {
+        CachePlan firstPlan = plan();
+        assertFalse(firstPlan.hasFetch());
         assertEquals(
-                first.saves(),
+                firstPlan.saves(),
                 ImmutableList.of(Optional.of(QUICK.address()), Optional.of(LARGE.address()), Optional.empty()));
         assertFalse(plan().hasSave());
-        tell(QUICK, "common", 2_500);
-        tell(LARGE, "session", 5_000);
-        CachePlan returned = plan();
+        reportPart(QUICK, "common", 2_500);
+        reportPart(LARGE, "session", 5_000);
+        CachePlan laterPlan = plan();
         assertEquals(
-                returned.fetches(),
+                laterPlan.fetches(),
                 ImmutableList.of(
                         Optional.of(new CachePlan.Source(QUICK.address(), 2_500)),
                         Optional.of(new CachePlan.Source(LARGE.address(), 5_000)),
                         Optional.empty()));
-        assertFalse(returned.hasSave());
+        assertFalse(laterPlan.hasSave());
     }
 
     @Test
-    public void partsUnderAnotherNameAreNotFetched() {
-        tell(LARGE, "session", 5_000);
-        assertFalse(stores.plan(PROMPT, "w.other.1", HERE, 0, domain -> true)
+    public void partsUnderAnotherSaltAreNotFetched() {
+        reportPart(LARGE, "session", 5_000);
+        assertFalse(stores.plan(PROMPT, "w.other.1", LOCAL_DOMAIN, 0, domain -> true)
                 .orElseThrow()
                 .hasFetch());
-        assertFalse(stores.plan(PROMPT, "s.2", HERE, 0, domain -> true)
+        assertFalse(stores.plan(PROMPT, "s.2", LOCAL_DOMAIN, 0, domain -> true)
                 .orElseThrow()
                 .hasFetch());
     }
 
     @Test
-    public void aPartOfWhichLessIsHeldThanThePromptNeedsIsNotFetched() {
-        tell(LARGE, "session", 4_000);
+    public void aPartThatIsHeldOnlyPartlyIsNotFetched() {
+        reportPart(LARGE, "session", 4_000);
         assertFalse(plan().hasFetch());
     }
 
-    // A store crashes and comes back empty; another entry's prompt begins to fill it again. Whoever fetches by what it
-    // knew from before reads a part that is half written.
+    // A store crashes and restarts empty; a prompt of another entry begins to fill it again. An entry that fetches by
+    // its state from before the crash reads a part that is half written.
     @Test
-    public void nothingIsFetchedFromAStoreWhoseCallBroke() {
-        tell(LARGE, "session", 5_000);
+    public void nothingIsFetchedFromAStoreWhoseCallFailed() {
+        reportPart(LARGE, "session", 5_000);
         assertTrue(plan().hasFetch());
         fakes.get(LARGE.id()).broken = true;
         bench.runFor(Duration.ofMillis(400));
@@ -122,54 +122,54 @@
     }
 
     @Test
-    public void nothingIsFetchedFromAStoreThatFellSilent() {
-        tell(LARGE, "session", 5_000);
+    public void nothingIsFetchedFromAStoreThatStopsAnswering() {
+        reportPart(LARGE, "session", 5_000);
         fakes.get(LARGE.id()).silent = true;
-        bench.runFor(StoresComponent.FRESH.plusMillis(200));
+        bench.runFor(StoresComponent.MAX_CONFIRMATION_AGE.plusMillis(200));
         assertFalse(plan().hasFetch());
     }
 
-    // It turns calls away since it has too many, and is called again after 0.3 s all the same.
+    // The store rejects calls because it has too many, and must not be called again after the usual 0.3 s.
     @Test
-    public void aStoreThatWantsNoCallsForAWhileGetsNone() {
+    public void aStoreThatRequestedABackOffIsNotCalledUntilItEnds() {
         FakeStore fake = fakes.get(LARGE.id());
         fake.broken = true;
-        node.offer(new StoreAnswer.Noticed(LARGE.id(), EndpointNotice.ofBackOff(Duration.ofSeconds(3))));
+        entry.offer(new StoreAnswer.Noticed(LARGE.id(), EndpointNotice.ofBackOff(Duration.ofSeconds(3))));
         bench.runFor(Duration.ofMillis(200));
-        int before = fake.calls;
+        int callsBefore = fake.calls;
         bench.runFor(Duration.ofMillis(2_700));
-        assertEquals(fake.calls, before);
+        assertEquals(fake.calls, callsBefore);
         fake.broken = false;
         bench.runFor(Duration.ofSeconds(1));
-        assertTrue(fake.calls > before);
+        assertTrue(fake.calls > callsBefore);
     }
 
     @Test
-    public void nothingIsSavedToARestartedStoreUntilEverybodyHasNoticed() {
-        tell(LARGE, "session", 5_000);
+    public void nothingIsSavedToARestartedStoreUntilAllEntriesHaveNoticed() {
+        reportPart(LARGE, "session", 5_000);
         fakes.get(LARGE.id()).epoch = 2;
         bench.runFor(Duration.ofMillis(500));
-        CachePlan soon = plan();
-        assertFalse(soon.hasFetch());
-        assertFalse(soon.saves().contains(Optional.of(LARGE.address())));
-        bench.runFor(StoresComponent.NEWBORN.plus(StoresComponent.SAVE_PATIENCE));
+        CachePlan planAfterRestart = plan();
+        assertFalse(planAfterRestart.hasFetch());
+        assertFalse(planAfterRestart.saves().contains(Optional.of(LARGE.address())));
+        bench.runFor(StoresComponent.SAVE_DELAY_AFTER_RESTART.plus(StoresComponent.SAVE_TIMEOUT));
         assertTrue(plan().saves().contains(Optional.of(LARGE.address())));
     }
 
     @Test
-    public void anEventThatTakesAPartAwayEndsItsUse() {
-        tell(LARGE, "session", 5_000);
+    public void aRemovedPartIsNotFetchedAnyMore() {
+        reportPart(LARGE, "session", 5_000);
         fakes.get(LARGE.id()).pending.add(new StoreAnswer.Change(false, SALT, "session", 0, "model"));
         bench.runFor(Duration.ofMillis(400));
         assertFalse(plan().hasFetch());
     }
 
-    // Sixty prompts a second ask a store for more than its link carries. Their fetches would end too late, one and all,
-    // and every prompt would be computed after its wait: on one played day 327 were.
+    // Sixty prompts a second need more from a store than its link carries. All their fetches would miss their deadline,
+    // and every prompt would be computed after waiting for its fetch, as happened to 327 prompts.
     @Test
-    public void noMoreIsAskedOfAStoreThanItsLinkCarries() {
-        tell(QUICK, "common", 2_500);
-        tell(LARGE, "session", 5_000);
+    public void fetchesFromAStoreAreLimitedByItsLink() {
+        reportPart(QUICK, "common", 2_500);
+        reportPart(LARGE, "session", 5_000);
         int fetched = 0;
         for (int index = 0; index < 100; index++) {
             fetched += plan().fetches().get(1).isPresent() ? 1 : 0;
@@ -180,66 +180,67 @@
         assertTrue(plan().fetches().get(1).isPresent());
     }
 
-    // Seventy entries follow stores that hold a dozen calls each. All the others would be turned away, three times a
-    // second for each store, and every such call is paid for.
+    // Seventy entries follow stores that hold a dozen calls each. All other calls would be rejected, three times a
+    // second for each store, and every rejected call costs something.
     @Test
-    public void ofManyEntriesOnlyAsManyFollowAStoreAsItHoldsCallsFor() {
+    public void onlyAsManyEntriesFollowAStoreAsItAcceptsCalls() {
         int followers = 0;
         for (int index = 1; index <= 70; index++) {
-            ControlBench alone = ControlBench.of(index);
+            ControlBench ownBench = ControlBench.of(index);
             List<StoreId> calls = new ArrayList<>();
-            alone.onAction((action, input) -> action instanceof StoreCall.AskChanges ask
-                    && calls.add(ask.store().id()));
+            ownBench.onAction((action, input) -> action instanceof StoreCall.AskChanges poll
+                    && calls.add(poll.store().id()));
             List<EntryId> all = java.util.stream.IntStream.rangeClosed(1, 70)
                     .mapToObj(number -> EntryId.of("entry-" + number))
                     .toList();
-            BenchNode one = alone.start("entry-" + index, List.of(StoresComponent.of(() -> all)));
-            one.offer(new ConfigurationComponent.Applied(deployment()));
-            alone.runFor(Duration.ofMillis(10));
+            BenchNode follower = ownBench.start("entry-" + index, List.of(StoresComponent.of(() -> all)));
+            follower.offer(new ConfigurationComponent.Applied(deployment()));
+            ownBench.runFor(Duration.ofMillis(10));
             followers += calls.contains(LARGE.id()) ? 1 : 0;
         }
         assertEquals(followers, LARGE.mostWatchers() - 2);
     }
 
-    // A prompt is bound to its region. What it leaves must not lie in a store elsewhere, however much room is there.
+    // A prompt is restricted to its region. Its parts must not be saved to a store elsewhere, whatever free capacity
+    // that store has.
     @Test
-    public void nothingIsSavedWhereItMayNotBeKept() {
-        CachePlan plan = stores.plan(PROMPT, SALT, HERE, 0, domain -> !domain.equals(HERE))
+    public void nothingIsSavedInAFailureDomainThatIsNotAllowed() {
+        CachePlan plan = stores.plan(PROMPT, SALT, LOCAL_DOMAIN, 0, domain -> !domain.equals(LOCAL_DOMAIN))
                 .orElseThrow();
         assertTrue(plan.saves().stream().allMatch(Optional::isEmpty), "saves: " + plan.saves());
     }
 
     private CachePlan plan() {
-        return stores.plan(PROMPT, SALT, HERE, 0, domain -> true).orElseThrow();
+        return stores.plan(PROMPT, SALT, LOCAL_DOMAIN, 0, domain -> true).orElseThrow();
     }
 
-    private void tell(CacheStore store, String part, int tokens) {
+    private void reportPart(CacheStore store, String part, int tokens) {
         fakes.get(store.id()).pending.add(new StoreAnswer.Change(true, SALT, part, tokens, "model"));
         bench.runFor(Duration.ofMillis(400));
     }
 
     private boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges ask) {
-            FakeStore fake = fakes.get(ask.store().id());
+        if (action instanceof StoreCall.AskChanges poll) {
+            FakeStore fake = fakes.get(poll.store().id());
             fake.calls++;
             if (!fake.silent) {
-                bench.time().after(Duration.ofMillis(100), () -> input.offer(answer(ask, fake)));
+                bench.time().after(Duration.ofMillis(100), () -> input.offer(answer(poll, fake)));
             }
             return true;
         }
         return action instanceof Decision;
     }
 
-    private static StoreAnswer answer(StoreCall.AskChanges ask, FakeStore fake) {
+    private static StoreAnswer answer(StoreCall.AskChanges poll, FakeStore fake) {
         if (fake.broken) {
-            return new StoreAnswer.Silent(ask.store().id(), "reset");
+            return new StoreAnswer.Silent(poll.store().id(), "reset");
         }
         ImmutableList<StoreAnswer.Change> changes = ImmutableList.copyOf(fake.pending);
         fake.pending.clear();
-        return new StoreAnswer.Changes(ask.store().id(), fake.epoch, 1, false, 1_000, changes);
+        return new StoreAnswer.Changes(poll.store().id(), fake.epoch, 1, false, 1_000, changes);
     }
 
-    /** A token takes 100 KB, so the session's part takes 0.1 s on the large store's link. */
+    /** Configures 100 KB per token, so a transfer of the session's part takes 0.1 s on the large store's link. */
     private static Deployment deployment() {
         EngineTraits engine = new EngineTraits(8, 50_000, 100_000, 1_000, 12, ImmutableList.of("model"));
         return Deployment.of(
@@ -254,6 +255,6 @@
 
     private static CacheStore store(String name, int port, long tokens, double firstMillis) {
         return new CacheStore(
-                StoreId.of(name), NetworkAddress.of("127.0.0.1", port), HERE, tokens, 40_000, 12, true, firstMillis);
+                StoreId.of(name), NetworkAddress.of("127.0.0.1", port), LOCAL_DOMAIN, tokens, 40_000, 12, true, firstMillis);
     }
 }
