--- a/src/main/java/org/yuccagw/core/duty/DutyComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/DutyComponent.java
@@ -23,47 +23,47 @@
 import org.yuccagw.core.port.KeyValueCall;
 
 /**
- * Decides which entry holds one duty: by one key under a lease, taken by compare-and-swap.
+ * Elects the entry that holds one duty: the holder owns one key, written by compare-and-swap under a lease.
  *
- * <p>While nobody holds the key, entries try in an order that a hash of their names gives, each a little after the one
- * before, so that usually a single one writes. The revision of the write is the holder's fencing number.
+ * <p>While the key is absent, entries try to write it in an order given by a hash of their names, each a little after
+ * the previous one, so that usually only one writes. The revision of the write is the holder's fencing number.
  *
- * <p>Some endpoints ignore fencing numbers. For them the holder stops at the end of its own lease, counted from before
- * the renewal was sent, or once it notices that it stood still; and a new holder waits {@code separation} before its
- * first order, since an order of the former one may have left at the last moment.
+ * <p>Some endpoints ignore fencing numbers. For their sake the holder stops at the end of its own lease, counted from
+ * before the renewal was sent, or as soon as it notices that its process was suspended. A new holder waits {@code
+ * separation} before its first order, since the previous holder may have sent an order at the last moment.
  *
  * <p>Invariant: {@link #mayAct} is true for one entry at most, up to the separation.
  */
 public final class DutyComponent implements ControlComponent {
     /**
-     * Short, because a dead holder's lease, the separation and the loading of all engines must fit between the naming
-     * of weights and the time when no request may begin on older ones, which is 8 s on the smallest deployments.
+     * Short, because the lease of a failed holder, the separation and the loading of all engines must fit between the
+     * naming of weights and the time when no request may begin on older ones, which is 8 s on the smallest deployments.
      */
-    private static final LeaseTimes LEASE = new LeaseTimes(
+    private static final LeaseTimes LEASE_TIMES = new LeaseTimes(
             Duration.ofMillis(1800), Duration.ofMillis(250), Duration.ofMillis(450), Duration.ofMillis(700));
 
-    private static final Duration FIRST_TRY = Duration.ofMillis(20);
-    private static final Duration BETWEEN_TRIES = Duration.ofMillis(250);
-    private static final Duration LOOK = Duration.ofMillis(300);
-    private static final Duration CLAIM_PATIENCE = Duration.ofMillis(1500);
+    private static final Duration FIRST_ATTEMPT_DELAY = Duration.ofMillis(20);
+    private static final Duration ATTEMPT_INTERVAL = Duration.ofMillis(250);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(300);
+    private static final Duration CLAIM_TIMEOUT = Duration.ofMillis(1500);
 
     private final String duty;
     private final KeyValueRecordCodec codec;
     private final Supplier<List<EntryId>> candidates;
     private final BooleanSupplier reachable;
     private final Duration separation;
-    private final PauseWatch pauses = new PauseWatch();
+    private final PauseWatch pauseWatch = new PauseWatch();
 
     private ControlContext context;
     private LeaseRenewer lease;
     private Optional<KeyValueRecord.DutyHeld> holder = Optional.empty();
     private boolean holding;
     private boolean claiming;
-    private boolean leaving;
+    private boolean stopping;
     private long claimNanos;
-    private long fence;
-    private long actsFromNanos;
-    private boolean turnPending;
+    private long fencingNumber;
+    private long actionsAllowedFromNanos;
+    private boolean attemptScheduled;
 
     private DutyComponent(
             String duty,
@@ -79,11 +79,13 @@
     }
 
     /**
-     * The duty of one name.
+     * Creates the component for one duty.
      *
+     * @param duty the name of the duty
+     * @param codec encodes the key and value in the key-value service
      * @param candidates entries that may hold it
      * @param reachable whether the key-value service answers this entry at present
-     * @param separation time between the last order of one holder and the first of the next
+     * @param separation time between the last order of one holder and the first order of the next
      */
     public static DutyComponent of(
             String duty,
@@ -94,17 +96,17 @@
         return new DutyComponent(duty, codec, candidates, reachable, separation);
     }
 
-    /** This entry holds the duty and may act from now on. */
-    public record DutyBegun(String duty, long fence) implements ControlEvent {}
+    /** Raised when this entry holds the duty and may act from now on. */
+    public record DutyStarted(String duty, long fence) implements ControlEvent {}
 
-    /** This entry does not hold the duty any more. */
+    /** Raised when this entry no longer holds the duty. */
     public record DutyEnded(String duty) implements ControlEvent {}
 
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        lease = LeaseRenewer.of(context, LEASE, this::claim, () -> stepDown("lease lapsed"));
-        context.after(LOOK, this::look);
+        lease = LeaseRenewer.of(context, LEASE_TIMES, this::claim, () -> stepDown("lease lapsed"));
+        context.after(CHECK_INTERVAL, this::check);
     }
 
     @Override
@@ -120,54 +122,54 @@
             if (holding) {
                 stepDown("key removed");
             }
-            tryInTurn();
+            scheduleAttempt();
         } else if (event instanceof StopRequested) {
-            leaving = true;
+            stopping = true;
             if (holding || claiming) {
                 stepDown("stopping");
             }
         }
     }
 
-    /** Whether this entry may act for the duty at this very moment. */
+    /** Returns whether this entry may act for the duty at this moment. */
     public boolean mayAct() {
-        if (pauses.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
+        if (pauseWatch.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
             stepDown("stood still");
             return false;
         }
-        return holding && lease.isHeldAt(context.nowNanos()) && context.nowNanos() - actsFromNanos >= 0;
+        return holding && lease.isHeldAt(context.nowNanos()) && context.nowNanos() - actionsAllowedFromNanos >= 0;
     }
 
-    /** The fencing number of this holder. */
-    public long fence() {
-        return fence;
+    /** Returns the fencing number of this holder. */
+    public long fencingNumber() {
+        return fencingNumber;
     }
 
-    /** When the belief in the lease ends, monotonic; for a last look just before an effect. */
-    public long heldUntilNanos() {
+    /** Returns the monotonic time at which this entry's lease expires, for a last check just before an effect. */
+    public long leaseExpiryNanos() {
         return lease.heldUntilNanos();
     }
 
-    private void look() {
-        context.after(LOOK, this::look);
-        if (pauses.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
+    private void check() {
+        context.after(CHECK_INTERVAL, this::check);
+        if (pauseWatch.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
             stepDown("stood still");
-        } else if (claiming && context.nowNanos() - claimNanos > CLAIM_PATIENCE.toNanos()) {
+        } else if (claiming && context.nowNanos() - claimNanos > CLAIM_TIMEOUT.toNanos()) {
             stepDown("claim came to nothing");
         } else if (holder.isEmpty() && !holding && !claiming) {
-            tryInTurn();
+            scheduleAttempt();
         }
     }
 
-    private void tryInTurn() {
-        if (leaving || turnPending || !reachable.getAsBoolean()) {
+    private void scheduleAttempt() {
+        if (stopping || attemptScheduled || !reachable.getAsBoolean()) {
             return;
         }
-        turnPending = true;
-        context.after(FIRST_TRY.plus(BETWEEN_TRIES.multipliedBy(ownRank())), () -> {
-            turnPending = false;
-            boolean wanted = holder.isEmpty() && !holding && !claiming && !leaving;
-            if (wanted) {
+        attemptScheduled = true;
+        context.after(FIRST_ATTEMPT_DELAY.plus(ATTEMPT_INTERVAL.multipliedBy(ownRank())), () -> {
+            attemptScheduled = false;
+            boolean stillVacant = holder.isEmpty() && !holding && !claiming && !stopping;
+            if (stillVacant) {
                 claiming = true;
                 claimNanos = context.nowNanos();
                 lease.want();
@@ -175,14 +177,14 @@
         });
     }
 
-    /** The place of this entry among the candidates, in an order that differs from duty to duty. */
+    /** Returns the rank of this entry among the candidates, in an order that differs between duties. */
     private int ownRank() {
         EntryId self = context.self().entry();
-        List<EntryId> ranked = candidates.get().stream()
+        List<EntryId> ranking = candidates.get().stream()
                 .sorted(Comparator.comparingInt(entry -> (duty + entry.value()).hashCode()))
                 .toList();
-        int rank = ranked.indexOf(self);
-        return rank < 0 ? ranked.size() : rank;
+        int rank = ranking.indexOf(self);
+        return rank < 0 ? ranking.size() : rank;
     }
 
     private void claim() {
@@ -198,7 +200,7 @@
                 answer -> onClaimed(own, answer));
     }
 
-    /** A lost answer changes nothing here: if the write took effect, the key itself says so a moment later. */
+    /** Ignores a lost answer: if the write took effect, the watch reports the key a moment later. */
     private void onClaimed(KeyValueRecord.DutyHeld own, KeyValueAnswer answer) {
         if (answer instanceof KeyValueAnswer.Written written) {
             onHeld(own, written.revision());
@@ -209,34 +211,34 @@
 
     private void onHeld(KeyValueRecord.DutyHeld held, long revision) {
         holder = Optional.of(held);
-        boolean own = held.holder().equals(context.self().entry())
+        boolean isOwn = held.holder().equals(context.self().entry())
                 && held.incarnation() == context.self().incarnation();
-        if (own && claiming && lease.handle().isPresent()) {
-            begin(revision);
-        } else if (!own && (holding || claiming)) {
+        if (isOwn && claiming && lease.handle().isPresent()) {
+            startHolding(revision);
+        } else if (!isOwn && (holding || claiming)) {
             stepDown("another entry holds it");
         }
     }
 
-    private void begin(long revision) {
+    private void startHolding(long revision) {
         claiming = false;
         holding = true;
-        fence = revision;
-        actsFromNanos = context.nowNanos() + separation.toNanos();
-        context.perform(Decision.of("duty-held").with("duty", duty).with("fence", fence));
+        fencingNumber = revision;
+        actionsAllowedFromNanos = context.nowNanos() + separation.toNanos();
+        context.perform(Decision.of("duty-held").with("duty", duty).with("fence", fencingNumber));
         context.after(separation, () -> {
-            if (holding && fence == revision) {
-                context.raise(new DutyBegun(duty, fence));
+            if (holding && fencingNumber == revision) {
+                context.raise(new DutyStarted(duty, fencingNumber));
             }
         });
     }
 
     private void stepDown(String reason) {
-        boolean held = holding;
+        boolean wasHolding = holding;
         holding = false;
         claiming = false;
         lease.giveBack();
-        if (held) {
+        if (wasHolding) {
             context.perform(Decision.of("duty-ended").with("duty", duty).with("reason", reason));
             context.raise(new DutyEnded(duty));
         }
--- a/src/main/java/org/yuccagw/core/duty/EngineCall.java
+++ b/src/main/java/org/yuccagw/core/duty/EngineCall.java
@@ -4,18 +4,19 @@
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.fleet.ModelWeights;
 
-/** What the holder of the weights duty asks of an engine. */
+/** A call of the holder of the weights duty to an engine. */
 public sealed interface EngineCall extends ControlAction {
     ListedEndpoint endpoint();
 
-    /** Asks for its state; answered by {@link EngineAnswer.Told}. */
+    /** Queries the engine's state; answered by {@link EngineAnswer.Told}. */
     record AskState(ListedEndpoint endpoint) implements EngineCall {}
 
     /**
-     * Orders it to load weights under its running requests; answered by {@link EngineAnswer.Ordered}.
+     * Orders the engine to load weights while its requests keep running; answered by {@link EngineAnswer.Ordered}.
      *
-     * @param expectedOrders the number of orders accepted so far that makes a late copy of this order void
-     * @param heldUntilNanos monotonic time after which the order must not leave any more
+     * @param expectedOrders the number of orders that the engine has accepted so far; it rejects a late copy of this
+     *     order, since the number is higher by then
+     * @param heldUntilNanos monotonic time from which on the order must not be sent any more
      */
     record OrderWeights(
             ListedEndpoint endpoint, ModelWeights weights, long fence, long expectedOrders, long heldUntilNanos)
--- a/src/main/java/org/yuccagw/core/duty/EngineState.java
+++ b/src/main/java/org/yuccagw/core/duty/EngineState.java
@@ -3,11 +3,12 @@
 import com.google.common.collect.ImmutableMap;
 
 /**
- * What an engine says of itself.
+ * The state that an engine reports.
  *
- * @param startedMillis Unix time of its start, in milliseconds; {@code EndpointIncarnation.UNTOLD} if it doesn't tell
- * @param loading whether it carries out an order
- * @param orders how many orders it has accepted since its start; an order that expects another number is refused
- * @param weights version by model
+ * @param startedMillis Unix time of its start, in milliseconds; {@code EndpointIncarnation.UNTOLD} if it doesn't report
+ *     it
+ * @param loading whether it is carrying out an order
+ * @param orders how many orders it has accepted since its start; it rejects an order that expects another number
+ * @param weights version of the weights by model
  */
 public record EngineState(long startedMillis, boolean loading, long orders, ImmutableMap<String, Long> weights) {}
--- a/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
@@ -27,95 +27,99 @@
 import org.yuccagw.core.ratelimit.InternalCalls;
 
 /**
- * Brings every engine to the newest named weights while this entry holds the duty.
+ * Updates every engine to the newest named weights while this entry holds the duty.
  *
- * <p>One engine goes through: ask its state, order, wait until it says that it runs the weights. A few engines of a
- * service load at once, because loading gets slower for all when too many do. They load under their running requests:
- * requests run for seconds, so letting them end first takes a third of the engines away for as long, just when every
- * prompt must be computed anew. Measured on a day with two namings: of what callers got in the ten seconds after them,
- * letting runs end first left 0.20 to 0.48; what runs on with newer weights loses about half of its own worth once.
+ * <p>For one engine: query its state, order it to load, and query again until it reports that it runs the weights. A
+ * few engines of a service load at once, because loading gets slower for all if too many do. They load while their
+ * requests keep running. Requests run for seconds, so letting them end first would make a third of the engines
+ * unavailable for as long, just when every prompt must be recomputed. In the ten seconds after two namings, letting
+ * requests end first left 0.20 to 0.48 of the value delivered to callers; a request that continues on newer weights
+ * loses about half of its own value, once.
  *
  * <p>An order without an answer may have been accepted, and may even be carried out seconds later, after newer ones. So
- * each order names the number of orders that the engine has accepted so far: the first one that it accepts makes every
- * other copy void. The state is asked anew before each order, never guessed.
+ * each order contains the number of orders that the engine has accepted so far: once the engine accepts one copy, it
+ * rejects every other. The state is queried again before each order, never assumed.
  *
  * <p>The cases of an answer to an order:
  *
  * <ol>
- *   <li>accepted: it loads; look at its state until it runs the weights
+ *   <li>accepted: the engine loads; its state is queried until it runs the weights
  *   <li>holds already: done
- *   <li>conflict: it loads something else or took a copy of ours; ask its state again
- *   <li>fenced: a newer holder exists; the lease will say so, do nothing more with this engine for a while
- *   <li>gone: the list will lose it
- *   <li>unknown or not sent: ask its state again
+ *   <li>conflict: the engine loads something else or accepted another copy of the order; its state is queried again
+ *   <li>fenced: a newer holder exists; the lease will report it, and this engine isn't called for a while
+ *   <li>gone: the engine will be removed from the list
+ *   <li>unknown or not sent: its state is queried again
  * </ol>
  */
 public final class WeightOrdersComponent implements ControlComponent {
     /**
-     * Part of the engines that load at once. Every prompt is computed anew on the newer weights, which takes all that
-     * the engines have; what is missing meanwhile becomes a queue that lasts for ten seconds.
+     * Ratio of the engines of a service that load at once. Every prompt is recomputed on the newer weights, which takes
+     * the engines' whole capacity; capacity that is missing meanwhile causes a queue that lasts for ten seconds.
      */
-    static final double LOADING_AT_ONCE = 0.14;
+    static final double LOADING_RATIO = 0.14;
 
     /**
-     * The most that load at once when time is short. The others carry everything meanwhile: on a played day with three
-     * of eight loading and three more that took nothing new, two engines got every prompt for two seconds, and half of
-     * the callers left.
+     * Upper limit of the ratio under a deadline. The other engines carry the whole load meanwhile: with three of eight
+     * engines loading and three more accepting no new requests, two engines received every prompt for two seconds, and
+     * half of the callers disconnected.
      */
-    static final double MOST_LOADING_AT_ONCE = 0.34;
+    static final double MAX_LOADING_RATIO = 0.34;
 
-    /** One engine after the other: 0.42 s of loading, and two questions about its state. */
-    static final Duration TIME_FOR_ONE = Duration.ofMillis(550);
+    /** Time to update one engine: 0.42 s of loading and two queries of its state. */
+    static final Duration UPDATE_TIME_PER_ENGINE = Duration.ofMillis(550);
 
-    /** Entries stop using older weights this long before they must; by then all engines should run the newer ones. */
+    /** Entries stop using older weights this long before the limit; by then all engines should run the newer ones. */
     public static final Duration READY_BEFORE_THE_LIMIT = Duration.ofMillis(1200);
 
     /**
-     * A registration that is written so long after weights were heard of tells of them or of what came after: two
-     * heartbeats and the way through the key-value service. Guards against a belief in weights that an engine doesn't
-     * run any more, since an order was carried out late: it would answer every request as sent in error, and get no
-     * order.
+     * A registration that is written this long after an engine reported its weights contains these weights or later
+     * ones: two heartbeats and the propagation through the key-value service. Guards against a state that names weights
+     * which an engine no longer runs, because an order was carried out late: the engine would reject every request as
+     * wrongly sent, and would get no order.
      */
     public static final Duration REGISTRATION_LAG = Duration.ofSeconds(3);
 
-    private static final Duration LOOK = Duration.ofMillis(100);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-    /** Loading takes 0.42 s, as the operators' sheet says. */
+    /** A little more than the loading time of 0.42 s that the operators specify. */
     private static final Duration LOADING_TIME = Duration.ofMillis(430);
 
-    private static final Duration STATE_AGAIN = Duration.ofMillis(120);
+    private static final Duration STATE_QUERY_INTERVAL = Duration.ofMillis(120);
 
     /**
-     * Requests that wait at an engine are turned away when it loads, and each of them spends from the retry budget: 282
-     * in six seconds where engines got requests up to their order. In this time those that wait have begun.
+     * An engine rejects its waiting requests when it loads, and each retry spends from the retry budget: 282 in six
+     * seconds when engines received requests until their order. Waiting requests begin to run within this time.
      */
-    private static final Duration NO_NEW_REQUESTS_BEFORE = Duration.ofMillis(400);
+    private static final Duration DRAIN_TIME = Duration.ofMillis(400);
 
-    private static final Duration AFTER_FENCED = Duration.ofSeconds(2);
+    private static final Duration DELAY_AFTER_FENCED = Duration.ofSeconds(2);
 
-    /** A state or order whose answer never comes must not keep an engine from being asked again. */
-    private static final Duration CALL_PATIENCE = Duration.ofMillis(1500);
+    /**
+     * Time after which a state query or an order counts as unanswered, so that a lost answer doesn't stop further
+     * calls.
+     */
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(1500);
 
     private final DutyComponent duty;
     private final NamedWeightsComponent named;
-    private final Runnable announce;
-    private final ToIntFunction<EndpointId> load;
+    private final Runnable broadcastLoading;
+    private final ToIntFunction<EndpointId> runningRequests;
     private final InternalCalls calls;
     private final Map<EndpointId, ListedEndpoint> engines = new LinkedHashMap<>();
     private final Map<EndpointId, Loading> inProgress = new LinkedHashMap<>();
-    private final Map<EndpointId, Heard> heard = new LinkedHashMap<>();
+    private final Map<EndpointId, ReportedWeights> reportedWeights = new LinkedHashMap<>();
     private ControlContext context;
 
-    /** Weights that an engine said itself that it runs. */
-    private record Heard(ModelWeights weights, long sinceNanos) {}
+    /** Weights that an engine itself reported to run. */
+    private record ReportedWeights(ModelWeights weights, long reportedNanos) {}
 
-    /** One engine on its way to newer weights. */
+    /** The update of one engine to newer weights. */
     private static final class Loading {
         private final ModelWeights weights;
         private boolean ordered;
         private long orderedNanos;
         private boolean answerAwaited;
-        private long nextNanos;
+        private long nextCallNanos;
 
         private Loading(ModelWeights weights) {
             this.weights = weights;
@@ -125,134 +129,134 @@
     private WeightOrdersComponent(
             DutyComponent duty,
             NamedWeightsComponent named,
-            Runnable announce,
-            ToIntFunction<EndpointId> load,
+            Runnable broadcastLoading,
+            ToIntFunction<EndpointId> runningRequests,
             InternalCalls calls) {
         this.duty = duty;
         this.named = named;
-        this.announce = announce;
-        this.load = load;
+        this.broadcastLoading = broadcastLoading;
+        this.runningRequests = runningRequests;
         this.calls = calls;
     }
 
     /**
-     * The orders of the holder of {@code duty}.
+     * Creates the component that sends the orders of the holder of {@code duty}.
      *
-     * @param named which weights are named
-     * @param announce tells the other entries at once which engines load
-     * @param load how many requests run on an engine; idle ones load first
-     * @param calls what engines bear of calls that are no requests
+     * @param named the named weights
+     * @param broadcastLoading sends the engines that are loading to the other entries at once
+     * @param runningRequests returns how many requests run on an engine; idle engines load first
+     * @param calls limits the internal calls to each engine
      */
     public static WeightOrdersComponent of(
             DutyComponent duty,
             NamedWeightsComponent named,
-            Runnable announce,
-            ToIntFunction<EndpointId> load,
+            Runnable broadcastLoading,
+            ToIntFunction<EndpointId> runningRequests,
             InternalCalls calls) {
-        return new WeightOrdersComponent(duty, named, announce, load, calls);
+        return new WeightOrdersComponent(duty, named, broadcastLoading, runningRequests, calls);
     }
 
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        context.after(LOOK, this::look);
+        context.after(CHECK_INTERVAL, this::check);
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof KeyValueRecordUpdated updated) {
-            take(updated.record());
+            onRecord(updated.record());
         } else if (event instanceof KeyValueRecordRemoved removed
                 && removed.subject() instanceof KeyValueRecord.Subject.EndpointSubject subject) {
-            forget(subject.endpoint());
-        } else if (event instanceof DutyComponent.DutyBegun || event instanceof NamedWeightsComponent.Named) {
-            proceed();
+            removeEngine(subject.endpoint());
+        } else if (event instanceof DutyComponent.DutyStarted || event instanceof NamedWeightsComponent.Named) {
+            advance();
         } else if (event instanceof DutyComponent.DutyEnded) {
             inProgress.clear();
-        } else if (event instanceof EngineAnswer.Told told) {
-            onState(told);
+        } else if (event instanceof EngineAnswer.Told reported) {
+            onState(reported);
         } else if (event instanceof EngineAnswer.Ordered ordered) {
             onOrdered(ordered);
         }
     }
 
-    /** Engines that load, or are about to, on orders of this entry. */
+    /** Returns the engines that load, or are about to load, on orders of this entry. */
     public ImmutableList<EndpointIncarnation> loading() {
         return inProgress.keySet().stream()
                 .map(id -> engines.get(id).incarnation())
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** The lowest version of the model that any listed engine runs; empty if none has the model. */
+    /** Returns the lowest version of the model that any listed engine runs, or empty if none has the model. */
     public OptionalLong lowestRunning(String model) {
         return engines.values().stream()
                 .filter(engine -> engine.weights().containsKey(model))
-                .mapToLong(engine -> runs(engine, model))
+                .mapToLong(engine -> runningVersion(engine, model))
                 .min();
     }
 
-    /** Engines whose registration still names older weights than they were heard to run. */
+    /** Returns the engines that reported newer weights than their registration contains. */
     public ImmutableList<PeerStatus.Weights> weightsHeard() {
-        return heard.entrySet().stream()
-                .map(each -> new PeerStatus.Weights(
-                        engines.get(each.getKey()).incarnation(),
-                        each.getValue().weights()))
+        return reportedWeights.entrySet().stream()
+                .map(entry -> new PeerStatus.Weights(
+                        engines.get(entry.getKey()).incarnation(),
+                        entry.getValue().weights()))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private void take(KeyValueRecord record) {
+    private void onRecord(KeyValueRecord record) {
         if (record instanceof KeyValueRecord.EndpointListed listed) {
             ListedEndpoint endpoint = listed.endpoint();
-            noteStart(endpoint);
+            dropEarlierIncarnation(endpoint);
             if (endpoint.leaving() || endpoint.weights().isEmpty()) {
-                forget(endpoint.id());
+                removeEngine(endpoint.id());
             } else {
                 engines.put(endpoint.id(), endpoint);
-                finishIfThere(endpoint.id(), endpoint);
+                finishIfRegistered(endpoint.id(), endpoint);
             }
-            proceed();
+            advance();
         }
     }
 
     /**
-     * Ends what was believed of an earlier start: it has accepted no orders yet, and what it was heard to run is void.
+     * Drops the state of an earlier incarnation: the new one has accepted no orders yet, and reported weights are void.
      */
-    private void noteStart(ListedEndpoint endpoint) {
-        ListedEndpoint known = engines.get(endpoint.id());
-        if (known != null && known.incarnation().isBefore(endpoint.incarnation())) {
-            forget(endpoint.id());
+    private void dropEarlierIncarnation(ListedEndpoint endpoint) {
+        ListedEndpoint previous = engines.get(endpoint.id());
+        if (previous != null && previous.incarnation().isBefore(endpoint.incarnation())) {
+            removeEngine(endpoint.id());
         }
     }
 
-    private void forget(EndpointId endpoint) {
+    private void removeEngine(EndpointId endpoint) {
         engines.remove(endpoint);
         inProgress.remove(endpoint);
-        heard.remove(endpoint);
+        reportedWeights.remove(endpoint);
     }
 
-    private void look() {
-        context.after(LOOK, this::look);
+    private void check() {
+        context.after(CHECK_INTERVAL, this::check);
         if (!inProgress.isEmpty() || needsOrders()) {
-            proceed();
+            advance();
         }
     }
 
     private boolean needsOrders() {
-        return engines.values().stream().anyMatch(engine -> missing(engine).isPresent());
+        return engines.values().stream().anyMatch(engine -> missingWeights(engine).isPresent());
     }
 
-    private void proceed() {
+    private void advance() {
         if (!duty.mayAct()) {
             return;
         }
-        begin();
-        for (Map.Entry<EndpointId, Loading> each : new ArrayList<>(inProgress.entrySet())) {
-            ListedEndpoint engine = engines.get(each.getKey());
-            Loading loading = each.getValue();
+        startNext();
+        for (Map.Entry<EndpointId, Loading> entry : new ArrayList<>(inProgress.entrySet())) {
+            ListedEndpoint engine = engines.get(entry.getKey());
+            Loading loading = entry.getValue();
             if (engine != null && isDue(engine, loading)) {
                 loading.answerAwaited = true;
-                loading.nextNanos =
-                        context.nowNanos() + notBefore(engine, CALL_PATIENCE).toNanos();
+                loading.nextCallNanos =
+                        context.nowNanos() + minDelay(engine, CALL_TIMEOUT).toNanos();
                 calls.made(engine.incarnation());
                 context.perform(new EngineCall.AskState(engine));
             }
@@ -260,46 +264,47 @@
     }
 
     private boolean isDue(ListedEndpoint engine, Loading loading) {
-        return context.nowNanos() - loading.nextNanos >= 0 && calls.mayMake(engine.incarnation());
+        return context.nowNanos() - loading.nextCallNanos >= 0 && calls.mayMake(engine.incarnation());
     }
 
-    /** Chooses the next engines, those with the fewest running requests first. */
-    private void begin() {
+    /** Starts the update of the next engines, those with the fewest running requests first. */
+    private void startNext() {
         List<ListedEndpoint> waiting = new ArrayList<>();
         for (ListedEndpoint engine : engines.values()) {
-            boolean begun = inProgress.containsKey(engine.id());
-            if (missing(engine).isPresent() && !begun && calls.mayMake(engine.incarnation())) {
+            boolean inProgressAlready = inProgress.containsKey(engine.id());
+            if (missingWeights(engine).isPresent() && !inProgressAlready && calls.mayMake(engine.incarnation())) {
                 waiting.add(engine);
             }
         }
-        waiting.sort(Comparator.comparingInt(engine -> load.applyAsInt(engine.id())));
-        boolean anyBegun = false;
+        waiting.sort(Comparator.comparingInt(engine -> runningRequests.applyAsInt(engine.id())));
+        boolean anyStarted = false;
         for (ListedEndpoint engine : waiting) {
-            if (hasRoom(engine)) {
-                Loading loading = new Loading(missing(engine).get());
-                Duration wait = isHurried(sameService(engine)) ? Duration.ZERO : NO_NEW_REQUESTS_BEFORE;
-                loading.nextNanos = context.nowNanos() + wait.toNanos();
+            if (hasFreeSlot(engine)) {
+                Loading loading = new Loading(missingWeights(engine).get());
+                Duration delay = isUrgent(sameService(engine)) ? Duration.ZERO : DRAIN_TIME;
+                loading.nextCallNanos = context.nowNanos() + delay.toNanos();
                 inProgress.put(engine.id(), loading);
-                anyBegun = true;
+                anyStarted = true;
             }
         }
-        if (anyBegun) {
-            announce.run();
+        if (anyStarted) {
+            broadcastLoading.run();
         }
     }
 
     /**
-     * While some engines load, as many others already take no new requests. Not in a hurry: then more load at once, and
-     * those that wait for their turn are needed for requests until it comes.
+     * Returns whether one more engine may start its update. While some engines load, as many others already accept no
+     * new requests. Under a deadline that isn't so: more engines load at once then, and those that wait to load are
+     * needed for requests until they do.
      */
-    private boolean hasRoom(ListedEndpoint engine) {
+    private boolean hasFreeSlot(ListedEndpoint engine) {
         List<ListedEndpoint> pool = sameService(engine);
-        long progressing = pool.stream().filter(this::hasTurn).count();
-        long atOnce = atOnce(pool);
-        if (isHurried(pool)) {
-            return progressing < atOnce;
+        long occupied = pool.stream().filter(this::occupiesSlot).count();
+        long concurrency = concurrency(pool);
+        if (isUrgent(pool)) {
+            return occupied < concurrency;
         }
-        return progressing - orderedIn(pool) < atOnce && progressing < 2 * atOnce;
+        return occupied - orderedIn(pool) < concurrency && occupied < 2 * concurrency;
     }
 
     private List<ListedEndpoint> sameService(ListedEndpoint engine) {
@@ -310,60 +315,64 @@
 
     private long orderedIn(List<ListedEndpoint> pool) {
         return pool.stream()
-                .filter(other -> hasTurn(other) && inProgress.get(other.id()).ordered)
+                .filter(other -> occupiesSlot(other) && inProgress.get(other.id()).ordered)
                 .count();
     }
 
-    /** Whether the engine is on its way; one that may not be called for long must not keep others from their turn. */
-    private boolean hasTurn(ListedEndpoint engine) {
+    /**
+     * Returns whether the engine counts against the limit. An engine that may not be called for long doesn't, so that
+     * it doesn't block others.
+     */
+    private boolean occupiesSlot(ListedEndpoint engine) {
         Loading loading = inProgress.get(engine.id());
         if (loading == null) {
             return false;
         }
-        boolean justOrdered = loading.ordered && context.nowNanos() - loading.orderedNanos < CALL_PATIENCE.toNanos();
+        boolean justOrdered = loading.ordered && context.nowNanos() - loading.orderedNanos < CALL_TIMEOUT.toNanos();
         return justOrdered || calls.mayMake(engine.incarnation());
     }
 
-    private Optional<ModelWeights> missing(ListedEndpoint engine) {
+    private Optional<ModelWeights> missingWeights(ListedEndpoint engine) {
         for (String model : engine.weights().keySet()) {
-            if (named.isBehind(model, runs(engine, model))) {
+            if (named.isBehind(model, runningVersion(engine, model))) {
                 return Optional.of(new ModelWeights(model, named.newest(model).getAsLong()));
             }
         }
         return Optional.empty();
     }
 
-    /** The version that the engine runs: registered, or heard of it where that is newer. */
-    private long runs(ListedEndpoint engine, String model) {
-        Heard ahead = heard.get(engine.id());
+    /** Returns the version that the engine runs: the registered one, or the reported one if that is newer. */
+    private long runningVersion(ListedEndpoint engine, String model) {
+        ReportedWeights reported = reportedWeights.get(engine.id());
         long registered = engine.versionOf(model).orElse(0);
-        boolean heardOfModel = ahead != null && ahead.weights().model().equals(model);
-        return heardOfModel ? Math.max(ahead.weights().version(), registered) : registered;
+        boolean isReportOfModel = reported != null && reported.weights().model().equals(model);
+        return isReportOfModel ? Math.max(reported.weights().version(), registered) : registered;
     }
 
-    private void onState(EngineAnswer.Told told) {
-        Loading loading = inProgress.get(told.endpoint().endpoint());
-        ListedEndpoint engine = engines.get(told.endpoint().endpoint());
-        boolean awaited = loading != null && engine != null && loading.answerAwaited;
-        if (!awaited || !engine.incarnation().equals(told.endpoint())) {
+    private void onState(EngineAnswer.Told reported) {
+        Loading loading = inProgress.get(reported.endpoint().endpoint());
+        ListedEndpoint engine = engines.get(reported.endpoint().endpoint());
+        boolean isExpected = loading != null && engine != null && loading.answerAwaited;
+        if (!isExpected || !engine.incarnation().equals(reported.endpoint())) {
             return;
         }
         loading.answerAwaited = false;
-        loading.nextNanos = context.nowNanos() + notBefore(engine, STATE_AGAIN).toNanos();
-        if (told.state().isEmpty()) {
+        loading.nextCallNanos = context.nowNanos() + minDelay(engine, STATE_QUERY_INTERVAL).toNanos();
+        if (reported.state().isEmpty()) {
             context.perform(Decision.of("engine-state-unknown").with("endpoint", engine.incarnation()));
             return;
         }
-        EngineState state = told.state().get();
+        EngineState state = reported.state().get();
         if (state.startedMillis() != engine.incarnation().startedMillis()) {
-            // It has started again and its registration is still to come; orders would count from another start.
+            // The engine has restarted and its new registration hasn't arrived yet; the number of accepted orders would
+            // belong to another incarnation.
             context.perform(Decision.of("engine-started-again")
                     .with("endpoint", engine.incarnation())
                     .with("started_ms", state.startedMillis()));
             return;
         }
-        long runs = state.weights().getOrDefault(loading.weights.model(), 0L);
-        if (runs >= loading.weights.version()) {
+        long runningVersion = state.weights().getOrDefault(loading.weights.model(), 0L);
+        if (runningVersion >= loading.weights.version()) {
             finish(engine, loading);
         } else if (!state.loading() && duty.mayAct() && mayOrder(engine, loading)) {
             order(engine, loading, state);
@@ -372,38 +381,38 @@
 
     private boolean mayOrder(ListedEndpoint engine, Loading loading) {
         List<ListedEndpoint> pool = sameService(engine);
-        boolean isTurn = loading.ordered || orderedIn(pool) < atOnce(pool);
-        return isTurn && calls.mayMake(engine.incarnation());
+        boolean hasSlot = loading.ordered || orderedIn(pool) < concurrency(pool);
+        return hasSlot && calls.mayMake(engine.incarnation());
     }
 
-    private static long calmAtOnce(List<ListedEndpoint> pool) {
-        return Math.max(1, Math.round(pool.size() * LOADING_AT_ONCE));
+    private static long normalConcurrency(List<ListedEndpoint> pool) {
+        return Math.max(1, Math.round(pool.size() * LOADING_RATIO));
     }
 
-    private long atOnce(List<ListedEndpoint> pool) {
-        long most = Math.max(1, Math.round(pool.size() * MOST_LOADING_AT_ONCE));
-        return Math.min(Math.max(calmAtOnce(pool), neededAtOnce(pool)), most);
+    private long concurrency(List<ListedEndpoint> pool) {
+        long maxConcurrency = Math.max(1, Math.round(pool.size() * MAX_LOADING_RATIO));
+        return Math.min(Math.max(normalConcurrency(pool), requiredConcurrency(pool)), maxConcurrency);
     }
 
-    private boolean isHurried(List<ListedEndpoint> pool) {
-        return neededAtOnce(pool) > calmAtOnce(pool);
+    private boolean isUrgent(List<ListedEndpoint> pool) {
+        return requiredConcurrency(pool) > normalConcurrency(pool);
     }
 
-    /** How many must load at once so that all of the pool run the newer weights in time. */
-    private long neededAtOnce(List<ListedEndpoint> pool) {
+    /** Returns how many engines must load at once for the whole pool to run the newer weights in time. */
+    private long requiredConcurrency(List<ListedEndpoint> pool) {
         List<ListedEndpoint> waiting =
-                pool.stream().filter(engine -> missing(engine).isPresent()).toList();
-        long leftNanos = waiting.stream().mapToLong(this::leftNanos).min().orElse(Long.MAX_VALUE);
-        if (leftNanos <= 0) {
+                pool.stream().filter(engine -> missingWeights(engine).isPresent()).toList();
+        long remainingNanos = waiting.stream().mapToLong(this::remainingNanos).min().orElse(Long.MAX_VALUE);
+        if (remainingNanos <= 0) {
             return waiting.size();
         }
-        return (long) Math.ceil((double) waiting.size() * TIME_FOR_ONE.toNanos() / leftNanos);
+        return (long) Math.ceil((double) waiting.size() * UPDATE_TIME_PER_ENGINE.toNanos() / remainingNanos);
     }
 
-    /** Time until no request may begin on the weights that the engine runs, less a margin. */
-    private long leftNanos(ListedEndpoint engine) {
+    /** Returns the time until no request may begin on the weights that the engine runs, less a margin. */
+    private long remainingNanos(ListedEndpoint engine) {
         Duration behind = engine.weights().keySet().stream()
-                .map(model -> named.behindFor(model, runs(engine, model), context.nowNanos()))
+                .map(model -> named.behindFor(model, runningVersion(engine, model), context.nowNanos()))
                 .max(Comparator.naturalOrder())
                 .orElse(Duration.ZERO);
         return named.oldWeightsAllowed()
@@ -415,78 +424,81 @@
     private void order(ListedEndpoint engine, Loading loading, EngineState state) {
         loading.ordered = true;
         loading.orderedNanos = context.nowNanos();
-        loading.nextNanos =
-                context.nowNanos() + notBefore(engine, CALL_PATIENCE).toNanos();
+        loading.nextCallNanos =
+                context.nowNanos() + minDelay(engine, CALL_TIMEOUT).toNanos();
         context.perform(Decision.of("weights-ordered")
                 .with("endpoint", engine.incarnation())
                 .with("model", loading.weights.model())
                 .with("version", loading.weights.version())
-                .with("fence", duty.fence())
+                .with("fence", duty.fencingNumber())
                 .with("expected_orders", state.orders()));
         calls.made(engine.incarnation());
         context.perform(new EngineCall.OrderWeights(
-                engine, loading.weights, duty.fence(), state.orders(), duty.heldUntilNanos()));
+                engine, loading.weights, duty.fencingNumber(), state.orders(), duty.leaseExpiryNanos()));
     }
 
     private void onOrdered(EngineAnswer.Ordered ordered) {
         Loading loading = inProgress.get(ordered.endpoint().endpoint());
         ListedEndpoint engine = engines.get(ordered.endpoint().endpoint());
-        boolean awaited = loading != null && engine != null && loading.ordered;
-        if (!awaited || !engine.incarnation().equals(ordered.endpoint())) {
+        boolean isExpected = loading != null && engine != null && loading.ordered;
+        if (!isExpected || !engine.incarnation().equals(ordered.endpoint())) {
             return;
         }
         context.perform(Decision.of("order-answered")
                 .with("endpoint", ordered.endpoint())
                 .with("outcome", ordered.outcome()));
-        Duration wait = notBefore(engine, waitAfter(ordered.outcome()));
-        loading.nextNanos = context.nowNanos() + wait.toNanos();
+        Duration delay = minDelay(engine, delayAfter(ordered.outcome()));
+        loading.nextCallNanos = context.nowNanos() + delay.toNanos();
         if (ordered.outcome() == EngineAnswer.Outcome.HOLDS_ALREADY) {
             finish(engine, loading);
         }
     }
 
-    /** The next call to an engine that asks for fewer waits for longer. */
-    private Duration notBefore(ListedEndpoint engine, Duration wait) {
-        return Comparators.max(wait, calls.apart(engine.incarnation()));
+    /** Returns the delay before the next call, which is longer for an engine that requested fewer internal calls. */
+    private Duration minDelay(ListedEndpoint engine, Duration delay) {
+        return Comparators.max(delay, calls.apart(engine.incarnation()));
     }
 
-    private static Duration waitAfter(EngineAnswer.Outcome outcome) {
+    private static Duration delayAfter(EngineAnswer.Outcome outcome) {
         return switch (outcome) {
-            case FENCED -> AFTER_FENCED;
+            case FENCED -> DELAY_AFTER_FENCED;
             case ACCEPTED -> LOADING_TIME;
-            default -> STATE_AGAIN;
+            default -> STATE_QUERY_INTERVAL;
         };
     }
 
-    private void finishIfThere(EndpointId id, ListedEndpoint listed) {
+    private void finishIfRegistered(EndpointId id, ListedEndpoint listed) {
         Loading loading = inProgress.get(id);
-        Heard ahead = heard.get(id);
-        if (ahead != null && (tells(listed, ahead.weights()) || isOutdated(ahead))) {
-            heard.remove(id);
+        ReportedWeights reported = reportedWeights.get(id);
+        if (reported != null && (namesVersion(listed, reported.weights()) || isOutdated(reported))) {
+            reportedWeights.remove(id);
         }
-        if (loading != null && tells(listed, loading.weights)) {
+        if (loading != null && namesVersion(listed, loading.weights)) {
             inProgress.remove(id);
-            announce.run();
+            broadcastLoading.run();
         }
     }
 
-    private static boolean tells(ListedEndpoint listed, ModelWeights weights) {
+    private static boolean namesVersion(ListedEndpoint listed, ModelWeights weights) {
         return listed.versionOf(weights.model()).orElse(0) >= weights.version();
     }
 
-    private boolean isOutdated(Heard ahead) {
-        return context.nowNanos() - ahead.sinceNanos() > REGISTRATION_LAG.toNanos();
+    private boolean isOutdated(ReportedWeights reported) {
+        return context.nowNanos() - reported.reportedNanos() > REGISTRATION_LAG.toNanos();
     }
 
-    /** The engine said itself that it runs the weights; its registration follows with its next heartbeat. */
+    /**
+     * Ends the update once the engine reports that it runs the weights; its registration follows with its next
+     * heartbeat.
+     */
     private void finish(ListedEndpoint engine, Loading loading) {
         inProgress.remove(engine.id());
-        heard.put(engine.id(), new Heard(loading.weights, context.nowNanos()));
+        reportedWeights.put(engine.id(), new ReportedWeights(loading.weights, context.nowNanos()));
         context.raise(new WeightsRun(engine.incarnation(), loading.weights));
-        announce.run();
-        proceed();
+        broadcastLoading.run();
+        advance();
     }
 
-    /** An engine was heard to run these weights. */
+    /** Raised when an engine reports that it runs these weights. */
     public record WeightsRun(EndpointIncarnation endpoint, ModelWeights weights) implements ControlEvent {}
 }
--- a/src/main/java/org/yuccagw/core/duty/package-info.java
+++ b/src/main/java/org/yuccagw/core/duty/package-info.java
@@ -1,2 +1,5 @@
-/** Work that one entry does for all: who holds it, and the orders that bring engines to named weights. */
+/**
+ * Duties that one entry performs for all: the election of the holder, and the orders that update engines to named
+ * weights.
+ */
 package org.yuccagw.core.duty;
