--- a/src/main/java/org/yuccagw/core/control/ActionHandler.java
+++ b/src/main/java/org/yuccagw/core/control/ActionHandler.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.control;
 
-/** Carries out the actions of one kind. Called on the control thread: it must not block. */
+/** Performs the actions of one kind. Called on the control thread, so it must not block. */
 @FunctionalInterface
 public interface ActionHandler {
     /**
-     * Carries the action out if it is of a kind that this handler knows.
+     * Performs the action if it is of a kind that this handler supports.
      *
-     * @param input where the outcome goes, as an event
-     * @return false if another handler must do it
+     * @param input receives the outcome as an event
+     * @return false if another handler must perform it
      */
     boolean perform(ControlAction action, ControlInput input);
 }
--- a/src/main/java/org/yuccagw/core/control/ControlAction.java
+++ b/src/main/java/org/yuccagw/core/control/ControlAction.java
@@ -1,4 +1,7 @@
 package org.yuccagw.core.control;
 
-/** An effect that the control core asks of its surroundings. Each kind is a record beside the part that asks it. */
+/**
+ * An effect that the control core requests from its environment. Each kind is a record beside the component that
+ * requests it.
+ */
 public interface ControlAction {}
--- a/src/main/java/org/yuccagw/core/control/ControlContext.java
+++ b/src/main/java/org/yuccagw/core/control/ControlContext.java
@@ -8,12 +8,18 @@
 import org.yuccagw.core.port.KeyValueCall;
 import org.yuccagw.core.port.PeerMessage;
 
-/** What a {@link ControlComponent} may use: time, chance and identity passed in, effects passed out. */
+/**
+ * The environment of a {@link ControlComponent}: time, random numbers and identity are passed in, effects are passed
+ * out.
+ */
 public interface ControlContext {
-    /** Monotonic time in nanoseconds, the same during one event. */
+    /** Returns the monotonic time in nanoseconds, which stays the same during one event. */
     long nowNanos();
 
-    /** Wall-clock time in milliseconds since 1970, the same during one event; for records, never for decisions. */
+    /**
+     * Returns the wall-clock time in milliseconds since 1970, which stays the same during one event. For records, never
+     * for decisions.
+     */
     long wallMillis();
 
     RandomGenerator random();
@@ -26,19 +32,19 @@
     /** Runs the task as an event of the core once {@code delay} has passed. */
     Timer after(Duration delay, Runnable task);
 
-    /** Sends to another entry, without any promise that it arrives. */
+    /** Sends a message to another entry, without any guarantee of delivery. */
     void send(EntryId to, PeerMessage message);
 
-    /** Asks an effect of the surroundings. */
+    /** Requests an effect from the environment. */
     void perform(ControlAction action);
 
-    /** Hands an event to all parts, after the present one. */
+    /** Dispatches an event to all components, after the current one. */
     void raise(ControlEvent event);
 
-    /** Gives an answer to a traffic thread; the runnable must not touch control state. */
+    /** Delivers an answer to a traffic thread; the runnable must not touch control state. */
     void reply(Runnable answer);
 
-    /** A task that waits for its time. */
+    /** A scheduled task. */
     interface Timer {
         void cancel();
     }
--- a/src/main/java/org/yuccagw/core/control/ControlCore.java
+++ b/src/main/java/org/yuccagw/core/control/ControlCore.java
@@ -15,26 +15,27 @@
 import org.yuccagw.core.port.PeerMessage;
 
 /**
- * The control state of one entry: event in, effects out, with no clock, thread, random source or input of its own.
+ * The control state of one entry: it maps events to effects, and has no clock, thread, random source or input of its
+ * own.
  *
  * <p>Invariants:
  *
  * <ul>
  *   <li>The same identity, random seed and sequence of (time, event) give the same sequence of effects.
- *   <li>Time never goes back: an earlier time than the last one counts as the last one.
- *   <li>Timers that are due run before the event that brought the time, in the order of due time, then of creation.
+ *   <li>Time never goes backwards: a time before the last one counts as the last one.
+ *   <li>Due timers run before the event that arrives with that time, ordered by due time, then by creation.
  *   <li>A continuation of a key-value call runs at most once; a second answer to the same call is ignored.
  * </ul>
  *
- * <p>Example: at time 0 a part asks {@code after(1 s, A)}; the event E arrives at 1.5 s. The core runs A, then E, then
- * everything that A and E raised, and returns the effects of all of them.
+ * <p>Example: at time 0 a component schedules {@code after(1 s, A)}; the event E arrives at 1.5 s. The core runs A,
+ * then E, then all events that A and E raised, and returns the effects of all of them.
  */
 public final class ControlCore {
     private final EntryIdentity self;
     private final RandomGenerator random;
     private final List<ControlComponent> components;
     private final Context context = new Context();
-    private final PriorityQueue<Waiting> timers = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final Map<Long, Consumer<KeyValueAnswer>> continuations = new HashMap<>();
     private final ArrayDeque<ControlEvent> raised = new ArrayDeque<>();
 
@@ -56,7 +57,7 @@
         return new ControlCore(self, random, components);
     }
 
-    /** What the core asks of its surroundings, in order. */
+    /** An effect that the core requests from its environment; effects are returned in order. */
     public sealed interface Effect {
         record Call(long number, KeyValueCall call) implements Effect {}
 
@@ -70,10 +71,10 @@
     /** The answer to the effect {@link Effect.Call} with the same number. */
     public record CallAnswered(long number, KeyValueAnswer answer) implements ControlEvent {}
 
-    /** Nothing happened but that time passed. */
+    /** Time has passed and nothing else happened. */
     public record Tick() implements ControlEvent {}
 
-    /** Starts all parts. */
+    /** Starts all components. */
     public List<Effect> start(long monotonicNanos, long wallClockMillis) {
         advance(monotonicNanos, wallClockMillis);
         for (ControlComponent component : components) {
@@ -84,7 +85,7 @@
         return takeEffects();
     }
 
-    /** Takes one event at a time in nanoseconds (monotonic) and milliseconds (wall clock). */
+    /** Handles one event at a time given in nanoseconds (monotonic) and milliseconds (wall clock). */
     public List<Effect> handle(ControlEvent event, long monotonicNanos, long wallClockMillis) {
         advance(monotonicNanos, wallClockMillis);
         runDueTimers();
@@ -94,18 +95,19 @@
     }
 
     /**
-     * The monotonic time in nanoseconds of the next timer, or {@link Long#MAX_VALUE} if none waits. Cancelled ones are
-     * dropped here: each would wake the control thread for nothing, once for every request that a lead places.
+     * Returns the monotonic time in nanoseconds at which the next timer is due, or {@link Long#MAX_VALUE} if there is
+     * none. Cancelled timers are removed here: each would wake the control thread for nothing, once for every request
+     * that a lead places.
      */
     public long nextTimerNanos() {
         while (!timers.isEmpty() && timers.peek().cancelled) {
             timers.poll();
         }
-        Waiting next = timers.peek();
+        ScheduledTask next = timers.peek();
         return next == null ? Long.MAX_VALUE : next.dueNanos;
     }
 
-    /** The present immutable state; a new object only if something happened since the last call. */
+    /** Returns the current immutable state; a new object only if an event was handled since the last call. */
     public ControlSnapshot snapshot() {
         if (changed) {
             ControlSnapshot.Builder builder = snapshot.toBuilder();
@@ -124,7 +126,7 @@
     }
 
     private void runDueTimers() {
-        for (Waiting next = timers.peek(); next != null && next.dueNanos <= nowNanos; next = timers.peek()) {
+        for (ScheduledTask next = timers.peek(); next != null && next.dueNanos <= nowNanos; next = timers.peek()) {
             timers.poll();
             if (!next.cancelled) {
                 next.task.run();
@@ -158,9 +160,9 @@
     }
 
     private List<Effect> takeEffects() {
-        List<Effect> taken = effects;
+        List<Effect> current = effects;
         effects = new ArrayList<>();
-        return taken;
+        return current;
     }
 
     private final class Context implements ControlContext {
@@ -193,9 +195,9 @@
 
         @Override
         public Timer after(Duration delay, Runnable task) {
-            Waiting waiting = new Waiting(nowNanos + Math.max(0, delay.toNanos()), nextTimer++, task);
-            timers.add(waiting);
-            return waiting;
+            ScheduledTask scheduled = new ScheduledTask(nowNanos + Math.max(0, delay.toNanos()), nextTimer++, task);
+            timers.add(scheduled);
+            return scheduled;
         }
 
         @Override
@@ -219,13 +221,13 @@
         }
     }
 
-    private static final class Waiting implements ControlContext.Timer, Comparable<Waiting> {
+    private static final class ScheduledTask implements ControlContext.Timer, Comparable<ScheduledTask> {
         private final long dueNanos;
         private final long order;
         private final Runnable task;
         private boolean cancelled;
 
-        private Waiting(long dueNanos, long order, Runnable task) {
+        private ScheduledTask(long dueNanos, long order, Runnable task) {
             this.dueNanos = dueNanos;
             this.order = order;
             this.task = task;
@@ -237,9 +239,9 @@
         }
 
         @Override
-        public int compareTo(Waiting other) {
-            int byTime = Long.compare(dueNanos, other.dueNanos);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+        public int compareTo(ScheduledTask other) {
+            int byDueTime = Long.compare(dueNanos, other.dueNanos);
+            return byDueTime != 0 ? byDueTime : Long.compare(order, other.order);
         }
     }
 }
--- a/src/main/java/org/yuccagw/core/control/ControlInput.java
+++ b/src/main/java/org/yuccagw/core/control/ControlInput.java
@@ -1,6 +1,6 @@
 package org.yuccagw.core.control;
 
-/** Where adapters and traffic threads put what they learn; safe for any thread. */
+/** The queue to which adapters and traffic threads add events. Safe for use by any thread. */
 @FunctionalInterface
 public interface ControlInput {
     void offer(ControlEvent event);
--- a/src/main/java/org/yuccagw/core/control/ControlSnapshot.java
+++ b/src/main/java/org/yuccagw/core/control/ControlSnapshot.java
@@ -6,52 +6,53 @@
 import java.util.Optional;
 
 /**
- * The control state that traffic threads read: immutable, one object for each part that has something to say.
+ * The control state that traffic threads read: immutable, with at most one object for each component.
  *
- * <p>Example: {@code snapshot.part(DirectorySnapshot.class)} is empty until membership contributed for the first time.
+ * <p>Example: {@code snapshot.part(DirectorySnapshot.class)} is empty until the membership component contributes for
+ * the first time.
  */
 public final class ControlSnapshot {
     private static final ControlSnapshot EMPTY = new ControlSnapshot(ImmutableClassToInstanceMap.of());
 
-    private final ImmutableClassToInstanceMap<Object> parts;
+    private final ImmutableClassToInstanceMap<Object> states;
 
-    private ControlSnapshot(ImmutableClassToInstanceMap<Object> parts) {
-        this.parts = parts;
+    private ControlSnapshot(ImmutableClassToInstanceMap<Object> states) {
+        this.states = states;
     }
 
     public static ControlSnapshot empty() {
         return EMPTY;
     }
 
-    /** The state that a part contributed under {@code type}. */
+    /** Returns the state that a component contributed under {@code type}. */
     public <T> Optional<T> part(Class<T> type) {
-        return Optional.ofNullable(parts.getInstance(type));
+        return Optional.ofNullable(states.getInstance(type));
     }
 
-    /** A state to which parts add. */
+    /** Returns a builder to which components add their state. */
     public static Builder builder() {
         return EMPTY.toBuilder();
     }
 
     Builder toBuilder() {
-        return new Builder(new HashMap<>(parts));
+        return new Builder(new HashMap<>(states));
     }
 
-    /** Collects what the parts contribute; a part that contributes nothing keeps its earlier state. */
+    /** Collects the states of the components; a component that contributes nothing keeps its earlier state. */
     public static final class Builder {
-        private final Map<Class<? extends Object>, Object> parts;
+        private final Map<Class<? extends Object>, Object> states;
 
-        private Builder(Map<Class<? extends Object>, Object> parts) {
-            this.parts = parts;
+        private Builder(Map<Class<? extends Object>, Object> states) {
+            this.states = states;
         }
 
         public <T> Builder put(Class<T> type, T state) {
-            parts.put(type, state);
+            states.put(type, state);
             return this;
         }
 
         public ControlSnapshot build() {
-            return new ControlSnapshot(ImmutableClassToInstanceMap.copyOf(parts));
+            return new ControlSnapshot(ImmutableClassToInstanceMap.copyOf(states));
         }
     }
 }
--- a/src/main/java/org/yuccagw/core/control/Decision.java
+++ b/src/main/java/org/yuccagw/core/control/Decision.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * One line of the decision log: what was decided, the inputs, and the outcome. It is the means to explain a failed
- * request afterwards, so each decision on a request carries the request's id.
+ * One line of the decision log: the decision, its inputs, and the outcome. Decisions explain a failed request
+ * afterwards, so each decision on a request contains the request's id.
  *
  * <p>Example: {@code Decision.of("endpoint-avoided").with("endpoint", id).with("failures", 3)}.
  */
@@ -17,7 +17,7 @@
         this.event = event;
     }
 
-    /** A line of one kind; the kind is a constant that readers of logs search for. */
+    /** Creates a line of one kind; the kind is a constant that operators search the log for. */
     public static Decision of(String event) {
         return new Decision(event);
     }
@@ -31,7 +31,7 @@
         return event;
     }
 
-    /** Name and value in the order in which they were added. */
+    /** Returns names and values in the order in which they were added. */
     public Map<String, String> fields() {
         return fields;
     }
--- a/src/main/java/org/yuccagw/core/control/EntryIdentity.java
+++ b/src/main/java/org/yuccagw/core/control/EntryIdentity.java
@@ -5,16 +5,16 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * Who this entry is.
+ * The identity of this entry.
  *
- * @param entry its name, from settings
- * @param incarnation higher for each start of the process, so that a restart under the same name is told apart;
+ * @param entry the entry's name, from settings
+ * @param incarnation higher for each start of the process, which distinguishes a restart under the same name;
  *     wall-clock milliseconds of the start
  * @param domain the failure domain, from settings
  * @param callerAddress where callers connect
  * @param peerAddress where other entries connect
  * @param adminAddress where operators connect
- * @param capacity what its VM can carry, in hundredths of a processor core
+ * @param capacity the processing capacity of its VM, in hundredths of a processor core
  */
 public record EntryIdentity(
         EntryId entry,
@@ -24,10 +24,10 @@
         NetworkAddress peerAddress,
         NetworkAddress adminAddress,
         int capacity) {
-    /** One whole core: what a VM counts as whose settings don't tell. */
+    /** One processor core: the capacity of a VM whose settings contain none. */
     public static final int USUAL_CAPACITY = 100;
 
-    /** An entry on a VM of the usual capacity. */
+    /** Creates the identity of an entry on a VM of the default capacity. */
     public EntryIdentity(
             EntryId entry,
             long incarnation,
--- a/src/main/java/org/yuccagw/core/control/PeerReceived.java
+++ b/src/main/java/org/yuccagw/core/control/PeerReceived.java
@@ -3,5 +3,5 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.port.PeerMessage;
 
-/** A message of another entry arrived. */
+/** Raised when a message from another entry arrives. */
 public record PeerReceived(EntryId from, PeerMessage message) implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/control/package-info.java
+++ b/src/main/java/org/yuccagw/core/control/package-info.java
@@ -1,2 +1,2 @@
-/** The deterministic control core: its parts, what they may use, and the snapshot that traffic threads read. */
+/** The deterministic control core: its components, their environment, and the snapshot that traffic threads read. */
 package org.yuccagw.core.control;
--- a/src/main/java/org/yuccagw/core/deployment/CacheStore.java
+++ b/src/main/java/org/yuccagw/core/deployment/CacheStore.java
@@ -5,13 +5,13 @@
 import org.yuccagw.core.id.StoreId;
 
 /**
- * A store that keeps cache parts for model engines.
+ * A store that keeps cached parts of prompts for model engines.
  *
- * @param capacityTokens tokens that it has room for
- * @param linkMegabits megabits a second that it moves
- * @param mostWatchers calls for its events that it holds at once
- * @param managed whether it drops nothing by itself
- * @param firstMillis wait before each transfer, in milliseconds
+ * @param capacityTokens capacity in tokens
+ * @param linkMegabits bandwidth of its link in megabits per second
+ * @param mostWatchers maximum number of waiting calls for its events at once
+ * @param managed whether the store evicts nothing by itself
+ * @param firstMillis latency before each transfer begins, in milliseconds
  */
 public record CacheStore(
         StoreId id,
--- a/src/main/java/org/yuccagw/core/deployment/ColdTraits.java
+++ b/src/main/java/org/yuccagw/core/deployment/ColdTraits.java
@@ -3,14 +3,15 @@
 import java.time.Duration;
 
 /**
- * What the endpoints of a service bear while they are cold: for some time after a start, or when they have lost what
- * makes them fast.
+ * Limits of the endpoints of a service while they are cold: for some time after a start, or after they have lost the
+ * state that makes them fast, such as a cache.
  *
  * @param lasts how long an endpoint stays cold
- * @param perSecond requests a second that a cold endpoint bears; well above that it ends. 0 for any number
+ * @param perSecond requests per second that a cold endpoint can handle; a rate well above it terminates the endpoint. 0
+ *     for no limit
  */
 public record ColdTraits(Duration lasts, double perSecond) {
-    /** Endpoints that are never cold. */
+    /** The limits of endpoints that are never cold. */
     public static final ColdTraits NEVER_COLD = new ColdTraits(Duration.ZERO, 0);
 
     public boolean isBounded() {
--- a/src/main/java/org/yuccagw/core/deployment/Deployment.java
+++ b/src/main/java/org/yuccagw/core/deployment/Deployment.java
@@ -16,10 +16,10 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * One version of everything that operators configured, with the look-ups that each request needs.
+ * One version of the operators' configuration, with the look-ups that each request needs.
  *
- * <p>A request belongs to the route of its host with the longest prefix that its path begins with. The routes of a host
- * are kept longest prefix first, so the first that fits is the one.
+ * <p>A request belongs to the route of its host that has the longest matching path prefix. The routes of a host are
+ * sorted by descending length of their prefix, so the first match is the right one.
  *
  * <p>Example: with routes {@code /a/} and {@code /a/b/}, the path {@code /a/b/c} belongs to the second, {@code /a/x} to
  * the first, and {@code /b/} to none.
@@ -67,24 +67,24 @@
         return new Deployment(version, routes, services, stores, workspaces, limits);
     }
 
-    /** Higher for each change by operators. */
+    /** Returns the version, which is higher for each change by operators. */
     public long version() {
         return version;
     }
 
     /**
-     * The route of a request.
+     * Returns the route of a request.
      *
-     * @param host as the caller wrote it, with or without a port
+     * @param host as the caller sent it, with or without a port
      */
     public Optional<Route> route(String host, String path) {
-        ImmutableList<Route> routes = routesByHost.getOrDefault(nameOf(host), ImmutableList.of());
+        ImmutableList<Route> routes = routesByHost.getOrDefault(hostName(host), ImmutableList.of());
         return routes.stream()
                 .filter(route -> path.startsWith(route.pathPrefix()))
                 .findFirst();
     }
 
-    /** The route of this name. */
+    /** Returns the route with this name. */
     public Optional<Route> routeNamed(String name) {
         return Optional.ofNullable(routesByName.get(name));
     }
@@ -93,7 +93,7 @@
         return Optional.ofNullable(workspacesById.get(id));
     }
 
-    /** Whether callers must show a key, but on open routes. */
+    /** Returns whether callers must send a key, except on open routes. */
     public boolean keysNeeded() {
         return keysNeeded;
     }
@@ -106,7 +106,10 @@
         return Optional.ofNullable(services.get(name));
     }
 
-    /** The shortest time within which first bytes of streams of the service are wanted; empty if it has none. */
+    /**
+     * Returns the shortest target time to the first byte over the streaming routes of the service, or empty if it has
+     * none.
+     */
     public Optional<Duration> shortestTarget(ServiceName service) {
         return Optional.ofNullable(shortestTargets.get(service));
     }
@@ -127,47 +130,48 @@
         return routesByHost.values().stream().mapToInt(List::size).sum();
     }
 
-    private static String nameOf(String host) {
+    private static String hostName(String host) {
         int colon = host.lastIndexOf(':');
         String name = colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host;
         return name.toLowerCase(Locale.ROOT);
     }
 
     private static ImmutableMap<String, ImmutableList<Route>> byHost(List<Route> routes) {
-        Map<String, List<Route>> grouped = new LinkedHashMap<>();
+        Map<String, List<Route>> routeGroups = new LinkedHashMap<>();
         for (Route route : routes) {
-            grouped.computeIfAbsent(nameOf(route.host()), host -> new ArrayList<>())
+            routeGroups
+                    .computeIfAbsent(hostName(route.host()), host -> new ArrayList<>())
                     .add(route);
         }
         ImmutableMap.Builder<String, ImmutableList<Route>> sorted = ImmutableMap.builder();
         Comparator<Route> longestFirst = Comparator.comparingInt(
                         (Route route) -> route.pathPrefix().length())
                 .reversed();
-        grouped.forEach((host, group) -> sorted.put(host, ImmutableList.sortedCopyOf(longestFirst, group)));
+        routeGroups.forEach((host, group) -> sorted.put(host, ImmutableList.sortedCopyOf(longestFirst, group)));
         return sorted.buildOrThrow();
     }
 
     private static ImmutableMap<ServiceName, Duration> shortestTargets(List<Route> routes) {
-        Map<ServiceName, Duration> shortest = new LinkedHashMap<>();
+        Map<ServiceName, Duration> targets = new LinkedHashMap<>();
         for (Route route : routes) {
             if (route.streamed()) {
-                route.shares().forEach(share -> shortest.merge(share.service(), route.target(), Comparators::min));
+                route.shares().forEach(share -> targets.merge(share.service(), route.target(), Comparators::min));
             }
         }
-        return ImmutableMap.copyOf(shortest);
+        return ImmutableMap.copyOf(targets);
     }
 
     private static ImmutableMap<ServiceName, BackEndService> byName(List<BackEndService> services) {
-        Map<ServiceName, BackEndService> named = new LinkedHashMap<>();
-        services.forEach(service -> named.put(service.name(), service));
-        return ImmutableMap.copyOf(named);
+        Map<ServiceName, BackEndService> servicesByName = new LinkedHashMap<>();
+        services.forEach(service -> servicesByName.put(service.name(), service));
+        return ImmutableMap.copyOf(servicesByName);
     }
 
     private static ImmutableMap<String, WorkspaceAccess> byKey(List<WorkspaceAccess> workspaces) {
-        Map<String, WorkspaceAccess> keyed = new HashMap<>();
+        Map<String, WorkspaceAccess> accessByKey = new HashMap<>();
         for (WorkspaceAccess workspace : workspaces) {
-            workspace.keys().forEach(key -> keyed.put(key, workspace));
+            workspace.keys().forEach(key -> accessByKey.put(key, workspace));
         }
-        return ImmutableMap.copyOf(keyed);
+        return ImmutableMap.copyOf(accessByKey);
     }
 }
--- a/src/main/java/org/yuccagw/core/deployment/EngineTraits.java
+++ b/src/main/java/org/yuccagw/core/deployment/EngineTraits.java
@@ -3,13 +3,13 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * What the operator tells of the model engines of a service.
+ * The configured properties of the model engines of a service.
  *
- * @param slots requests that one engine runs at once
- * @param memoryTokens tokens of running requests and cached parts that one engine holds
+ * @param slots maximum number of requests that one engine runs at once
+ * @param memoryTokens tokens of running requests and cached parts that fit into one engine's memory
  * @param tokenBytes bytes of cache memory for one token
- * @param linkMegabits megabits a second that an engine moves cache memory with
- * @param mostWatchers calls for its cache events that one engine holds at once
+ * @param linkMegabits bandwidth in megabits per second at which an engine transfers cache memory
+ * @param mostWatchers maximum number of waiting calls for the cache events of one engine at once
  * @param models names of the models that the engines run
  */
 public record EngineTraits(
--- a/src/main/java/org/yuccagw/core/deployment/Homes.java
+++ b/src/main/java/org/yuccagw/core/deployment/Homes.java
@@ -8,13 +8,14 @@
 import org.yuccagw.core.id.Region;
 
 /**
- * The regions in which requests may be served and what they leave behind may lie.
+ * The regions in which requests may be served and their cached parts may be kept.
  *
- * <p>A route may have homes, and so may a workspace. Where both have some, both bind: {@code north, south} and {@code
- * south, east} leave {@code south}; {@code north} and {@code south} leave nothing, and such a request can't be served.
+ * <p>A route may be restricted to regions, and so may a workspace. If both are, both restrictions apply: {@code north,
+ * south} and {@code south, east} leave {@code south}; {@code north} and {@code south} leave nothing, and such a request
+ * can't be served.
  */
 public final class Homes {
-    /** No region is excluded. */
+    /** Allows every region. */
     public static final Homes ANYWHERE = new Homes(Optional.empty());
 
     private final Optional<ImmutableSet<Region>> regions;
@@ -23,13 +24,13 @@
         this.regions = regions;
     }
 
-    /** Only these; none at all means anywhere. */
+    /** Allows these regions only; an empty list allows every region. */
     public static Homes in(Iterable<Region> regions) {
         ImmutableSet<Region> named = ImmutableSet.copyOf(regions);
         return named.isEmpty() ? ANYWHERE : new Homes(Optional.of(named));
     }
 
-    /** What both allow. */
+    /** Returns the regions that both allow. */
     public Homes and(Homes other) {
         if (!isBinding()) {
             return other;
@@ -41,17 +42,19 @@
                 Sets.intersection(regions.get(), other.regions.get()).immutableCopy()));
     }
 
-    /** Whether some region is excluded. */
+    /** Returns whether the regions are restricted. */
     public boolean isBinding() {
         return regions.isPresent();
     }
 
-    /** Whether a place may be used; one of which the region isn't known only if no region is excluded. */
+    /** Returns whether a region is allowed; an unknown region is allowed only if the regions aren't restricted. */
     public boolean allow(Optional<Region> region) {
         return regions.isEmpty() || (region.isPresent() && regions.get().contains(region.get()));
     }
 
-    /** The same for the same regions, for names of what may lie there only. */
+    /**
+     * Returns a name that is equal for equal regions, for the names of cached parts that must stay in these regions.
+     */
     public String name() {
         return regions.map(named -> ImmutableSortedSet.copyOf(named).stream()
                         .map(Region::value)
--- a/src/main/java/org/yuccagw/core/deployment/Regions.java
+++ b/src/main/java/org/yuccagw/core/deployment/Regions.java
@@ -6,12 +6,12 @@
 import org.yuccagw.core.id.Region;
 
 /**
- * In which region each failure domain lies, as the settings tell.
+ * The region of each failure domain, according to the settings.
  *
- * @param byDomain empty where the settings don't tell
+ * @param byDomain region by failure domain; a failure domain is absent if the settings don't contain it
  */
 public record Regions(ImmutableMap<FailureDomain, Region> byDomain) {
-    /** Nothing is known of regions. */
+    /** No region is known. */
     public static final Regions UNKNOWN = new Regions(ImmutableMap.of());
 
     public Optional<Region> of(FailureDomain domain) {
--- a/src/main/java/org/yuccagw/core/deployment/RequestLimits.java
+++ b/src/main/java/org/yuccagw/core/deployment/RequestLimits.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * What a caller may send.
+ * Limits on the requests of callers.
  *
- * @param headerBytes largest head of a request
- * @param bodyBytes largest body of a request
- * @param headerTimeout longest time for a head, and for a body, to arrive
- * @param idleTimeout how long a connection may stay without a request
+ * @param headerBytes maximum size of a request's head, in bytes
+ * @param bodyBytes maximum size of a request's body, in bytes
+ * @param headerTimeout maximum time for the head to arrive, and again for the body
+ * @param idleTimeout maximum time that a connection may stay open without a request
  */
 public record RequestLimits(int headerBytes, int bodyBytes, Duration headerTimeout, Duration idleTimeout) {}
--- a/src/main/java/org/yuccagw/core/deployment/Route.java
+++ b/src/main/java/org/yuccagw/core/deployment/Route.java
@@ -5,19 +5,19 @@
 import org.yuccagw.core.id.ServiceName;
 
 /**
- * Where requests of one host go whose path begins with one prefix.
+ * The routing of requests to one host whose path begins with one prefix.
  *
  * @param pathPrefix begins and ends with a slash
- * @param timeout longest time that a request may wait for its whole answer
- * @param target time to the first byte within which an answer is worth its full value
- * @param longestGap longest pause between events of a stream that counts as on time
+ * @param timeout maximum time that a request may wait for its whole answer
+ * @param target time to the first byte within which an answer has its full value
+ * @param longestGap longest time between events of a stream that still counts as on time
  * @param priority 0 is the most urgent
  * @param shares at least one service
- * @param mostAttempts most endpoints that one request may run on
+ * @param mostAttempts maximum number of endpoints that one request may run on
  * @param open whether it is served without a key
- * @param affine whether its requests carry prompts whose parts come back
- * @param resumable whether a stream may go on at another endpoint after its last event
- * @param homes where its requests may be served
+ * @param affine whether its requests contain prompts whose parts are sent again
+ * @param resumable whether a stream may continue at another endpoint after its last event
+ * @param homes the regions in which its requests may be served
  */
 public record Route(
         String name,
@@ -35,7 +35,7 @@
         boolean resumable,
         Homes homes) {
 
-    /** Whether a request may run again although it may have run before. */
+    /** Returns whether a request may be retried although it may have run before. */
     public boolean repeatable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAM && resumable);
     }
@@ -45,16 +45,16 @@
     }
 
     /**
-     * The service of one request, in proportion to the weights.
+     * Selects the service of one request, in proportion to the weights.
      *
      * @param draw from 0 up to but excluding 1, the same for all attempts of a request
      */
     public ServiceName pick(double draw) {
         int sum = shares.stream().mapToInt(ServiceShare::weight).sum();
-        double left = draw * sum;
+        double remaining = draw * sum;
         for (ServiceShare share : shares) {
-            left -= share.weight();
-            if (left < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
--- a/src/main/java/org/yuccagw/core/deployment/RouteKind.java
+++ b/src/main/java/org/yuccagw/core/deployment/RouteKind.java
@@ -1,11 +1,11 @@
 package org.yuccagw.core.deployment;
 
-/** What the operator says of the requests of a route. */
+/** The kind of a route's requests, as configured by the operator. */
 public enum RouteKind {
-    /** May run any number of times. */
+    /** Requests may run any number of times. */
     IDEMPOTENT,
-    /** Runs once at most for each request that a caller sends. */
+    /** A request runs at most once for each request that a caller sends. */
     NON_IDEMPOTENT,
-    /** Answered by a stream of events; may run again only where the route says that it can be resumed. */
+    /** Requests are answered by a stream of events; they may run again only if the route is resumable. */
     STREAM
 }
--- a/src/main/java/org/yuccagw/core/deployment/ServiceShare.java
+++ b/src/main/java/org/yuccagw/core/deployment/ServiceShare.java
@@ -3,7 +3,7 @@
 import org.yuccagw.core.id.ServiceName;
 
 /**
- * One service of a route and its part of the route's requests.
+ * One service of a route and its share of the route's requests.
  *
  * @param weight relative to the weights of the route's other services, at least 0
  */
--- a/src/main/java/org/yuccagw/core/deployment/WorkspaceAccess.java
+++ b/src/main/java/org/yuccagw/core/deployment/WorkspaceAccess.java
@@ -5,12 +5,12 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * Who may act for a workspace.
+ * The access rules of a workspace.
  *
- * @param keys bearer keys
- * @param priority goes before that of the route where present; 0 is the most urgent
+ * @param keys bearer keys that callers may use
+ * @param priority overrides that of the route if present; 0 is the most urgent
  * @param isolated whether it shares no cached part with any other workspace
- * @param homes where its requests may be served
+ * @param homes the regions in which its requests may be served
  */
 public record WorkspaceAccess(
         WorkspaceId id, ImmutableSet<String> keys, OptionalInt priority, boolean isolated, Homes homes) {}
--- a/src/main/java/org/yuccagw/core/deployment/package-info.java
+++ b/src/main/java/org/yuccagw/core/deployment/package-info.java
@@ -1,2 +1,2 @@
-/** What operators configured: routes, services, cache stores, workspaces and limits. Values only. */
+/** The operators' configuration: routes, services, cache stores, workspaces and limits. Contains values only. */
 package org.yuccagw.core.deployment;
--- a/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
@@ -242,7 +242,8 @@
     }
 
     private boolean needsOrders() {
-        return engines.values().stream().anyMatch(engine -> missingWeights(engine).isPresent());
+        return engines.values().stream()
+                .anyMatch(engine -> missingWeights(engine).isPresent());
     }
 
     private void advance() {
@@ -357,7 +358,8 @@
             return;
         }
         loading.answerAwaited = false;
-        loading.nextCallNanos = context.nowNanos() + minDelay(engine, STATE_QUERY_INTERVAL).toNanos();
+        loading.nextCallNanos =
+                context.nowNanos() + minDelay(engine, STATE_QUERY_INTERVAL).toNanos();
         if (reported.state().isEmpty()) {
             context.perform(Decision.of("engine-state-unknown").with("endpoint", engine.incarnation()));
             return;
@@ -400,9 +402,11 @@
 
     /** Returns how many engines must load at once for the whole pool to run the newer weights in time. */
     private long requiredConcurrency(List<ListedEndpoint> pool) {
-        List<ListedEndpoint> waiting =
-                pool.stream().filter(engine -> missingWeights(engine).isPresent()).toList();
-        long remainingNanos = waiting.stream().mapToLong(this::remainingNanos).min().orElse(Long.MAX_VALUE);
+        List<ListedEndpoint> waiting = pool.stream()
+                .filter(engine -> missingWeights(engine).isPresent())
+                .toList();
+        long remainingNanos =
+                waiting.stream().mapToLong(this::remainingNanos).min().orElse(Long.MAX_VALUE);
         if (remainingNanos <= 0) {
             return waiting.size();
         }
--- a/src/main/java/org/yuccagw/core/endpoint/EndpointReported.java
+++ b/src/main/java/org/yuccagw/core/endpoint/EndpointReported.java
@@ -6,16 +6,17 @@
 import org.yuccagw.core.id.WeightVersion;
 
 /**
- * An endpoint told of itself, by answering a probe or in the headers of an answer. Lags behind what it does.
+ * The state that an endpoint reports, in the answer to a probe or in the headers of another answer. It lags behind the
+ * endpoint's actual state.
  *
- * @param incarnation of the VM as the endpoint knows it
+ * @param incarnation the VM's incarnation according to the endpoint
  * @param version weight version it runs, empty for a plain service
  * @param adapter name of the loaded adapter, empty for none
  * @param role as ordered, such as {@code serve}, {@code prefill} or {@code decode}
  * @param loading whether it is loading weights
  * @param runningRequests requests in its batch
  * @param waitingRequests requests in its queue
- * @param waitingPrefillTokens prompt tokens not yet processed
+ * @param waitingPrefillTokens prompt tokens that are not yet prefilled
  */
 public record EndpointReported(
         EndpointId endpoint,
--- a/src/main/java/org/yuccagw/core/endpoint/EndpointStatus.java
+++ b/src/main/java/org/yuccagw/core/endpoint/EndpointStatus.java
@@ -8,11 +8,11 @@
 import org.yuccagw.core.id.WeightVersion;
 
 /**
- * What this entry holds true of one endpoint, merged from the platform's list, the endpoint's own report, the
- * catalogue and observed traffic.
+ * The state of one endpoint as known locally, merged from the platform's list, the endpoint's own report, the catalogue
+ * and observed traffic.
  *
  * @param incarnation the platform's incarnation of the VM; higher after each replacement
- * @param takesNewWork false once any source said that it is leaving, was ejected, or is loading weights
+ * @param takesNewWork false if any source reported it as leaving, if it was ejected, or while it is loading weights
  * @param version the weight version it last reported, empty for a plain service or before the first report
  */
 public record EndpointStatus(
--- a/src/main/java/org/yuccagw/core/endpoint/EndpointsChanged.java
+++ b/src/main/java/org/yuccagw/core/endpoint/EndpointsChanged.java
@@ -2,5 +2,5 @@
 
 import org.yuccagw.core.control.ControlEvent;
 
-/** The set of endpoints or what is held true of one changed; raised by the endpoints part. */
+/** Raised by {@link EndpointsComponent} when the set of endpoints or the status of one endpoint changed. */
 public record EndpointsChanged(EndpointsSnapshot endpoints) implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/endpoint/EndpointsComponent.java
+++ b/src/main/java/org/yuccagw/core/endpoint/EndpointsComponent.java
@@ -29,37 +29,39 @@
 import org.yuccagw.core.membership.MembersChanged;
 
 /**
- * Who of the endpoints takes new work, merged from four sources that lag each in its own way.
+ * Determines which endpoints accept new work, merged from four sources with different delays.
  *
  * <ul>
- *   <li>The platform's list names the VMs. A VM is dropped only once it is missing there and silent as well.
- *   <li>The endpoint's own report gives version, loading and leaving.
- *   <li>Traffic shows failures. Three in a row, with those of probes, eject the endpoint for a time that doubles.
- *   <li>Other entries tell at once which endpoints they saw leaving.
+ *   <li>The platform's list names the VMs. A VM is removed only if it is missing from the list and silent as well.
+ *   <li>The endpoint's own report contains its version and whether it is loading or leaving.
+ *   <li>Traffic shows failures. Three in a row, counting failed probes, eject the endpoint for a period that doubles
+ *       each time.
+ *   <li>Other entries forward at once which endpoints they observed leaving.
  * </ul>
  *
- * <p>Leaving is final for an incarnation, whoever said it. Ejection is not, and at most half of a pool is ejected at a
- * time: a signal that is wrong for all endpoints, such as a cut of this entry's own network, can't empty a pool.
+ * <p>Leaving is final for an incarnation, whichever source reports it. Ejection is not, and at most half of a pool is
+ * ejected at a time, so that a wrong signal about all endpoints, such as a network failure of this entry, can't empty a
+ * pool.
  *
- * <p>Each endpoint is probed by at most {@link #PROBERS} entries, chosen on a hash ring ({@link
- * ProbeRing}); with as many entries or fewer, by all.
+ * <p>Each endpoint is probed by at most {@link #PROBERS_PER_ENDPOINT} entries, chosen on a hash ring ({@link
+ * ProbeRing}); with as many entries or fewer, by all of them.
  */
 public final class EndpointsComponent implements ControlComponent {
-    static final int PROBERS = 16;
+    static final int PROBERS_PER_ENDPOINT = 16;
 
     private static final Duration LIST_INTERVAL = Duration.ofSeconds(1);
     private static final int ENTRIES_PER_LIST_INTERVAL = 16;
     private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
-    private static final int PROBES_PER_INTERVAL = 100;
-    private static final Duration SILENCE = Duration.ofSeconds(10);
-    private static final int EJECTED_PART_OF_POOL = 2;
-    private static final int FAN_OUT = 8;
+    private static final int MAX_PROBES_PER_INTERVAL = 100;
+    private static final Duration REMOVAL_TIMEOUT = Duration.ofSeconds(10);
+    private static final int EJECTED_POOL_DIVISOR = 2;
+    private static final int SIGHTING_FAN_OUT = 8;
 
-    private final TreeMap<EndpointId, KnownEndpoint> known = new TreeMap<>();
-    private final Set<Leaving> told = new HashSet<>();
+    private final TreeMap<EndpointId, KnownEndpoint> endpoints = new TreeMap<>();
+    private final Set<Leaving> forwarded = new HashSet<>();
     private ControlContext context;
     private Set<String> modelPools = Set.of();
-    /** Null after a change of members, until the next probes. */
+    /** Null from a change of members until the next probes. */
     private ProbeRing ring;
 
     private List<EntryId> entries = List.of();
@@ -76,25 +78,25 @@
     public void start(ControlContext startContext) {
         context = startContext;
         entries = List.of(context.self().entry());
-        readList();
-        context.after(PROBE_INTERVAL, this::probeSome);
+        requestList();
+        context.after(PROBE_INTERVAL, this::probeNext);
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof PlatformListed list) {
-            takeList(list);
+            onList(list);
         } else if (event instanceof EndpointReported report) {
-            takeReport(report);
+            onReport(report);
         } else if (event instanceof ProbeFailed failed) {
-            observe(failed.endpoint(), failed.incarnation(), Outcome.CONNECT_FAILED);
+            onOutcome(failed.endpoint(), failed.incarnation(), Outcome.CONNECT_FAILED);
         } else if (event instanceof AttemptObserved observed) {
-            observe(observed.endpoint(), observed.incarnation(), observed.outcome());
+            onOutcome(observed.endpoint(), observed.incarnation(), observed.outcome());
         } else if (event instanceof PeerReceived received
                 && received.message() instanceof EndpointSightings sightings) {
-            sightings.leaving().forEach(this::takeSighting);
+            sightings.leaving().forEach(this::onSighting);
         } else if (event instanceof MembersChanged changed) {
-            takeMembers(changed);
+            onMembers(changed);
         } else if (event instanceof CatalogueChanged changed) {
             modelPools = changed.catalogue().services().values().stream()
                     .filter(service -> service.model().isPresent())
@@ -108,129 +110,133 @@
         builder.put(EndpointsSnapshot.class, snapshot);
     }
 
-    // ---- Sources.
+    // ---- Sources of endpoint state.
 
-    private void takeList(PlatformListed list) {
+    private void onList(PlatformListed list) {
         Set<EndpointId> listed = new HashSet<>();
         for (ListedVm vm : list.vms()) {
             if (vm.kind() == VmKind.ENDPOINT) {
-                KnownEndpoint endpoint = known.computeIfAbsent(
+                KnownEndpoint endpoint = endpoints.computeIfAbsent(
                         EndpointId.of(vm.name()), id -> new KnownEndpoint(vm, context.nowNanos()));
-                endpoint.listed(vm);
+                endpoint.onListed(vm);
                 listed.add(endpoint.id());
                 if (endpoint.isLeaving()) {
-                    tell(endpoint);
+                    forwardLeaving(endpoint);
                 }
             }
         }
-        for (KnownEndpoint endpoint : known.values()) {
+        for (KnownEndpoint endpoint : endpoints.values()) {
             if (!listed.contains(endpoint.id())) {
-                endpoint.missing(context.nowNanos());
+                endpoint.onMissing(context.nowNanos());
             }
         }
-        known.values().removeIf(endpoint -> endpoint.isGone(context.nowNanos(), SILENCE));
-        told.removeIf(leaving -> !known.containsKey(leaving.endpoint()));
+        endpoints.values().removeIf(endpoint -> endpoint.isRemoved(context.nowNanos(), REMOVAL_TIMEOUT));
+        forwarded.removeIf(leaving -> !endpoints.containsKey(leaving.endpoint()));
         publishIfChanged();
     }
 
-    private void takeReport(EndpointReported report) {
-        KnownEndpoint endpoint = known.get(report.endpoint());
-        if (endpoint == null || !endpoint.reported(report, context.nowNanos())) {
+    private void onReport(EndpointReported report) {
+        KnownEndpoint endpoint = endpoints.get(report.endpoint());
+        if (endpoint == null || !endpoint.onReport(report, context.nowNanos())) {
             return;
         }
         if (endpoint.isLeaving()) {
-            tell(endpoint);
+            forwardLeaving(endpoint);
         }
         publishIfChanged(endpoint);
     }
 
-    private void observe(EndpointId id, long incarnation, Outcome outcome) {
-        KnownEndpoint endpoint = known.get(id);
+    private void onOutcome(EndpointId id, long incarnation, Outcome outcome) {
+        KnownEndpoint endpoint = endpoints.get(id);
         if (endpoint == null || endpoint.incarnation() != incarnation) {
             return;
         }
         switch (outcome) {
-            case ANSWERED -> endpoint.succeeded(context.nowNanos());
+            case ANSWERED -> endpoint.recordSuccess(context.nowNanos());
             case SAID_LEAVING -> {
-                endpoint.leaving(incarnation);
-                tell(endpoint);
+                endpoint.onLeaving(incarnation);
+                forwardLeaving(endpoint);
             }
             case CONNECT_FAILED, FAILED, SILENT, DIED -> {
-                if (endpoint.failed() && mayEject(endpoint)) {
+                if (endpoint.recordFailure() && mayEject(endpoint)) {
                     endpoint.eject(context.nowNanos());
                 }
             }
             default -> {
-                // An overloaded endpoint works; the router sees its load.
+                // An overloaded endpoint works; the router handles its load.
             }
         }
         publishIfChanged(endpoint);
     }
 
-    private void takeSighting(Leaving leaving) {
-        KnownEndpoint endpoint = known.get(leaving.endpoint());
+    private void onSighting(Leaving leaving) {
+        KnownEndpoint endpoint = endpoints.get(leaving.endpoint());
         if (endpoint != null) {
-            endpoint.leaving(leaving.incarnation());
+            endpoint.onLeaving(leaving.incarnation());
             if (endpoint.isLeaving()) {
-                tell(endpoint);
+                forwardLeaving(endpoint);
             }
             publishIfChanged(endpoint);
         }
     }
 
-    /** Passes a leaving endpoint on, once for each incarnation; all entries do, so that all hear it. */
-    private void tell(KnownEndpoint endpoint) {
+    /**
+     * Forwards a leaving endpoint to some other entries, once for each incarnation. Every entry forwards it, so that
+     * all receive it.
+     */
+    private void forwardLeaving(KnownEndpoint endpoint) {
         Leaving leaving = new Leaving(endpoint.id(), endpoint.incarnation());
-        if (!told.add(leaving)) {
+        if (!forwarded.add(leaving)) {
             return;
         }
         List<EntryId> others = new ArrayList<>(entries);
         others.remove(context.self().entry());
         EndpointSightings sightings = new EndpointSightings(ImmutableList.of(leaving));
-        for (int chosen = 0; chosen < Math.min(FAN_OUT, others.size()); chosen++) {
+        for (int chosen = 0; chosen < Math.min(SIGHTING_FAN_OUT, others.size()); chosen++) {
             Collections.swap(others, chosen, chosen + context.random().nextInt(others.size() - chosen));
             context.send(others.get(chosen), sightings);
         }
     }
 
     private boolean mayEject(KnownEndpoint candidate) {
-        List<KnownEndpoint> pool = known.values().stream()
+        List<KnownEndpoint> pool = endpoints.values().stream()
                 .filter(endpoint -> endpoint.pool().equals(candidate.pool()) && !endpoint.isLeaving())
                 .toList();
         long ejected = pool.stream().filter(KnownEndpoint::isEjected).count();
-        return ejected < pool.size() / EJECTED_PART_OF_POOL;
+        return ejected < pool.size() / EJECTED_POOL_DIVISOR;
     }
 
-    // ---- Asking.
+    // ---- Platform list and probes.
 
-    private void readList() {
+    private void requestList() {
         context.perform(new ReadPlatformList());
-        // With many entries each reads more rarely; what one of them sees leaving it tells the others.
-        context.after(LIST_INTERVAL.multipliedBy(1L + entries.size() / ENTRIES_PER_LIST_INTERVAL), this::readList);
+        // With many entries each entry reads the list less often; an endpoint that one of them observes leaving is
+        // forwarded to the others.
+        context.after(LIST_INTERVAL.multipliedBy(1L + entries.size() / ENTRIES_PER_LIST_INTERVAL), this::requestList);
     }
 
-    /** Probes the next ones in the order of ids, round and round, at most a fixed number in an interval. */
-    private void probeSome() {
-        context.after(PROBE_INTERVAL, this::probeSome);
+    /** Probes the next endpoints in the order of their ids, round robin, at most a fixed number per interval. */
+    private void probeNext() {
+        context.after(PROBE_INTERVAL, this::probeNext);
         boolean readmitted = false;
-        for (KnownEndpoint endpoint : known.values()) {
+        for (KnownEndpoint endpoint : endpoints.values()) {
             readmitted |= endpoint.readmit(context.nowNanos());
         }
         if (readmitted) {
             publishIfChanged();
         }
         if (ring == null) {
-            ring = ProbeRing.of(context.self().entry(), entries, PROBERS);
+            ring = ProbeRing.of(context.self().entry(), entries, PROBERS_PER_ENDPOINT);
         }
-        List<KnownEndpoint> turn =
-                new ArrayList<>(known.tailMap(lastProbed, false).values());
-        turn.addAll(known.headMap(lastProbed, true).values());
+        List<KnownEndpoint> probeOrder =
+                new ArrayList<>(endpoints.tailMap(lastProbed, false).values());
+        probeOrder.addAll(endpoints.headMap(lastProbed, true).values());
         int probed = 0;
-        for (KnownEndpoint endpoint : turn) {
-            if (probed == PROBES_PER_INTERVAL) {
+        for (KnownEndpoint endpoint : probeOrder) {
+            if (probed == MAX_PROBES_PER_INTERVAL) {
                 return;
             }
-            if (modelPools.contains(endpoint.pool()) && ring.covers(endpoint.place())) {
+            if (modelPools.contains(endpoint.pool()) && ring.covers(endpoint.ringPosition())) {
                 context.perform(new ProbeEndpoint(
                         endpoint.id(), endpoint.incarnation(), endpoint.vm().address()));
                 probed++;
@@ -239,7 +245,7 @@
         }
     }
 
-    private void takeMembers(MembersChanged changed) {
+    private void onMembers(MembersChanged changed) {
         entries = changed.entries().stream()
                 .filter(entry -> entry.state() != State.DEAD)
                 .map(EntryStatus::entry)
@@ -247,23 +253,23 @@
         ring = null;
     }
 
-    /** Most reports change nothing that others see; then the snapshot of all endpoints isn't made anew. */
+    /** Skips building a new snapshot of all endpoints if the status of this one is unchanged, as after most reports. */
     private void publishIfChanged(KnownEndpoint endpoint) {
-        boolean same =
+        boolean isUnchanged =
                 snapshot.find(endpoint.id()).map(endpoint.status()::equals).orElse(false);
-        if (!same) {
+        if (!isUnchanged) {
             publishIfChanged();
         }
     }
 
     private void publishIfChanged() {
         ImmutableMap.Builder<EndpointId, EndpointStatus> statuses = ImmutableMap.builder();
-        for (Map.Entry<EndpointId, KnownEndpoint> endpoint : known.entrySet()) {
+        for (Map.Entry<EndpointId, KnownEndpoint> endpoint : endpoints.entrySet()) {
             statuses.put(endpoint.getKey(), endpoint.getValue().status());
         }
-        ImmutableMap<EndpointId, EndpointStatus> now = statuses.buildOrThrow();
-        if (!now.equals(snapshot.byId())) {
-            snapshot = new EndpointsSnapshot(now);
+        ImmutableMap<EndpointId, EndpointStatus> current = statuses.buildOrThrow();
+        if (!current.equals(snapshot.byId())) {
+            snapshot = new EndpointsSnapshot(current);
             context.raise(new EndpointsChanged(snapshot));
         }
     }
--- a/src/main/java/org/yuccagw/core/endpoint/EndpointsSnapshot.java
+++ b/src/main/java/org/yuccagw/core/endpoint/EndpointsSnapshot.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.yuccagw.core.id.EndpointId;
 
-/** All known endpoints, for traffic threads and the router. */
+/** All known endpoints, read by traffic threads and the router. */
 public record EndpointsSnapshot(ImmutableMap<EndpointId, EndpointStatus> byId) {
     private static final EndpointsSnapshot EMPTY = new EndpointsSnapshot(ImmutableMap.of());
 
@@ -17,7 +17,7 @@
         return Optional.ofNullable(byId.get(id));
     }
 
-    /** Endpoints of the pool that take new work, in the order of their ids. */
+    /** Returns the endpoints of the pool that accept new work, in the order of their ids. */
     public List<EndpointStatus> takingNewWork(String pool) {
         return byId.values().stream()
                 .filter(endpoint -> endpoint.takesNewWork() && endpoint.pool().equals(pool))
--- a/src/main/java/org/yuccagw/core/endpoint/KnownEndpoint.java
+++ b/src/main/java/org/yuccagw/core/endpoint/KnownEndpoint.java
@@ -6,41 +6,41 @@
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.WeightVersion;
 
-/** What the endpoints part keeps of one endpoint; lives on the control thread only. */
+/** The state that {@link EndpointsComponent} keeps of one endpoint; used on the control thread only. */
 final class KnownEndpoint {
     private static final int FAILURES_TO_EJECT = 3;
     private static final Duration FIRST_EJECTION = Duration.ofSeconds(5);
-    private static final int LONGEST_EJECTION_DOUBLINGS = 4;
+    private static final int MAX_EJECTION_DOUBLINGS = 4;
 
     private final EndpointId id;
-    private final long place;
+    private final long ringPosition;
     private ListedVm vm;
     private long incarnation;
-    private boolean missingInList;
+    private boolean isMissing;
     private long missingSinceNanos;
     private boolean leaving;
     private boolean loading;
     private Optional<WeightVersion> version = Optional.empty();
-    private long answeredAtNanos;
-    private int failuresInRow;
-    private int ejections;
+    private long lastAnswerNanos;
+    private int consecutiveFailures;
+    private int ejectionCount;
     private boolean ejected;
     private long ejectedUntilNanos;
 
     KnownEndpoint(ListedVm vm, long nowNanos) {
         this.id = EndpointId.of(vm.name());
-        this.place = ProbeRing.placeOf(id.value());
-        this.answeredAtNanos = nowNanos;
-        begin(vm, vm.incarnation());
+        this.ringPosition = ProbeRing.positionOf(id.value());
+        this.lastAnswerNanos = nowNanos;
+        startIncarnation(vm, vm.incarnation());
     }
 
     EndpointId id() {
         return id;
     }
 
-    /** Where it stands on the {@link ProbeRing}. */
-    long place() {
-        return place;
+    /** Returns the position on the {@link ProbeRing}. */
+    long ringPosition() {
+        return ringPosition;
     }
 
     long incarnation() {
@@ -63,82 +63,88 @@
         return leaving;
     }
 
-    /** Takes what the list says; an older incarnation than the known one changes nothing. */
-    void listed(ListedVm now) {
-        missingInList = false;
-        if (now.incarnation() > incarnation) {
-            begin(now, now.incarnation());
-        } else if (now.incarnation() == incarnation) {
-            vm = now;
-            leaving |= now.leaving();
+    /** Applies a line of the platform's list; an older incarnation than the known one changes nothing. */
+    void onListed(ListedVm listedVm) {
+        isMissing = false;
+        if (listedVm.incarnation() > incarnation) {
+            startIncarnation(listedVm, listedVm.incarnation());
+        } else if (listedVm.incarnation() == incarnation) {
+            vm = listedVm;
+            leaving |= listedVm.leaving();
         }
     }
 
-    void missing(long nowNanos) {
-        if (!missingInList) {
-            missingInList = true;
+    void onMissing(long nowNanos) {
+        if (!isMissing) {
+            isMissing = true;
             missingSinceNanos = nowNanos;
         }
     }
 
-    /** Gone only when the list and the endpoint itself agree: a list that lost a line can't take a VM away. */
-    boolean isGone(long nowNanos, Duration silence) {
-        boolean missingForLong = missingInList && nowNanos - missingSinceNanos > silence.toNanos();
-        return missingForLong && nowNanos - answeredAtNanos > silence.toNanos();
+    /**
+     * Returns whether the endpoint was removed. It must be missing from the list and silent as well, so that a list
+     * that lacks a line can't remove a VM.
+     */
+    boolean isRemoved(long nowNanos, Duration timeout) {
+        boolean isMissingForLong = isMissing && nowNanos - missingSinceNanos > timeout.toNanos();
+        return isMissingForLong && nowNanos - lastAnswerNanos > timeout.toNanos();
     }
 
     /**
-     * Leaving is final for an incarnation. A lagging list that shows the VM as live again has the same incarnation, so
-     * it changes nothing; the replaced VM has a higher one.
+     * Marks an incarnation as leaving, which is final. A lagging list that shows the VM as live again has the same
+     * incarnation, so it changes nothing; the replaced VM has a higher one.
      */
-    void leaving(long leavingIncarnation) {
+    void onLeaving(long leavingIncarnation) {
         if (leavingIncarnation > incarnation) {
-            begin(vm, leavingIncarnation);
+            startIncarnation(vm, leavingIncarnation);
         }
         leaving |= leavingIncarnation == incarnation;
     }
 
-    /** Takes the endpoint's own word; false if it is of an older incarnation. */
-    boolean reported(EndpointReported report, long nowNanos) {
+    /** Applies the endpoint's own report; returns false if it belongs to an older incarnation. */
+    boolean onReport(EndpointReported report, long nowNanos) {
         if (report.incarnation() < incarnation) {
             return false;
         }
         if (report.incarnation() > incarnation) {
-            begin(vm, report.incarnation());
+            startIncarnation(vm, report.incarnation());
         }
         version = report.version();
         loading = report.loading();
         leaving |= report.leaving();
-        succeeded(nowNanos);
+        recordSuccess(nowNanos);
         return true;
     }
 
-    void succeeded(long nowNanos) {
-        answeredAtNanos = nowNanos;
-        failuresInRow = 0;
+    void recordSuccess(long nowNanos) {
+        lastAnswerNanos = nowNanos;
+        consecutiveFailures = 0;
     }
 
-    /** Counts a failure; true if it was one too many. */
-    boolean failed() {
-        failuresInRow++;
-        return failuresInRow >= FAILURES_TO_EJECT && !ejected;
+    /** Counts a failure; returns whether the endpoint should be ejected. */
+    boolean recordFailure() {
+        consecutiveFailures++;
+        return consecutiveFailures >= FAILURES_TO_EJECT && !ejected;
     }
 
     void eject(long nowNanos) {
-        int doublings = Math.min(ejections, LONGEST_EJECTION_DOUBLINGS);
-        ejections++;
+        int doublings = Math.min(ejectionCount, MAX_EJECTION_DOUBLINGS);
+        ejectionCount++;
         ejected = true;
         ejectedUntilNanos =
                 nowNanos + FIRST_EJECTION.multipliedBy(1L << doublings).toNanos();
     }
 
-    /** Ends an ejection whose time is over; true if it did. One more failure ejects again, for longer. */
+    /**
+     * Ends an ejection whose period has passed, and returns whether it did. One more failure ejects the endpoint again,
+     * for longer.
+     */
     boolean readmit(long nowNanos) {
         if (!ejected || ejectedUntilNanos - nowNanos > 0) {
             return false;
         }
         ejected = false;
-        failuresInRow = FAILURES_TO_EJECT - 1;
+        consecutiveFailures = FAILURES_TO_EJECT - 1;
         return true;
     }
 
@@ -154,14 +160,14 @@
                 version);
     }
 
-    private void begin(ListedVm now, long newIncarnation) {
-        vm = now;
+    private void startIncarnation(ListedVm listedVm, long newIncarnation) {
+        vm = listedVm;
         incarnation = newIncarnation;
-        leaving = now.leaving() && now.incarnation() == newIncarnation;
+        leaving = listedVm.leaving() && listedVm.incarnation() == newIncarnation;
         loading = false;
         version = Optional.empty();
-        failuresInRow = 0;
-        ejections = 0;
+        consecutiveFailures = 0;
+        ejectionCount = 0;
         ejected = false;
     }
 }
--- a/src/main/java/org/yuccagw/core/endpoint/PlatformListed.java
+++ b/src/main/java/org/yuccagw/core/endpoint/PlatformListed.java
@@ -6,13 +6,13 @@
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.id.VmId;
 
-/** The platform's lagging list of VMs was read. */
+/** Raised when the platform's list of VMs was read. The list lags behind the actual state. */
 public record PlatformListed(List<ListedVm> vms) implements ControlEvent {
     public PlatformListed {
         vms = List.copyOf(vms);
     }
 
-    /** What the VM is there for. */
+    /** The purpose of a VM. */
     public enum VmKind {
         ENTRY,
         ENDPOINT,
@@ -24,9 +24,9 @@
      * One VM of the list.
      *
      * @param incarnation higher after each replacement
-     * @param leaving whether the platform wants it to stop
+     * @param leaving whether the platform is stopping the VM
      * @param name name of the process on it: an endpoint, a store or an entry
-     * @param pool the pool of endpoints it belongs to, empty for other kinds
+     * @param pool the pool of endpoints that it belongs to, empty for other kinds
      */
     public record ListedVm(
             VmId vm,
--- a/src/main/java/org/yuccagw/core/endpoint/ProbeEndpoint.java
+++ b/src/main/java/org/yuccagw/core/endpoint/ProbeEndpoint.java
@@ -5,7 +5,7 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * Asks a model endpoint for its state and load. The outcome comes as {@link EndpointReported}, or as {@link
- * ProbeFailed} if neither a kept connection nor a fresh one brought an answer.
+ * Queries the state and load of a model endpoint. The outcome is reported by {@link EndpointReported}, or by {@link
+ * ProbeFailed} if neither a kept-alive connection nor a new one returned an answer.
  */
 public record ProbeEndpoint(EndpointId endpoint, long incarnation, NetworkAddress address) implements ControlAction {}
--- a/src/main/java/org/yuccagw/core/endpoint/ReadPlatformList.java
+++ b/src/main/java/org/yuccagw/core/endpoint/ReadPlatformList.java
@@ -2,5 +2,5 @@
 
 import org.yuccagw.core.control.ControlAction;
 
-/** Asks for the platform's list of VMs; the outcome comes as {@link PlatformListed}, or nothing if it fails. */
+/** Reads the platform's list of VMs. The outcome is reported by {@link PlatformListed}; a failure isn't reported. */
 public record ReadPlatformList() implements ControlAction {}
--- a/src/main/java/org/yuccagw/core/endpoint/package-info.java
+++ b/src/main/java/org/yuccagw/core/endpoint/package-info.java
@@ -1,2 +1,5 @@
-/** Endpoints: merging the platform's list, own reports, the catalogue and traffic into who takes new work. */
+/**
+ * Endpoint state, merged from the platform's list, the endpoints' own reports, the catalogue and traffic, to determine
+ * which endpoints accept new work.
+ */
 package org.yuccagw.core.endpoint;
--- a/src/main/java/org/yuccagw/core/stores/CacheHolderEvents.java
+++ b/src/main/java/org/yuccagw/core/stores/CacheHolderEvents.java
@@ -54,7 +54,8 @@
     private List<StoredParts> unfollowed = new ArrayList<>();
     private ControlContext context;
 
-    private CacheHolderEvents(Supplier<List<EntryId>> entries, Consumer<StoredParts> onEventsLost, CallPolicy callPolicy) {
+    private CacheHolderEvents(
+            Supplier<List<EntryId>> entries, Consumer<StoredParts> onEventsLost, CallPolicy callPolicy) {
         this.entries = entries;
         this.onEventsLost = onEventsLost;
         this.callPolicy = callPolicy;
@@ -67,7 +68,8 @@
      * @param onEventsLost called when events of a holder were lost
      * @param callPolicy decides which holders may be called
      */
-    static CacheHolderEvents of(Supplier<List<EntryId>> entries, Consumer<StoredParts> onEventsLost, CallPolicy callPolicy) {
+    static CacheHolderEvents of(
+            Supplier<List<EntryId>> entries, Consumer<StoredParts> onEventsLost, CallPolicy callPolicy) {
         return new CacheHolderEvents(entries, onEventsLost, callPolicy);
     }
 
@@ -164,7 +166,9 @@
 
     private void backOff(StoreId holder, Duration duration) {
         backOffUntilNanos.merge(
-                holder, context.nowNanos() + duration.toNanos(), (current, until) -> until - current > 0 ? until : current);
+                holder,
+                context.nowNanos() + duration.toNanos(),
+                (current, until) -> until - current > 0 ? until : current);
     }
 
     /** Returns whether the holder requested a back-off that hasn't ended yet. */
--- a/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
@@ -120,7 +120,8 @@
         }
         Map<String, Long> retiredBelow = retiredBelow();
         for (CacheStore store : stores.configuredStores()) {
-            boolean isDue = store.managed() && !retiredBelow.isEmpty() && !retiredBelow.equals(freedBelow.get(store.id()));
+            boolean isDue =
+                    store.managed() && !retiredBelow.isEmpty() && !retiredBelow.equals(freedBelow.get(store.id()));
             if (isDue && storesInProgress.add(store.id())) {
                 context.perform(new StoreCall.Inspect(store));
             }
@@ -169,8 +170,10 @@
      * Returns the parts that can't be used any more. The model of a partial part is unknown, so its version must be
      * below the limits of all models.
      */
-    private static ImmutableList<PartName> unusableParts(StoreAnswer.Contents contents, Map<String, Long> retiredBelow) {
-        long below = retiredBelow.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    private static ImmutableList<PartName> unusableParts(
+            StoreAnswer.Contents contents, Map<String, Long> retiredBelow) {
+        long below =
+                retiredBelow.values().stream().mapToLong(Long::longValue).min().orElse(0);
         Stream<PartName> held = contents.held().stream()
                 .filter(part -> isOlder(part.salt(), retiredBelow.getOrDefault(part.model(), 0L)))
                 .map(StoreAnswer.Change::name);
--- a/src/main/java/org/yuccagw/core/stores/StoreAnswer.java
+++ b/src/main/java/org/yuccagw/core/stores/StoreAnswer.java
@@ -18,7 +18,8 @@
      * @param eventsLost whether events before these are missing
      * @param clockMillis the endpoints' clock in milliseconds when the store answered
      */
-    record Changes(StoreId store, long epoch, long next, boolean eventsLost, long clockMillis, ImmutableList<Change> changes)
+    record Changes(
+            StoreId store, long epoch, long next, boolean eventsLost, long clockMillis, ImmutableList<Change> changes)
             implements StoreAnswer {}
 
     /** All parts that the store holds whole. */
--- a/src/main/java/org/yuccagw/core/stores/StoredParts.java
+++ b/src/main/java/org/yuccagw/core/stores/StoredParts.java
@@ -81,7 +81,8 @@
     }
 
     boolean isFresh(long nowNanos) {
-        return confirmedNanos != NOT_CONFIRMED && nowNanos - confirmedNanos < StoresComponent.MAX_CONFIRMATION_AGE.toNanos();
+        return confirmedNanos != NOT_CONFIRMED
+                && nowNanos - confirmedNanos < StoresComponent.MAX_CONFIRMATION_AGE.toNanos();
     }
 
     /** Returns whether parts may be saved to the store. */
--- a/src/main/java/org/yuccagw/core/stores/StoresComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/StoresComponent.java
@@ -130,7 +130,8 @@
         double bits = 8.0 * tokens * engine.tokenBytes();
         double megabits = Math.min(store.linkMegabits(), engine.linkMegabits());
         double localMillis = megabits > 0 ? bits / (megabits * BITS_PER_MEGABIT) * MILLIS_PER_SECOND : 0;
-        return store.firstMillis() + (store.domain().equals(domain) ? localMillis : localMillis * REMOTE_TRANSFER_FACTOR);
+        return store.firstMillis()
+                + (store.domain().equals(domain) ? localMillis : localMillis * REMOTE_TRANSFER_FACTOR);
     }
 
     /**
@@ -217,7 +218,8 @@
             Optional<StoredParts> source,
             FailureDomain domain,
             Predicate<FailureDomain> maySave) {
-        boolean isSaving = events.holders().stream().anyMatch(stored -> stored.isSaving(salt, part.id(), context.nowNanos()));
+        boolean isSaving =
+                events.holders().stream().anyMatch(stored -> stored.isSaving(salt, part.id(), context.nowNanos()));
         boolean isHeldAnywhere =
                 events.holders().stream().anyMatch(stored -> stored.tokens(salt, part.id()) >= part.tokens());
         if (isSaving || (isSession && isHeldAnywhere)) {
@@ -228,8 +230,8 @@
                 .filter(stored -> maySave.test(stored.store().domain()))
                 .filter(stored -> stored.acceptsSaves(context.nowNanos()) && stored.hasFreeCapacity(part.tokens()))
                 .filter(stored -> hasLinkCapacity(stored, MAX_LINK_WAIT_FOR_SAVES))
-                .min(Comparator.comparingDouble(
-                                (StoredParts stored) -> preferQuick ? stored.store().firstMillis() : sizeRank(stored))
+                .min(Comparator.comparingDouble((StoredParts stored) ->
+                                preferQuick ? stored.store().firstMillis() : sizeRank(stored))
                         .thenComparingDouble(stored -> distance(stored.store(), Optional.of(domain)))
                         .thenComparingInt(stored -> (stored.store().id().value() + part.id()).hashCode()));
         boolean isNearer = candidate.isPresent()
--- a/src/main/java/org/yuccagw/core/swap/OrderEnded.java
+++ b/src/main/java/org/yuccagw/core/swap/OrderEnded.java
@@ -3,21 +3,24 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.id.EndpointId;
 
-/** What became of an {@link OrderEndpoint}. */
+/** The outcome of an {@link OrderEndpoint}. */
 public record OrderEnded(EndpointId endpoint, OrderKind kind, long fencing, Outcome outcome) implements ControlEvent {
     /** How an order ended. */
     public enum Outcome {
-        /** The endpoint carries it out. */
+        /** The endpoint carries out the order. */
         ACCEPTED,
-        /** The endpoint has seen a higher fencing number: this entry is not the owner any more. */
+        /** The endpoint has received a higher fencing number: this entry no longer owns the shard. */
         STALE_FENCING,
-        /** Another order is being carried out. */
+        /** The endpoint is carrying out another order. */
         BUSY,
-        /** The endpoint said no for another reason; nothing changed. */
+        /** The endpoint rejected the order for another reason; nothing changed. */
         REFUSED,
-        /** Not sent: there was no connection, or authority had ended before the sending. */
+        /**
+         * The order wasn't sent: there was no connection, or this entry's authority had ended before the order could be
+         * sent.
+         */
         NOT_SENT,
-        /** No answer: it may be carried out. */
+        /** The endpoint didn't answer: the order may be carried out. */
         LOST
     }
 }
--- a/src/main/java/org/yuccagw/core/swap/OrderEndpoint.java
+++ b/src/main/java/org/yuccagw/core/swap/OrderEndpoint.java
@@ -6,13 +6,14 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * Orders an endpoint to do something. The outcome comes as {@link OrderEnded}.
+ * Sends an order to an endpoint. The outcome is reported by {@link OrderEnded}.
  *
  * @param value the version, adapter or role
  * @param fencing the epoch of the shard that the endpoint's pool belongs to
- * @param authorityEndsNanos monotonic time from which on the order must not be sent any more. Whoever sends it looks
- *     again right before: between the decision and the sending the process may have been paused past its lease
- * @param weightStore where the weights are
+ * @param authorityEndsNanos monotonic time from which on the order must not be sent any more. The sender checks it
+ *     again right before sending, because the process may have been suspended past its lease between the decision and
+ *     the sending
+ * @param weightStore address of the store to load the weights from
  */
 public record OrderEndpoint(
         EndpointId endpoint,
--- a/src/main/java/org/yuccagw/core/swap/OrderKind.java
+++ b/src/main/java/org/yuccagw/core/swap/OrderKind.java
@@ -1,6 +1,6 @@
 package org.yuccagw.core.swap;
 
-/** What an endpoint can be ordered to do. */
+/** The kinds of orders to an endpoint. */
 public enum OrderKind {
     LOAD_VERSION,
     LOAD_ADAPTER,
--- a/src/main/java/org/yuccagw/core/swap/PoolSwap.java
+++ b/src/main/java/org/yuccagw/core/swap/PoolSwap.java
@@ -28,47 +28,48 @@
 import org.yuccagw.core.swap.OrderEnded.Outcome;
 
 /**
- * Brings one pool to the weights that the catalogue wants, a few endpoints at a time.
+ * Updates one pool to the weights in the catalogue, a few endpoints at a time.
  *
- * <p>The cases, in the order in which {@link #step} takes them:
+ * <p>The cases, in the order in which {@link #step} handles them:
  *
  * <ol>
- *   <li>This entry doesn't own the pool's shard now: nothing.
- *   <li>It gained the shard lately and the endpoints don't check fencing numbers: wait until no order of an earlier
- *       owner can arrive any more.
- *   <li>The permits weren't read since the shard was gained: read them. Those of the earlier owner count.
- *   <li>A permitted endpoint matches, is gone, was replaced, or is silent for long: its permit ends.
- *   <li>There is room under the limit and above the floor: the next endpoint gets a permit. Both changes are one
- *       compare-and-swap; nothing is ordered before it is confirmed.
- *   <li>A permitted endpoint reported its state after the permit was confirmed, doesn't match, and isn't loading: it is
- *       ordered. The order carries the fencing number and the time from which on it must not be sent.
- *   <li>An order's answer was lost: the endpoint's next report tells whether it is loading; only if not, it is ordered
- *       again.
+ *   <li>This entry doesn't own the pool's shard now: nothing is done.
+ *   <li>It gained the shard recently and the endpoints don't check fencing numbers: it waits until no order of an
+ *       earlier owner can arrive any more.
+ *   <li>The permits haven't been read since the shard was gained: they are read. Permits of the earlier owner count.
+ *   <li>An endpoint with a permit matches, was removed, was replaced, or has been silent for long: its permit ends.
+ *   <li>Fewer permits than the limit are in use, and without one more endpoint the floor would still be kept: the next
+ *       endpoint gets a permit. Ended and new permits are written in one compare-and-swap; no order is sent before it is
+ *       confirmed.
+ *   <li>An endpoint with a permit reported its state after the permit was confirmed, doesn't match, and isn't loading:
+ *       it is ordered to load. The order contains the fencing number and the time from which on it must not be sent.
+ *   <li>The answer to an order was lost: the endpoint's next report shows whether it is loading; only if it isn't, the
+ *       order is retried.
  * </ol>
  */
 final class PoolSwap {
-    static final Duration ORDER_LIFE = Duration.ofSeconds(3);
+    static final Duration ORDER_LIFETIME = Duration.ofSeconds(3);
 
-    private static final Duration REPORT_FRESH = Duration.ofSeconds(5);
-    private static final Duration PROBE_AFTER = Duration.ofMillis(1500);
-    private static final Duration PROBE_PERMITTED_AFTER = Duration.ofMillis(250);
-    private static final Duration SILENT_PERMIT = Duration.ofSeconds(30);
-    private static final Duration CALL_SILENCE = Duration.ofSeconds(6);
+    private static final Duration MAX_REPORT_AGE = Duration.ofSeconds(5);
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(1500);
+    private static final Duration PERMITTED_PROBE_INTERVAL = Duration.ofMillis(250);
+    private static final Duration SILENT_PERMIT_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(6);
     private static final int PROBES_PER_STEP = 20;
 
     private final ControlContext context;
     private final String pool;
-    private final LongSupplier authorityEnds;
-    private final Map<EndpointId, Seen> seen = new HashMap<>();
-    private final Map<EndpointId, Long> orderedNanos = new HashMap<>();
-    private final Map<EndpointId, Long> underWayNanos = new HashMap<>();
+    private final LongSupplier authorityEndsNanos;
+    private final Map<EndpointId, LastReport> lastReports = new HashMap<>();
+    private final Map<EndpointId, Long> orderEndedNanos = new HashMap<>();
+    private final Map<EndpointId, Long> pendingOrderNanos = new HashMap<>();
     private final Map<EndpointId, Long> probedNanos = new HashMap<>();
     private Service service;
     private Map<EndpointId, EndpointStatus> endpoints = Map.of();
     private boolean owner;
     private boolean fenced;
     private long epoch;
-    private long mayOrderNanos;
+    private long ordersAllowedFromNanos;
     private boolean permitsRead;
     private SwapPermits permits = SwapPermits.none();
     private long permitsRevision;
@@ -76,91 +77,92 @@
     private boolean calling;
     private long callNanos;
     private long callNumber;
-    private String held = "";
+    private String blockedReason = "";
 
-    /** An endpoint's last own word and when it came. */
-    private record Seen(EndpointReported report, long atNanos) {}
+    /** The last report of an endpoint and the time of its arrival. */
+    private record LastReport(EndpointReported report, long receivedNanos) {}
 
-    PoolSwap(ControlContext context, String pool, LongSupplier authorityEnds) {
+    PoolSwap(ControlContext context, String pool, LongSupplier authorityEndsNanos) {
         this.context = context;
         this.pool = pool;
-        this.authorityEnds = authorityEnds;
+        this.authorityEndsNanos = authorityEndsNanos;
     }
 
-    void want(Service wanted) {
-        service = wanted;
+    void setService(Service newService) {
+        service = newService;
     }
 
-    void gained(long newEpoch) {
+    void onShardGained(long newEpoch) {
         owner = true;
         fenced = false;
         epoch = newEpoch;
         permitsRead = false;
-        orderedNanos.clear();
-        underWayNanos.clear();
-        Duration wait = service.checksFencing() ? Duration.ZERO : earlierOrdersGone();
-        mayOrderNanos = context.nowNanos() + wait.toNanos();
+        orderEndedNanos.clear();
+        pendingOrderNanos.clear();
+        Duration delay = service.checksFencing() ? Duration.ZERO : earlierOrdersTimeout();
+        ordersAllowedFromNanos = context.nowNanos() + delay.toNanos();
     }
 
-    /** Endpoints that ignore fencing numbers obey an earlier owner as long as one of its orders can be on its way. */
-    static Duration earlierOrdersGone() {
-        return ShardsComponent.longestEarlierAuthority().plus(ORDER_LIFE);
+    /** Returns how long endpoints that ignore fencing numbers may still receive an order of an earlier owner. */
+    static Duration earlierOrdersTimeout() {
+        return ShardsComponent.longestEarlierAuthority().plus(ORDER_LIFETIME);
     }
 
-    void lost() {
+    void onShardLost() {
         owner = false;
         calling = false;
     }
 
-    void endpoints(Map<EndpointId, EndpointStatus> ofPool) {
-        endpoints = ofPool;
-        seen.keySet().retainAll(ofPool.keySet());
+    void setEndpoints(Map<EndpointId, EndpointStatus> poolEndpoints) {
+        endpoints = poolEndpoints;
+        lastReports.keySet().retainAll(poolEndpoints.keySet());
     }
 
-    void reported(EndpointReported report) {
+    void onReport(EndpointReported report) {
         if (endpoints.containsKey(report.endpoint())) {
-            seen.put(report.endpoint(), new Seen(report, context.nowNanos()));
+            lastReports.put(report.endpoint(), new LastReport(report, context.nowNanos()));
         }
     }
 
-    void orderEnded(OrderEnded ended) {
+    void onOrderEnded(OrderEnded ended) {
         if (ended.fencing() != epoch) {
             return;
         }
         if (ended.outcome() == Outcome.STALE_FENCING) {
-            // A later owner has ordered already. Until the shard is gained anew, nothing more is done for the pool.
+            // A later owner has already sent an order. Nothing more is done for the pool until this entry gains the
+            // shard again.
             fenced = true;
         }
-        // Whatever else became of it: only a report that is newer than this moment counts for the next decision.
-        underWayNanos.remove(ended.endpoint());
-        orderedNanos.put(ended.endpoint(), context.nowNanos());
+        // For every outcome, only a report that arrives after this moment counts for the next decision.
+        pendingOrderNanos.remove(ended.endpoint());
+        orderEndedNanos.put(ended.endpoint(), context.nowNanos());
     }
 
-    /** The fencing number under which an order may be given now, empty if none may. */
-    OptionalLong fencingNow(ShardAuthority authority, ShardNumber shard) {
-        OptionalLong now = authority.epochIfHeld(shard, context.nowNanos());
-        boolean may = owner && !fenced && now.isPresent() && now.getAsLong() == epoch;
-        return may && context.nowNanos() - mayOrderNanos >= 0 ? now : OptionalLong.empty();
+    /** Returns the fencing number for orders sent now, or empty if none may be sent. */
+    OptionalLong currentFencingNumber(ShardAuthority authority, ShardNumber shard) {
+        OptionalLong epochNow = authority.epochIfHeld(shard, context.nowNanos());
+        boolean mayOrder = owner && !fenced && epochNow.isPresent() && epochNow.getAsLong() == epoch;
+        return mayOrder && context.nowNanos() - ordersAllowedFromNanos >= 0 ? epochNow : OptionalLong.empty();
     }
 
-    /** Does what can be done now; only to be called while {@link #fencingNow} is present. */
+    /** Performs the next step; must be called only while {@link #currentFencingNumber} is present. */
     void step(Optional<NetworkAddress> weightStore) {
-        if (calling && context.nowNanos() - callNanos < CALL_SILENCE.toNanos()) {
+        if (calling && context.nowNanos() - callNanos < CALL_TIMEOUT.toNanos()) {
             return;
         }
         if (!permitsRead) {
             readPermits();
             return;
         }
-        Map<EndpointId, Long> next = permitsAfterThis();
+        Map<EndpointId, Long> next = nextPermits();
         if (!next.equals(permits.incarnations())) {
             writePermits(SwapPermits.of(next));
             return;
         }
         for (EndpointId endpoint : permits.incarnations().keySet()) {
-            bringOn(endpoints.get(endpoint), weightStore);
+            advance(endpoints.get(endpoint), weightStore);
         }
-        probeOld();
+        probeStale();
     }
 
     Optional<SwapsSnapshot.PoolStatus> status() {
@@ -176,7 +178,7 @@
                 matching,
                 endpoints.size() - matching,
                 ImmutableList.copyOf(permits.incarnations().keySet()),
-                held));
+                blockedReason));
     }
 
     // ---- Permits.
@@ -194,7 +196,9 @@
         });
     }
 
-    /** Only a confirmed write changes the permits here; after any other answer they are read anew. */
+    /**
+     * Writes the permits. Only a confirmed write changes the local permits; after any other answer they are read again.
+     */
     private void writePermits(SwapPermits next) {
         long number = beginCall();
         permitsRead = false;
@@ -217,7 +221,7 @@
         return ++callNumber;
     }
 
-    /** False for an answer that belongs to an earlier ownership or came too late. */
+    /** Returns false for an answer that belongs to an earlier ownership or arrived too late. */
     private boolean endCall(long number) {
         if (number != callNumber || !calling) {
             return false;
@@ -226,21 +230,21 @@
         return owner;
     }
 
-    private Map<EndpointId, Long> permitsAfterThis() {
+    private Map<EndpointId, Long> nextPermits() {
         Map<EndpointId, Long> next = new TreeMap<>();
         permits.incarnations().forEach((endpoint, incarnation) -> {
             if (isStillNeeded(endpoint, incarnation)) {
                 next.put(endpoint, incarnation);
             }
         });
-        held = "";
+        blockedReason = "";
         for (EndpointStatus candidate : candidates(next)) {
             if (next.size() >= model().swapsAtOnce()) {
-                held = "at the limit of " + model().swapsAtOnce() + " at once";
+                blockedReason = "at the limit of " + model().swapsAtOnce() + " at once";
                 break;
             }
-            if (candidate.takesNewWork() && ableWithout(next) - 1 < model().replicaFloor()) {
-                held = "at the floor of " + model().replicaFloor() + " able endpoints";
+            if (candidate.takesNewWork() && countAvailableWithout(next) - 1 < model().replicaFloor()) {
+                blockedReason = "at the floor of " + model().replicaFloor() + " able endpoints";
                 continue;
             }
             next.put(candidate.id(), candidate.incarnation());
@@ -253,9 +257,9 @@
         if (endpoint == null || endpoint.incarnation() != incarnation) {
             return false;
         }
-        Seen last = seen.get(id);
-        long silentSince = last == null ? permitsConfirmedNanos : Math.max(last.atNanos(), permitsConfirmedNanos);
-        if (context.nowNanos() - silentSince > SILENT_PERMIT.toNanos()) {
+        LastReport last = lastReports.get(id);
+        long silentSince = last == null ? permitsConfirmedNanos : Math.max(last.receivedNanos(), permitsConfirmedNanos);
+        if (context.nowNanos() - silentSince > SILENT_PERMIT_TIMEOUT.toNanos()) {
             return false;
         }
         return !matches(id);
@@ -264,22 +268,22 @@
     private List<EndpointStatus> candidates(Map<EndpointId, Long> permitted) {
         List<EndpointStatus> candidates = new ArrayList<>();
         for (EndpointStatus endpoint : endpoints.values()) {
-            boolean isFresh = isSeenSince(endpoint.id(), context.nowNanos() - REPORT_FRESH.toNanos());
-            boolean wrong = isFresh && !matches(endpoint.id());
-            if (wrong
+            boolean isFresh = hasReportedSince(endpoint.id(), context.nowNanos() - MAX_REPORT_AGE.toNanos());
+            boolean needsSwap = isFresh && !matches(endpoint.id());
+            if (needsSwap
                     && !permitted.containsKey(endpoint.id())
-                    && !seen.get(endpoint.id()).report().leaving()) {
+                    && !lastReports.get(endpoint.id()).report().leaving()) {
                 candidates.add(endpoint);
             }
         }
         candidates.sort((left, right) -> {
-            int unableFirst = Boolean.compare(left.takesNewWork(), right.takesNewWork());
-            return unableFirst != 0 ? unableFirst : left.id().compareTo(right.id());
+            int byAvailability = Boolean.compare(left.takesNewWork(), right.takesNewWork());
+            return byAvailability != 0 ? byAvailability : left.id().compareTo(right.id());
         });
         return candidates;
     }
 
-    private long ableWithout(Map<EndpointId, Long> permitted) {
+    private long countAvailableWithout(Map<EndpointId, Long> permitted) {
         return endpoints.values().stream()
                 .filter(endpoint -> endpoint.takesNewWork() && !permitted.containsKey(endpoint.id()))
                 .count();
@@ -287,38 +291,42 @@
 
     // ---- Orders.
 
-    private void bringOn(EndpointStatus endpoint, Optional<NetworkAddress> weightStore) {
-        if (endpoint == null || isUnderWay(endpoint.id())) {
+    private void advance(EndpointStatus endpoint, Optional<NetworkAddress> weightStore) {
+        if (endpoint == null || isOrderPending(endpoint.id())) {
             return;
         }
-        long since = Math.max(permitsConfirmedNanos, orderedNanos.getOrDefault(endpoint.id(), permitsConfirmedNanos));
-        if (!isSeenSince(endpoint.id(), since)) {
-            probe(endpoint, PROBE_PERMITTED_AFTER);
+        long since =
+                Math.max(permitsConfirmedNanos, orderEndedNanos.getOrDefault(endpoint.id(), permitsConfirmedNanos));
+        if (!hasReportedSince(endpoint.id(), since)) {
+            probe(endpoint, PERMITTED_PROBE_INTERVAL);
             return;
         }
-        EndpointReported report = seen.get(endpoint.id()).report();
+        EndpointReported report = lastReports.get(endpoint.id()).report();
         if (report.loading() || matches(endpoint.id())) {
-            probe(endpoint, PROBE_PERMITTED_AFTER);
+            probe(endpoint, PERMITTED_PROBE_INTERVAL);
             return;
         }
-        underWayNanos.put(endpoint.id(), context.nowNanos());
+        pendingOrderNanos.put(endpoint.id(), context.nowNanos());
         boolean versionMatches = report.version().equals(Optional.of(model().version()));
         OrderKind kind = versionMatches ? OrderKind.LOAD_ADAPTER : OrderKind.LOAD_VERSION;
         String value = versionMatches ? model().adapter() : model().version().value();
         context.perform(new OrderEndpoint(
-                endpoint.id(), endpoint.address(), kind, value, epoch, authorityEnds.getAsLong(), weightStore));
+                endpoint.id(), endpoint.address(), kind, value, epoch, authorityEndsNanos.getAsLong(), weightStore));
     }
 
-    /** An order without outcome may still arrive; a second one beside it could make the endpoint load twice. */
-    private boolean isUnderWay(EndpointId id) {
-        Long since = underWayNanos.get(id);
-        return since != null && context.nowNanos() - since < 2 * ORDER_LIFE.toNanos();
+    /**
+     * Returns whether an order has no outcome yet. It may still arrive, and a second order could make the endpoint load
+     * twice.
+     */
+    private boolean isOrderPending(EndpointId id) {
+        Long since = pendingOrderNanos.get(id);
+        return since != null && context.nowNanos() - since < 2 * ORDER_LIFETIME.toNanos();
     }
 
-    private void probeOld() {
+    private void probeStale() {
         int probed = 0;
         for (EndpointStatus endpoint : endpoints.values()) {
-            if (probed < PROBES_PER_STEP && probe(endpoint, PROBE_AFTER)) {
+            if (probed < PROBES_PER_STEP && probe(endpoint, PROBE_INTERVAL)) {
                 probed++;
             }
         }
@@ -326,8 +334,8 @@
 
     private boolean probe(EndpointStatus endpoint, Duration interval) {
         long before = context.nowNanos() - interval.toNanos();
-        boolean recent =
-                isSeenSince(endpoint.id(), before) || probedNanos.getOrDefault(endpoint.id(), before - 1) - before > 0;
+        boolean recent = hasReportedSince(endpoint.id(), before)
+                || probedNanos.getOrDefault(endpoint.id(), before - 1) - before > 0;
         if (recent) {
             return false;
         }
@@ -336,13 +344,13 @@
         return true;
     }
 
-    private boolean isSeenSince(EndpointId id, long nanos) {
-        Seen last = seen.get(id);
-        return last != null && last.atNanos() - nanos > 0;
+    private boolean hasReportedSince(EndpointId id, long nanos) {
+        LastReport last = lastReports.get(id);
+        return last != null && last.receivedNanos() - nanos > 0;
     }
 
     private boolean matches(EndpointId id) {
-        Seen last = seen.get(id);
+        LastReport last = lastReports.get(id);
         if (last == null || last.report().loading()) {
             return false;
         }
--- a/src/main/java/org/yuccagw/core/swap/RoleOrderRequested.java
+++ b/src/main/java/org/yuccagw/core/swap/RoleOrderRequested.java
@@ -6,11 +6,11 @@
 import org.yuccagw.core.id.EndpointId;
 
 /**
- * An operator wants an endpoint in another role. Only the owner of the pool's shard may order; another entry refuses
- * with STALE_OWNER and the owner's name. The reply comes exactly once.
+ * An operator requests another role for an endpoint. Only the owner of the pool's shard may send the order; another
+ * entry refuses with STALE_OWNER and the owner's name. The reply is called exactly once.
  */
 public record RoleOrderRequested(EndpointId endpoint, String role, Consumer<Result> reply) implements ControlEvent {
-    /** What became of it. */
+    /** The result of the request. */
     public interface Result {
         record Accepted() implements Result {}
 
--- a/src/main/java/org/yuccagw/core/swap/SwapPermits.java
+++ b/src/main/java/org/yuccagw/core/swap/SwapPermits.java
@@ -9,10 +9,11 @@
 import org.yuccagw.core.id.EndpointId;
 
 /**
- * Which endpoints of a pool may load weights at present, with their incarnations, as kept in the key-value service.
+ * The endpoints of a pool that may load weights at present, with their incarnations, as stored in the key-value
+ * service.
  *
- * <p>Every owner changes it by compare-and-swap only, and gives no order to an endpoint that isn't in it. So the
- * permits of an owner that died still count for the next one, and the sum never passes the limit.
+ * <p>Every owner changes the permits by compare-and-swap only, and orders no endpoint that has no permit. So the
+ * permits of a failed owner still count for the next one, and the number of permits never exceeds the limit.
  */
 record SwapPermits(ImmutableSortedMap<EndpointId, Long> incarnations) {
     private static final String PREFIX = "yuccagw/swaps/";
@@ -37,7 +38,7 @@
         return lines.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads the value; a line that can't be read counts as no permit, since no owner of ours wrote it. */
+    /** Decodes the stored value; a malformed line counts as no permit, since no owner writes such lines. */
     static SwapPermits decode(byte[] value) {
         Map<EndpointId, Long> read = new TreeMap<>();
         String text = new String(value, StandardCharsets.UTF_8);
--- a/src/main/java/org/yuccagw/core/swap/SwapsComponent.java
+++ b/src/main/java/org/yuccagw/core/swap/SwapsComponent.java
@@ -32,23 +32,23 @@
 import org.yuccagw.core.shard.Shards;
 
 /**
- * Orders to endpoints: rolling weight swaps of the pools whose shard this entry owns, and operators' orders.
+ * Sends orders to endpoints: rolling weight swaps of the pools whose shard this entry owns, and operators' orders.
  *
- * <p>One entry orders a pool: the owner of the shard of its name. What it may do now is asked of {@link ShardAuthority}
- * at each step, never remembered.
+ * <p>One entry orders the endpoints of a pool: the owner of the shard of the pool's name. Its authority is queried from
+ * {@link ShardAuthority} at each step and never cached.
  */
 public final class SwapsComponent implements ControlComponent {
-    private static final Duration STEP = Duration.ofMillis(100);
+    private static final Duration STEP_INTERVAL = Duration.ofMillis(100);
 
     private final ShardAuthority authority;
     private final TreeMap<String, PoolSwap> pools = new TreeMap<>();
     private final Map<EndpointId, Consumer<OrderEnded.Outcome>> operatorOrders = new HashMap<>();
-    private final Map<ShardNumber, Long> owned = new HashMap<>();
+    private final Map<ShardNumber, Long> ownedShards = new HashMap<>();
     private ControlContext context;
     private EndpointsSnapshot endpoints = EndpointsSnapshot.empty();
     private Optional<NetworkAddress> weightStore = Optional.empty();
-    private int shards;
-    private boolean stepping;
+    private int configuredShards;
+    private boolean stepScheduled;
 
     private SwapsComponent(ShardAuthority authority) {
         this.authority = authority;
@@ -58,7 +58,7 @@
         return new SwapsComponent(authority);
     }
 
-    /** The shard whose owner orders the endpoints of a pool. */
+    /** Returns the shard whose owner orders the endpoints of a pool. */
     public static ShardNumber shardOf(String pool, int shardCount) {
         return Shards.of("pool/" + pool, shardCount);
     }
@@ -71,23 +71,23 @@
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof CatalogueChanged changed) {
-            takeCatalogue(changed.catalogue());
+            onCatalogue(changed.catalogue());
         } else if (event instanceof EndpointsChanged changed) {
             endpoints = changed.endpoints();
-            pools.forEach((pool, swap) -> swap.endpoints(endpointsOf(pool)));
+            pools.forEach((pool, swap) -> swap.setEndpoints(endpointsOf(pool)));
         } else if (event instanceof EndpointReported report) {
-            pools.values().forEach(swap -> swap.reported(report));
+            pools.values().forEach(swap -> swap.onReport(report));
         } else if (event instanceof OrderEnded ended) {
-            takeOutcome(ended);
+            onOrderEnded(ended);
         } else if (event instanceof ShardGained gained) {
-            owned.put(gained.shard(), gained.epoch());
-            beginSteps();
-            pools.forEach((pool, swap) -> gainIfOwned(pool, swap, gained.shard()));
+            ownedShards.put(gained.shard(), gained.epoch());
+            scheduleStep();
+            pools.forEach((pool, swap) -> notifyIfOwned(pool, swap, gained.shard()));
         } else if (event instanceof ShardLost lost) {
-            owned.remove(lost.shard());
+            ownedShards.remove(lost.shard());
             pools.forEach((pool, swap) -> {
-                if (shardOf(pool, shards).equals(lost.shard())) {
-                    swap.lost();
+                if (shardOf(pool, configuredShards).equals(lost.shard())) {
+                    swap.onShardLost();
                 }
             });
         } else if (event instanceof PlatformListed list) {
@@ -108,63 +108,64 @@
         snapshot.put(SwapsSnapshot.class, new SwapsSnapshot(statuses));
     }
 
-    private void beginSteps() {
-        if (!stepping) {
-            stepping = true;
-            context.after(STEP, this::step);
+    private void scheduleStep() {
+        if (!stepScheduled) {
+            stepScheduled = true;
+            context.after(STEP_INTERVAL, this::step);
         }
     }
 
     private void step() {
-        stepping = false;
-        if (!owned.isEmpty()) {
-            beginSteps();
+        stepScheduled = false;
+        if (!ownedShards.isEmpty()) {
+            scheduleStep();
         }
         pools.forEach((pool, swap) -> {
-            if (swap.fencingNow(authority, shardOf(pool, shards)).isPresent()) {
+            if (swap.currentFencingNumber(authority, shardOf(pool, configuredShards))
+                    .isPresent()) {
                 swap.step(weightStore);
             }
         });
     }
 
-    private void takeCatalogue(Catalogue changed) {
-        if (shards == 0) {
-            shards = changed.system().shards();
+    private void onCatalogue(Catalogue catalogue) {
+        if (configuredShards == 0) {
+            configuredShards = catalogue.system().shards();
         }
-        Map<String, Service> wanted = new TreeMap<>();
-        for (Service service : changed.services().values()) {
+        Map<String, Service> servicesByPool = new TreeMap<>();
+        for (Service service : catalogue.services().values()) {
             if (service.model().isPresent()) {
-                wanted.putIfAbsent(service.pool(), service);
+                servicesByPool.putIfAbsent(service.pool(), service);
             }
         }
-        pools.keySet().retainAll(wanted.keySet());
-        wanted.forEach((pool, service) -> {
-            PoolSwap known = pools.get(pool);
-            if (known != null) {
-                known.want(service);
+        pools.keySet().retainAll(servicesByPool.keySet());
+        servicesByPool.forEach((pool, service) -> {
+            PoolSwap existing = pools.get(pool);
+            if (existing != null) {
+                existing.setService(service);
                 return;
             }
             PoolSwap added = new PoolSwap(context, pool, () -> authority.authorityEndsNanos(context.nowNanos()));
-            added.want(service);
-            added.endpoints(endpointsOf(pool));
+            added.setService(service);
+            added.setEndpoints(endpointsOf(pool));
             pools.put(pool, added);
-            gainIfOwned(pool, added, shardOf(pool, shards));
+            notifyIfOwned(pool, added, shardOf(pool, configuredShards));
         });
     }
 
-    private void gainIfOwned(String pool, PoolSwap swap, ShardNumber shard) {
-        Long epoch = owned.get(shard);
-        if (epoch != null && shardOf(pool, shards).equals(shard)) {
-            swap.gained(epoch);
+    private void notifyIfOwned(String pool, PoolSwap swap, ShardNumber shard) {
+        Long epoch = ownedShards.get(shard);
+        if (epoch != null && shardOf(pool, configuredShards).equals(shard)) {
+            swap.onShardGained(epoch);
         }
     }
 
     private Map<EndpointId, EndpointStatus> endpointsOf(String pool) {
-        Map<EndpointId, EndpointStatus> ofPool = new TreeMap<>();
+        Map<EndpointId, EndpointStatus> poolEndpoints = new TreeMap<>();
         endpoints.byId().values().stream()
                 .filter(endpoint -> endpoint.pool().equals(pool))
-                .forEach(endpoint -> ofPool.put(endpoint.id(), endpoint));
-        return ofPool;
+                .forEach(endpoint -> poolEndpoints.put(endpoint.id(), endpoint));
+        return poolEndpoints;
     }
 
     // ---- Operators' orders.
@@ -174,7 +175,7 @@
             EndpointStatus endpoint = endpoints
                     .find(requested.endpoint())
                     .orElseThrow(() -> ErrorKind.UNKNOWN_ITEM.raise("endpoint", requested.endpoint()));
-            OptionalLong fencing = fencingFor(endpoint.pool());
+            OptionalLong fencing = fencingNumberFor(endpoint.pool());
             if (fencing.isEmpty()) {
                 throw ErrorKind.STALE_OWNER.raise("pool '" + endpoint.pool() + "'");
             }
@@ -195,9 +196,11 @@
         }
     }
 
-    private OptionalLong fencingFor(String pool) {
+    private OptionalLong fencingNumberFor(String pool) {
         PoolSwap swap = pools.get(pool);
-        return swap == null ? OptionalLong.empty() : swap.fencingNow(authority, shardOf(pool, shards));
+        return swap == null
+                ? OptionalLong.empty()
+                : swap.currentFencingNumber(authority, shardOf(pool, configuredShards));
     }
 
     private void reply(RoleOrderRequested requested, OrderEnded.Outcome outcome) {
@@ -211,7 +214,7 @@
         context.reply(() -> requested.reply().accept(new RoleOrderRequested.Result.Refused(error)));
     }
 
-    private void takeOutcome(OrderEnded ended) {
+    private void onOrderEnded(OrderEnded ended) {
         if (ended.kind() == OrderKind.CHANGE_ROLE) {
             Consumer<OrderEnded.Outcome> operator = operatorOrders.remove(ended.endpoint());
             if (operator != null) {
@@ -219,6 +222,6 @@
             }
             return;
         }
-        pools.values().forEach(swap -> swap.orderEnded(ended));
+        pools.values().forEach(swap -> swap.onOrderEnded(ended));
     }
 }
--- a/src/main/java/org/yuccagw/core/swap/package-info.java
+++ b/src/main/java/org/yuccagw/core/swap/package-info.java
@@ -1,2 +1,2 @@
-/** Rolling weight swaps within permits, a floor of serving replicas and the weight store's rate. */
+/** Rolling weight swaps, limited by permits, a floor of serving replicas and the bandwidth of the weight store. */
 package org.yuccagw.core.swap;
--- a/src/test/java/org/yuccagw/core/endpoint/EndpointsTest.java
+++ b/src/test/java/org/yuccagw/core/endpoint/EndpointsTest.java
@@ -23,26 +23,26 @@
 import org.yuccagw.core.id.VmId;
 
 public class EndpointsTest {
-    private static final Duration LONG = Duration.ofMinutes(2);
-    private static final Duration AFTER_FIRST_SIGN = Duration.ofSeconds(3);
+    private static final Duration LONG_TIMEOUT = Duration.ofMinutes(2);
+    private static final Duration PROPAGATION_TIMEOUT = Duration.ofSeconds(3);
     private static final String POOL = "assistant";
     private static final int REPLICAS = 13;
     private static final EndpointId SUBJECT = EndpointId.of("assistant-04");
 
     private ControlBench bench;
     private EnginePool engines;
-    private List<BenchNode> nodes;
+    private List<BenchNode> entries;
 
     @BeforeMethod
-    public void startEntriesAndAPool() {
+    public void startEntriesAndPool() {
         bench = ControlBench.of(41);
         engines = EnginePool.start(bench, POOL, REPLICAS, SampleCatalogues.FIRST_VERSION, true, Duration.ofMillis(450));
-        nodes = new ArrayList<>();
+        entries = new ArrayList<>();
         for (int index = 0; index < 5; index++) {
-            nodes.add(bench.start("entry-" + index, ControlComponents.all()));
+            entries.add(bench.start("entry-" + index, ControlComponents.all()));
         }
         bench.runFor(Duration.ofSeconds(5));
-        nodes.get(0)
+        entries.get(0)
                 .offer(new CatalogueEditRequested(
                         0,
                         SampleCatalogues.withPool(
@@ -50,86 +50,86 @@
                         "first",
                         "mari",
                         result -> {}));
-        assertTrue(bench.runUntil(() -> nodes.stream().allMatch(this::knowsAllVersions), LONG));
+        assertTrue(bench.runUntil(() -> entries.stream().allMatch(this::hasAllVersions), LONG_TIMEOUT));
     }
 
-    // The platform decides to stop a VM. Its endpoint says so at once, the platform's list shows the VM as live for
-    // another minute. Requests that are sent there meanwhile are cut when it stops.
+    // The platform decides to stop a VM. Its endpoint reports this at once, but the platform's list shows the VM as
+    // live for another minute. Requests that are sent there meanwhile are interrupted when the VM stops.
     @Test
-    public void aLaggingListDoesNotBringALeavingEndpointBack() {
+    public void aLaggingListDoesNotRestoreALeavingEndpoint() {
         engines.setLeaving(SUBJECT.value(), true);
-        assertTrue(bench.runUntil(() -> nobodySendsTo(SUBJECT), AFTER_FIRST_SIGN));
+        assertTrue(bench.runUntil(() -> noEntrySendsTo(SUBJECT), PROPAGATION_TIMEOUT));
         engines.setLeaving(SUBJECT.value(), false);
         bench.runFor(Duration.ofMinutes(1));
-        assertTrue(nobodySendsTo(SUBJECT));
+        assertTrue(noEntrySendsTo(SUBJECT));
         engines.replace(SUBJECT.value());
-        assertTrue(bench.runUntil(() -> everybodySendsTo(SUBJECT), Duration.ofSeconds(5)));
+        assertTrue(bench.runUntil(() -> allEntriesSendTo(SUBJECT), Duration.ofSeconds(5)));
     }
 
-    // Only one entry happens to send a request and is told "leaving"; the endpoint's own report lags. The others must
-    // not go on sending until they are told the same, one by one.
+    // Only one entry sends a request and gets the answer that the endpoint is leaving; the endpoint's own report lags.
+    // The other entries must not keep sending until each of them gets the same answer.
     @Test
-    public void whatOneEntryIsToldOfALeavingEndpointAllKnowWithinSeconds() {
-        nodes.get(2).offer(new AttemptObserved(SUBJECT, 1, Outcome.SAID_LEAVING));
-        assertTrue(bench.runUntil(() -> nobodySendsTo(SUBJECT), AFTER_FIRST_SIGN));
+    public void allEntriesLearnWithinSecondsThatAnEndpointIsLeaving() {
+        entries.get(2).offer(new AttemptObserved(SUBJECT, 1, Outcome.SAID_LEAVING));
+        assertTrue(bench.runUntil(() -> noEntrySendsTo(SUBJECT), PROPAGATION_TIMEOUT));
     }
 
-    // A fault of the entry's own network makes every endpoint look broken. Ejecting them all would turn a partial
-    // failure into a whole one.
+    // A fault of the entry's own network makes every endpoint look failed. Ejecting them all would turn a partial
+    // failure into a total one.
     @Test
-    public void aSignalThatIsWrongForAllCannotEmptyAPool() {
-        BenchNode node = nodes.get(0);
+    public void aWrongFailureSignalForAllEndpointsDoesNotEmptyAPool() {
+        BenchNode entry = entries.get(0);
         for (int round = 0; round < 10; round++) {
-            for (EndpointStatus endpoint : endpointsOf(node).byId().values()) {
-                node.offer(new AttemptObserved(endpoint.id(), 1, Outcome.FAILED));
+            for (EndpointStatus endpoint : endpointsOf(entry).byId().values()) {
+                entry.offer(new AttemptObserved(endpoint.id(), 1, Outcome.FAILED));
             }
         }
-        assertEquals(endpointsOf(node).takingNewWork(POOL).size(), REPLICAS - REPLICAS / 2);
+        assertEquals(endpointsOf(entry).takingNewWork(POOL).size(), REPLICAS - REPLICAS / 2);
     }
 
     @Test
-    public void anEjectedEndpointTakesWorkAgainOnceItAnswers() {
-        BenchNode node = nodes.get(0);
+    public void anEjectedEndpointAcceptsWorkAgainOnceItAnswers() {
+        BenchNode entry = entries.get(0);
         for (int failure = 0; failure < 3; failure++) {
-            node.offer(new AttemptObserved(SUBJECT, 1, Outcome.SILENT));
+            entry.offer(new AttemptObserved(SUBJECT, 1, Outcome.SILENT));
         }
-        assertFalse(takesNewWork(node, SUBJECT));
-        assertTrue(bench.runUntil(() -> takesNewWork(node, SUBJECT), Duration.ofSeconds(8)));
+        assertFalse(takesNewWork(entry, SUBJECT));
+        assertTrue(bench.runUntil(() -> takesNewWork(entry, SUBJECT), Duration.ofSeconds(8)));
     }
 
     @Test
     public void anObservationOfAnEarlierIncarnationIsIgnored() {
-        BenchNode node = nodes.get(0);
+        BenchNode entry = entries.get(0);
         engines.replace(SUBJECT.value());
         bench.runFor(Duration.ofSeconds(3));
-        node.offer(new AttemptObserved(SUBJECT, 1, Outcome.SAID_LEAVING));
-        assertTrue(takesNewWork(node, SUBJECT));
+        entry.offer(new AttemptObserved(SUBJECT, 1, Outcome.SAID_LEAVING));
+        assertTrue(takesNewWork(entry, SUBJECT));
     }
 
-    // The list comes back without one line, though the VM lives. Dropping the endpoint would throw away its cache and
-    // a part of the capacity.
+    // The list lacks one line, although the VM is live. Removing the endpoint would discard its cache and some of the
+    // capacity.
     @Test
-    public void anEndpointGoesOnlyWhenTheListAndItsSilenceAgree() {
-        ListedVm line = bench.vms().stream()
+    public void anEndpointIsRemovedOnlyWhenItIsUnlistedAndSilent() {
+        ListedVm subjectVm = bench.vms().stream()
                 .filter(vm -> vm.name().equals(SUBJECT.value()))
                 .findFirst()
                 .orElseThrow();
-        bench.vms().remove(line);
+        bench.vms().remove(subjectVm);
         bench.runFor(Duration.ofMinutes(1));
-        assertTrue(everybodySendsTo(SUBJECT));
+        assertTrue(allEntriesSendTo(SUBJECT));
         engines.kill(SUBJECT.value());
         assertTrue(bench.runUntil(
-                () -> nodes.stream()
-                        .noneMatch(node -> endpointsOf(node).find(SUBJECT).isPresent()),
-                LONG));
+                () -> entries.stream()
+                        .noneMatch(entry -> endpointsOf(entry).find(SUBJECT).isPresent()),
+                LONG_TIMEOUT));
     }
 
-    // Plain services aren't probed, so their silence says nothing. One list that comes back empty must not take every
-    // endpoint of theirs away; only what stays missing for long is gone.
+    // Plain services aren't probed, so their silence has no meaning. One list that is empty must not remove all their
+    // endpoints; an endpoint is removed only if it stays missing for long.
     @Test
     public void oneListWithoutAPlainServiceDoesNotEmptyItsPool() {
-        BenchNode node = nodes.get(0);
-        PlatformListed.ListedVm plain = new ListedVm(
+        BenchNode entry = entries.get(0);
+        PlatformListed.ListedVm plainVm = new ListedVm(
                 VmId.of("vm-portal"),
                 1,
                 false,
@@ -138,57 +138,58 @@
                 "portal",
                 FailureDomain.of("kadaka"),
                 NetworkAddress.of("127.0.0.1", 9000));
-        bench.vms().add(plain);
+        bench.vms().add(plainVm);
         bench.runFor(Duration.ofMinutes(1));
-        bench.vms().remove(plain);
+        bench.vms().remove(plainVm);
         bench.runFor(Duration.ofSeconds(2));
-        assertTrue(takesNewWork(node, EndpointId.of("portal-0")));
-        bench.vms().add(plain);
+        assertTrue(takesNewWork(entry, EndpointId.of("portal-0")));
+        bench.vms().add(plainVm);
         bench.runFor(Duration.ofMinutes(1));
-        assertTrue(takesNewWork(node, EndpointId.of("portal-0")));
-        bench.vms().remove(plain);
+        assertTrue(takesNewWork(entry, EndpointId.of("portal-0")));
+        bench.vms().remove(plainVm);
         bench.runFor(Duration.ofSeconds(30));
-        assertTrue(endpointsOf(node).find(EndpointId.of("portal-0")).isEmpty());
+        assertTrue(endpointsOf(entry).find(EndpointId.of("portal-0")).isEmpty());
     }
 
-    // A failure domain loses power: a third of the endpoints is gone at once, without a word. New requests must go to
-    // the rest, although the list still names the lost ones.
+    // A failure domain loses power: a third of the endpoints fail at once, without notice. New requests must go to the
+    // rest, although the list still contains the failed ones.
     @Test
-    public void theLossOfAFailureDomainLeavesOnlyTheOthersInUse() {
+    public void afterTheLossOfAFailureDomainOnlyOtherEndpointsAreUsed() {
         bench.vms().stream()
                 .filter(vm -> vm.domain().value().equals("mustamae"))
                 .forEach(vm -> engines.kill(vm.name()));
         assertTrue(bench.runUntil(
-                () -> nodes.stream()
-                        .allMatch(node -> endpointsOf(node).takingNewWork(POOL).stream()
+                () -> entries.stream()
+                        .allMatch(entry -> endpointsOf(entry).takingNewWork(POOL).stream()
                                 .noneMatch(endpoint -> endpoint.domain().value().equals("mustamae"))),
                 Duration.ofSeconds(15)));
-        nodes.forEach(node -> assertEquals(endpointsOf(node).takingNewWork(POOL).size(), 9));
+        entries.forEach(
+                entry -> assertEquals(endpointsOf(entry).takingNewWork(POOL).size(), 9));
     }
 
-    private boolean knowsAllVersions(BenchNode node) {
-        return endpointsOf(node).byId().values().stream()
+    private boolean hasAllVersions(BenchNode entry) {
+        return endpointsOf(entry).byId().values().stream()
                         .filter(endpoint -> endpoint.version().isPresent())
                         .count()
                 == REPLICAS;
     }
 
-    private boolean nobodySendsTo(EndpointId endpoint) {
-        return nodes.stream().noneMatch(node -> takesNewWork(node, endpoint));
+    private boolean noEntrySendsTo(EndpointId endpoint) {
+        return entries.stream().noneMatch(entry -> takesNewWork(entry, endpoint));
     }
 
-    private boolean everybodySendsTo(EndpointId endpoint) {
-        return nodes.stream().allMatch(node -> takesNewWork(node, endpoint));
+    private boolean allEntriesSendTo(EndpointId endpoint) {
+        return entries.stream().allMatch(entry -> takesNewWork(entry, endpoint));
     }
 
-    private static boolean takesNewWork(BenchNode node, EndpointId endpoint) {
-        return endpointsOf(node)
+    private static boolean takesNewWork(BenchNode entry, EndpointId endpoint) {
+        return endpointsOf(entry)
                 .find(endpoint)
                 .map(EndpointStatus::takesNewWork)
                 .orElse(false);
     }
 
-    private static EndpointsSnapshot endpointsOf(BenchNode node) {
-        return node.state(EndpointsSnapshot.class).orElseThrow();
+    private static EndpointsSnapshot endpointsOf(BenchNode entry) {
+        return entry.state(EndpointsSnapshot.class).orElseThrow();
     }
 }
--- a/src/test/java/org/yuccagw/core/stores/StoresComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/StoresComponentTest.java
@@ -255,6 +255,13 @@
 
     private static CacheStore store(String name, int port, long tokens, double firstMillis) {
         return new CacheStore(
-                StoreId.of(name), NetworkAddress.of("127.0.0.1", port), LOCAL_DOMAIN, tokens, 40_000, 12, true, firstMillis);
+                StoreId.of(name),
+                NetworkAddress.of("127.0.0.1", port),
+                LOCAL_DOMAIN,
+                tokens,
+                40_000,
+                12,
+                true,
+                firstMillis);
     }
 }
