--- a/src/main/java/org/yuccagw/core/duty/DutyComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/DutyComponent.java
@@ -17,7 +17,7 @@
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.lease.LeaseRenewer;
 import org.yuccagw.core.lease.LeaseTimes;
-import org.yuccagw.core.lease.PauseWatch;
+import org.yuccagw.core.lease.PauseDetector;
 import org.yuccagw.core.membership.StopRequested;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueCall;
@@ -52,7 +52,7 @@
     private final Supplier<List<EntryId>> candidates;
     private final BooleanSupplier reachable;
     private final Duration separation;
-    private final PauseWatch pauseWatch = new PauseWatch();
+    private final PauseDetector pauseDetector = new PauseDetector();
 
     private ControlContext context;
     private LeaseRenewer lease;
@@ -133,7 +133,7 @@
 
     /** Returns whether this entry may act for the duty at this moment. */
     public boolean mayAct() {
-        if (pauseWatch.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
+        if (pauseDetector.suspendedSinceLastCheck(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
             stepDown("stood still");
             return false;
         }
@@ -147,12 +147,12 @@
 
     /** Returns the monotonic time at which this entry's lease expires, for a last check just before an effect. */
     public long leaseExpiryNanos() {
-        return lease.heldUntilNanos();
+        return lease.expiryNanos();
     }
 
     private void check() {
         context.after(CHECK_INTERVAL, this::check);
-        if (pauseWatch.pausedSinceLastLook(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
+        if (pauseDetector.suspendedSinceLastCheck(context.nowNanos(), context.wallMillis()) && (holding || claiming)) {
             stepDown("stood still");
         } else if (claiming && context.nowNanos() - claimNanos > CLAIM_TIMEOUT.toNanos()) {
             stepDown("claim came to nothing");
@@ -172,7 +172,7 @@
             if (stillVacant) {
                 claiming = true;
                 claimNanos = context.nowNanos();
-                lease.want();
+                lease.acquire();
             }
         });
     }
@@ -237,7 +237,7 @@
         boolean wasHolding = holding;
         holding = false;
         claiming = false;
-        lease.giveBack();
+        lease.release();
         if (wasHolding) {
             context.perform(Decision.of("duty-ended").with("duty", duty).with("reason", reason));
             context.raise(new DutyEnded(duty));
--- a/src/main/java/org/yuccagw/core/swap/PoolSwap.java
+++ b/src/main/java/org/yuccagw/core/swap/PoolSwap.java
@@ -105,7 +105,7 @@
 
     /** Returns how long endpoints that ignore fencing numbers may still receive an order of an earlier owner. */
     static Duration earlierOrdersTimeout() {
-        return ShardsComponent.longestEarlierAuthority().plus(ORDER_LIFETIME);
+        return ShardsComponent.maxPreviousOwnerAuthority().plus(ORDER_LIFETIME);
     }
 
     void onShardLost() {
