--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -34,17 +34,17 @@
     }
 
     static Catalogue catalogue(ControlSnapshot snapshot) {
-        return snapshot.part(Catalogue.class).orElse(Catalogue.none());
+        return snapshot.find(Catalogue.class).orElse(Catalogue.none());
     }
 
     static boolean isReady(ControlSnapshot snapshot) {
-        return snapshot.part(DirectorySnapshot.class)
+        return snapshot.find(DirectorySnapshot.class)
                 .map(DirectorySnapshot::ready)
                 .orElse(false);
     }
 
     static String reason(ControlSnapshot snapshot) {
-        return snapshot.part(DirectorySnapshot.class)
+        return snapshot.find(DirectorySnapshot.class)
                 .map(DirectorySnapshot::reason)
                 .orElse(NOT_STARTED);
     }
@@ -61,7 +61,7 @@
     ObjectNode status(ControlSnapshot snapshot) {
         ObjectNode root = readiness(snapshot);
         ArrayNode entries = root.putArray("entries");
-        snapshot.part(DirectorySnapshot.class)
+        snapshot.find(DirectorySnapshot.class)
                 .ifPresent(directory -> directory.entries().forEach(entry -> writeEntry(entry, entries.addObject())));
         writeRequests(snapshot, root.putObject("requests"));
         return root;
@@ -69,15 +69,15 @@
 
     /** What this entry's requests hold and wait for. */
     private static void writeRequests(ControlSnapshot snapshot, ObjectNode node) {
-        snapshot.part(AdmissionSnapshot.class)
+        snapshot.find(AdmissionSnapshot.class)
                 .ifPresent(admission -> node.put("running", admission.running())
                         .put("waiting", admission.waiting())
                         .put("refused", admission.refused()));
-        snapshot.part(ClaimsSnapshot.class)
+        snapshot.find(ClaimsSnapshot.class)
                 .ifPresent(claims -> node.put("claims_running", claims.running())
                         .put("claim_ends_to_record", claims.endsToRecord())
                         .put("claim_shards", claims.ownedShards()));
-        snapshot.part(QuarantineSnapshot.class)
+        snapshot.find(QuarantineSnapshot.class)
                 .ifPresent(quarantine -> node.put("suspected_prompts", quarantine.suspectedPrompts())
                         .put("permits", quarantine.permits()));
     }
@@ -85,7 +85,7 @@
     ObjectNode endpoints(ControlSnapshot snapshot) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode endpoints = root.putArray("endpoints");
-        snapshot.part(EndpointsSnapshot.class).orElse(EndpointsSnapshot.empty()).byId().values().stream()
+        snapshot.find(EndpointsSnapshot.class).orElse(EndpointsSnapshot.empty()).byId().values().stream()
                 .sorted((left, right) -> left.id().compareTo(right.id()))
                 .forEach(endpoint -> writeEndpoint(endpoint, endpoints.addObject()));
         return root;
@@ -94,7 +94,7 @@
     ObjectNode shards(ControlSnapshot snapshot) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode shards = root.putArray("shards");
-        snapshot.part(ShardsSnapshot.class)
+        snapshot.find(ShardsSnapshot.class)
                 .ifPresent(known -> known.owners()
                         .forEach((shard, ownership) -> shards.addObject()
                                 .put("shard", shard.value())
@@ -102,7 +102,7 @@
                                 .put("epoch", ownership.epoch())));
         root.put(
                 "count",
-                snapshot.part(ShardsSnapshot.class).map(ShardsSnapshot::count).orElse(0));
+                snapshot.find(ShardsSnapshot.class).map(ShardsSnapshot::count).orElse(0));
         return root;
     }
 
--- a/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
@@ -167,14 +167,14 @@
     private Catalogue readyCatalogue() throws YuccagwException {
         DirectorySnapshot directory = services.snapshot()
                 .get()
-                .part(DirectorySnapshot.class)
+                .find(DirectorySnapshot.class)
                 .orElseThrow(() -> ErrorKind.NOT_READY.raise("has not started yet"));
         if (!directory.ready()) {
             throw ErrorKind.NOT_READY.raise(directory.reason());
         }
         return services.snapshot()
                 .get()
-                .part(Catalogue.class)
+                .find(Catalogue.class)
                 .orElseThrow(() -> ErrorKind.NOT_READY.raise("has no catalogue yet"));
     }
 
@@ -203,7 +203,7 @@
         try {
             DirectorySnapshot directory = services.snapshot()
                     .get()
-                    .part(DirectorySnapshot.class)
+                    .find(DirectorySnapshot.class)
                     .orElseThrow(() -> ErrorKind.NOT_READY.raise("has not started yet"));
             Deque<String> domain = exchange.getQueryParameters().get("domain");
             sendJson(exchange, DirectoryAnswer.of(directory, domain == null ? "" : domain.getFirst()));
@@ -434,7 +434,7 @@
     private EndpointStatus endpointOf(ResumeToken token, Service service) {
         Optional<EndpointStatus> known = services.snapshot()
                 .get()
-                .part(EndpointsSnapshot.class)
+                .find(EndpointsSnapshot.class)
                 .flatMap(endpoints -> endpoints.find(token.endpoint()))
                 .filter(endpoint -> endpoint.incarnation() == token.incarnation());
         return known.orElseGet(() -> new EndpointStatus(
--- a/src/main/java/org/yuccagw/adapters/caller/Follower.java
+++ b/src/main/java/org/yuccagw/adapters/caller/Follower.java
@@ -78,7 +78,7 @@
     private Optional<NetworkAddress> addressOf(EntryId entry) {
         return services.snapshot()
                 .get()
-                .part(DirectorySnapshot.class)
+                .find(DirectorySnapshot.class)
                 .flatMap(directory -> directory.entries().stream()
                         .filter(status -> status.entry().equals(entry))
                         .map(EntryStatus::callerAddress)
--- a/src/main/java/org/yuccagw/adapters/peer/PlacementCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/PlacementCodec.java
@@ -114,7 +114,7 @@
     }
 
     private static CachePlanMessage encode(CachePlan plan) {
-        CachePlanMessage.Builder wire = CachePlanMessage.newBuilder().setUntilMillis(plan.untilMillis());
+        CachePlanMessage.Builder wire = CachePlanMessage.newBuilder().setUntilMillis(plan.fetchDeadlineMillis());
         for (Optional<CachePlan.Source> fetch : plan.fetches()) {
             wire.addFetches(CacheSourceMessage.newBuilder()
                     .setStore(fetch.map(source -> source.store().toString()).orElse(""))
--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -24,7 +24,7 @@
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.ErrorKind;
@@ -57,7 +57,7 @@
     private final ServingServices services;
     private final RunCount runs;
     private final Undertow server;
-    private final Regions regions;
+    private final DomainRegions regions;
     private volatile boolean stopping;
     private volatile boolean refusingStreams;
     private volatile boolean refusing;
@@ -181,7 +181,7 @@
         ForwardRequest request = new ForwardRequest(
                 head.id(),
                 route,
-                route.pick(ThreadLocalRandom.current().nextDouble()),
+                route.selectService(ThreadLocalRandom.current().nextDouble()),
                 workspace,
                 head.prompt(),
                 head.patience().orElse(route.timeout()),
@@ -198,12 +198,12 @@
     private Deployment confirmedDeployment() throws YuccagwException {
         Deployment deployment = services.snapshot()
                 .get()
-                .part(Deployment.class)
+                .find(Deployment.class)
                 .orElseThrow(() ->
                         ErrorKind.NOT_READY.raise("has no configuration yet").comeBackAfter(NOT_READY_WAIT));
         if (services.keysUnconfirmed().isPresent()) {
             FollowSnapshot follow =
-                    services.snapshot().get().part(FollowSnapshot.class).orElse(FollowSnapshot.none());
+                    services.snapshot().get().find(FollowSnapshot.class).orElse(FollowSnapshot.none());
             long ageNanos = System.nanoTime() - follow.confirmedNanos();
             if (ageNanos > services.keysUnconfirmed().get().toNanos()) {
                 throw ErrorKind.NOT_READY
@@ -216,7 +216,7 @@
 
     private static Optional<WorkspaceAccess> workspaceOf(Deployment deployment, Route route, CallerHead head)
             throws YuccagwException {
-        if (!deployment.keysNeeded() || route.open()) {
+        if (!deployment.keysRequired() || route.open()) {
             return Optional.empty();
         }
         String key = head.bearerKey().orElseThrow(ErrorKind.MISSING_KEY::raise);
@@ -236,7 +236,7 @@
     private void explainRefusal(HttpServerExchange exchange, YuccagwException error) {
         long version = services.snapshot()
                 .get()
-                .part(Deployment.class)
+                .find(Deployment.class)
                 .map(Deployment::version)
                 .orElse(0L);
         services.decisions()
@@ -286,6 +286,6 @@
     }
 
     private PeersSnapshot peers() {
-        return services.snapshot().get().part(PeersSnapshot.class).orElse(PeersSnapshot.none());
+        return services.snapshot().get().find(PeersSnapshot.class).orElse(PeersSnapshot.none());
     }
 }
--- a/src/main/java/org/yuccagw/bench/control/BenchNode.java
+++ b/src/main/java/org/yuccagw/bench/control/BenchNode.java
@@ -89,7 +89,7 @@
     }
 
     public <T> Optional<T> state(Class<T> type) {
-        return core.snapshot().part(type);
+        return core.snapshot().find(type);
     }
 
     public long events() {
--- a/src/main/java/org/yuccagw/bench/requests/VirtualEntries.java
+++ b/src/main/java/org/yuccagw/bench/requests/VirtualEntries.java
@@ -326,7 +326,7 @@
     }
 
     public <T> T state(EntryId entry, Class<T> type) {
-        return entries.get(entry).core.snapshot().part(type).orElseThrow();
+        return entries.get(entry).core.snapshot().find(type).orElseThrow();
     }
 
     public long incarnation(EntryId entry) {
--- a/src/main/java/org/yuccagw/core/control/ControlSnapshot.java
+++ b/src/main/java/org/yuccagw/core/control/ControlSnapshot.java
@@ -8,7 +8,7 @@
 /**
  * The control state that traffic threads read: immutable, with at most one object for each component.
  *
- * <p>Example: {@code snapshot.part(DirectorySnapshot.class)} is empty until the membership component contributes for
+ * <p>Example: {@code snapshot.find(DirectorySnapshot.class)} is empty until the membership component contributes for
  * the first time.
  */
 public final class ControlSnapshot {
@@ -25,7 +25,7 @@
     }
 
     /** Returns the state that a component contributed under {@code type}. */
-    public <T> Optional<T> part(Class<T> type) {
+    public <T> Optional<T> find(Class<T> type) {
         return Optional.ofNullable(states.getInstance(type));
     }
 
--- a/src/main/java/org/yuccagw/core/control/EntryIdentity.java
+++ b/src/main/java/org/yuccagw/core/control/EntryIdentity.java
@@ -25,7 +25,7 @@
         NetworkAddress adminAddress,
         int capacity) {
     /** One processor core: the capacity of a VM whose settings contain none. */
-    public static final int USUAL_CAPACITY = 100;
+    public static final int DEFAULT_CAPACITY = 100;
 
     /** Creates the identity of an entry on a VM of the default capacity. */
     public EntryIdentity(
@@ -35,6 +35,6 @@
             NetworkAddress callerAddress,
             NetworkAddress peerAddress,
             NetworkAddress adminAddress) {
-        this(entry, incarnation, domain, callerAddress, peerAddress, adminAddress, USUAL_CAPACITY);
+        this(entry, incarnation, domain, callerAddress, peerAddress, adminAddress, DEFAULT_CAPACITY);
     }
 }
--- a/src/main/java/org/yuccagw/core/deployment/Homes.java
+++ b/src/main/java/org/yuccagw/core/deployment/AllowedRegions.java
@@ -14,41 +14,41 @@
  * south} and {@code south, east} leave {@code south}; {@code north} and {@code south} leave nothing, and such a request
  * can't be served.
  */
-public final class Homes {
+public final class AllowedRegions {
     /** Allows every region. */
-    public static final Homes ANYWHERE = new Homes(Optional.empty());
+    public static final AllowedRegions ANYWHERE = new AllowedRegions(Optional.empty());
 
     private final Optional<ImmutableSet<Region>> regions;
 
-    private Homes(Optional<ImmutableSet<Region>> regions) {
+    private AllowedRegions(Optional<ImmutableSet<Region>> regions) {
         this.regions = regions;
     }
 
     /** Allows these regions only; an empty list allows every region. */
-    public static Homes in(Iterable<Region> regions) {
+    public static AllowedRegions in(Iterable<Region> regions) {
         ImmutableSet<Region> named = ImmutableSet.copyOf(regions);
-        return named.isEmpty() ? ANYWHERE : new Homes(Optional.of(named));
+        return named.isEmpty() ? ANYWHERE : new AllowedRegions(Optional.of(named));
     }
 
     /** Returns the regions that both allow. */
-    public Homes and(Homes other) {
-        if (!isBinding()) {
+    public AllowedRegions intersect(AllowedRegions other) {
+        if (!isRestricted()) {
             return other;
         }
-        if (!other.isBinding()) {
+        if (!other.isRestricted()) {
             return this;
         }
-        return new Homes(Optional.of(
+        return new AllowedRegions(Optional.of(
                 Sets.intersection(regions.get(), other.regions.get()).immutableCopy()));
     }
 
     /** Returns whether the regions are restricted. */
-    public boolean isBinding() {
+    public boolean isRestricted() {
         return regions.isPresent();
     }
 
     /** Returns whether a region is allowed; an unknown region is allowed only if the regions aren't restricted. */
-    public boolean allow(Optional<Region> region) {
+    public boolean allows(Optional<Region> region) {
         return regions.isEmpty() || (region.isPresent() && regions.get().contains(region.get()));
     }
 
@@ -64,7 +64,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Homes that && regions.equals(that.regions);
+        return other instanceof AllowedRegions that && regions.equals(that.regions);
     }
 
     @Override
@@ -74,6 +74,6 @@
 
     @Override
     public String toString() {
-        return isBinding() ? name() : "anywhere";
+        return isRestricted() ? name() : "anywhere";
     }
 }
--- a/src/main/java/org/yuccagw/core/deployment/CacheStore.java
+++ b/src/main/java/org/yuccagw/core/deployment/CacheStore.java
@@ -9,9 +9,9 @@
  *
  * @param capacityTokens capacity in tokens
  * @param linkMegabits bandwidth of its link in megabits per second
- * @param mostWatchers maximum number of waiting calls for its events at once
+ * @param maxWatchers maximum number of waiting calls for its events at once
  * @param managed whether the store evicts nothing by itself
- * @param firstMillis latency before each transfer begins, in milliseconds
+ * @param startLatencyMillis latency before each transfer begins, in milliseconds
  */
 public record CacheStore(
         StoreId id,
@@ -19,6 +19,6 @@
         FailureDomain domain,
         long capacityTokens,
         double linkMegabits,
-        int mostWatchers,
+        int maxWatchers,
         boolean managed,
-        double firstMillis) {}
+        double startLatencyMillis) {}
--- a/src/main/java/org/yuccagw/core/deployment/Deployment.java
+++ b/src/main/java/org/yuccagw/core/deployment/Deployment.java
@@ -33,7 +33,7 @@
     private final ImmutableMap<String, WorkspaceAccess> workspacesByKey;
     private final ImmutableMap<WorkspaceId, WorkspaceAccess> workspacesById;
     private final ImmutableMap<ServiceName, Duration> shortestTargets;
-    private final boolean keysNeeded;
+    private final boolean keysRequired;
     private final RequestLimits limits;
 
     private Deployment(
@@ -53,7 +53,7 @@
         this.workspacesByKey = byKey(workspaces);
         this.workspacesById = workspaces.stream()
                 .collect(ImmutableMap.toImmutableMap(WorkspaceAccess::id, access -> access, (one, other) -> one));
-        this.keysNeeded = !workspaces.isEmpty();
+        this.keysRequired = !workspaces.isEmpty();
         this.limits = limits;
     }
 
@@ -94,8 +94,8 @@
     }
 
     /** Returns whether callers must send a key, except on open routes. */
-    public boolean keysNeeded() {
-        return keysNeeded;
+    public boolean keysRequired() {
+        return keysRequired;
     }
 
     public Optional<WorkspaceAccess> workspaceOf(String key) {
--- a/src/main/java/org/yuccagw/core/deployment/Regions.java
+++ b/src/main/java/org/yuccagw/core/deployment/DomainRegions.java
@@ -10,9 +10,9 @@
  *
  * @param byDomain region by failure domain; a failure domain is absent if the settings don't contain it
  */
-public record Regions(ImmutableMap<FailureDomain, Region> byDomain) {
+public record DomainRegions(ImmutableMap<FailureDomain, Region> byDomain) {
     /** No region is known. */
-    public static final Regions UNKNOWN = new Regions(ImmutableMap.of());
+    public static final DomainRegions UNKNOWN = new DomainRegions(ImmutableMap.of());
 
     public Optional<Region> of(FailureDomain domain) {
         return Optional.ofNullable(byDomain.get(domain));
--- a/src/main/java/org/yuccagw/core/deployment/EngineTraits.java
+++ b/src/main/java/org/yuccagw/core/deployment/EngineTraits.java
@@ -9,7 +9,7 @@
  * @param memoryTokens tokens of running requests and cached parts that fit into one engine's memory
  * @param tokenBytes bytes of cache memory for one token
  * @param linkMegabits bandwidth in megabits per second at which an engine transfers cache memory
- * @param mostWatchers maximum number of waiting calls for the cache events of one engine at once
+ * @param maxWatchers maximum number of waiting calls for the cache events of one engine at once
  * @param models names of the models that the engines run
  */
 public record EngineTraits(
@@ -17,5 +17,5 @@
         long memoryTokens,
         long tokenBytes,
         double linkMegabits,
-        int mostWatchers,
+        int maxWatchers,
         ImmutableList<String> models) {}
--- a/src/main/java/org/yuccagw/core/deployment/Route.java
+++ b/src/main/java/org/yuccagw/core/deployment/Route.java
@@ -10,14 +10,14 @@
  * @param pathPrefix begins and ends with a slash
  * @param timeout maximum time that a request may wait for its whole answer
  * @param target time to the first byte within which an answer has its full value
- * @param longestGap longest time between events of a stream that still counts as on time
+ * @param maxGap longest time between events of a stream that still counts as on time
  * @param priority 0 is the most urgent
  * @param shares at least one service
- * @param mostAttempts maximum number of endpoints that one request may run on
+ * @param maxAttempts maximum number of endpoints that one request may run on
  * @param open whether it is served without a key
- * @param affine whether its requests contain prompts whose parts are sent again
+ * @param hasReusablePrompts whether its requests contain prompts whose parts are sent again
  * @param resumable whether a stream may continue at another endpoint after its last event
- * @param homes the regions in which its requests may be served
+ * @param allowedRegions the regions in which its requests may be served
  */
 public record Route(
         String name,
@@ -26,17 +26,17 @@
         RouteKind kind,
         Duration timeout,
         Duration target,
-        Duration longestGap,
+        Duration maxGap,
         int priority,
         ImmutableList<ServiceShare> shares,
-        int mostAttempts,
+        int maxAttempts,
         boolean open,
-        boolean affine,
+        boolean hasReusablePrompts,
         boolean resumable,
-        Homes homes) {
+        AllowedRegions allowedRegions) {
 
     /** Returns whether a request may be retried although it may have run before. */
-    public boolean repeatable() {
+    public boolean retryable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAM && resumable);
     }
 
@@ -49,7 +49,7 @@
      *
      * @param draw from 0 up to but excluding 1, the same for all attempts of a request
      */
-    public ServiceName pick(double draw) {
+    public ServiceName selectService(double draw) {
         int sum = shares.stream().mapToInt(ServiceShare::weight).sum();
         double remaining = draw * sum;
         for (ServiceShare share : shares) {
--- a/src/main/java/org/yuccagw/core/duty/EngineAnswer.java
+++ b/src/main/java/org/yuccagw/core/duty/EngineAnswer.java
@@ -10,9 +10,9 @@
     EndpointIncarnation endpoint();
 
     /** The state of the engine, or empty if it didn't answer. */
-    record Told(EndpointIncarnation endpoint, Optional<EngineState> state) implements EngineAnswer {}
+    record StateReported(EndpointIncarnation endpoint, Optional<EngineState> state) implements EngineAnswer {}
 
-    record Ordered(EndpointIncarnation endpoint, Outcome outcome) implements EngineAnswer {}
+    record OrderAnswered(EndpointIncarnation endpoint, Outcome outcome) implements EngineAnswer {}
 
     /** The outcome of an order. */
     enum Outcome {
--- a/src/main/java/org/yuccagw/core/duty/EngineCall.java
+++ b/src/main/java/org/yuccagw/core/duty/EngineCall.java
@@ -8,17 +8,17 @@
 public sealed interface EngineCall extends ControlAction {
     ListedEndpoint endpoint();
 
-    /** Queries the engine's state; answered by {@link EngineAnswer.Told}. */
-    record AskState(ListedEndpoint endpoint) implements EngineCall {}
+    /** Queries the engine's state; answered by {@link EngineAnswer.StateReported}. */
+    record QueryState(ListedEndpoint endpoint) implements EngineCall {}
 
     /**
-     * Orders the engine to load weights while its requests keep running; answered by {@link EngineAnswer.Ordered}.
+     * Orders the engine to load weights while its requests keep running; answered by {@link EngineAnswer.OrderAnswered}.
      *
      * @param expectedOrders the number of orders that the engine has accepted so far; it rejects a late copy of this
      *     order, since the number is higher by then
-     * @param heldUntilNanos monotonic time from which on the order must not be sent any more
+     * @param leaseExpiryNanos monotonic time from which on the order must not be sent any more
      */
     record OrderWeights(
-            ListedEndpoint endpoint, ModelWeights weights, long fence, long expectedOrders, long heldUntilNanos)
+            ListedEndpoint endpoint, ModelWeights weights, long fence, long expectedOrders, long leaseExpiryNanos)
             implements EngineCall {}
 }
--- a/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
@@ -69,7 +69,7 @@
     static final Duration UPDATE_TIME_PER_ENGINE = Duration.ofMillis(550);
 
     /** Entries stop using older weights this long before the limit; by then all engines should run the newer ones. */
-    public static final Duration READY_BEFORE_THE_LIMIT = Duration.ofMillis(1200);
+    public static final Duration LOADING_MARGIN = Duration.ofMillis(1200);
 
     /**
      * A registration that is written this long after an engine reported its weights contains these weights or later
@@ -173,9 +173,9 @@
             advance();
         } else if (event instanceof DutyComponent.DutyEnded) {
             inProgress.clear();
-        } else if (event instanceof EngineAnswer.Told reported) {
+        } else if (event instanceof EngineAnswer.StateReported reported) {
             onState(reported);
-        } else if (event instanceof EngineAnswer.Ordered ordered) {
+        } else if (event instanceof EngineAnswer.OrderAnswered ordered) {
             onOrdered(ordered);
         }
     }
@@ -188,7 +188,7 @@
     }
 
     /** Returns the lowest version of the model that any listed engine runs, or empty if none has the model. */
-    public OptionalLong lowestRunning(String model) {
+    public OptionalLong lowestRunningVersion(String model) {
         return engines.values().stream()
                 .filter(engine -> engine.weights().containsKey(model))
                 .mapToLong(engine -> runningVersion(engine, model))
@@ -196,7 +196,7 @@
     }
 
     /** Returns the engines that reported newer weights than their registration contains. */
-    public ImmutableList<PeerStatus.Weights> weightsHeard() {
+    public ImmutableList<PeerStatus.Weights> reportedWeights() {
         return reportedWeights.entrySet().stream()
                 .map(entry -> new PeerStatus.Weights(
                         engines.get(entry.getKey()).incarnation(),
@@ -259,7 +259,7 @@
                 loading.nextCallNanos =
                         context.nowNanos() + minDelay(engine, CALL_TIMEOUT).toNanos();
                 calls.made(engine.incarnation());
-                context.perform(new EngineCall.AskState(engine));
+                context.perform(new EngineCall.QueryState(engine));
             }
         }
     }
@@ -350,7 +350,7 @@
         return isReportOfModel ? Math.max(reported.weights().version(), registered) : registered;
     }
 
-    private void onState(EngineAnswer.Told reported) {
+    private void onState(EngineAnswer.StateReported reported) {
         Loading loading = inProgress.get(reported.endpoint().endpoint());
         ListedEndpoint engine = engines.get(reported.endpoint().endpoint());
         boolean isExpected = loading != null && engine != null && loading.answerAwaited;
@@ -419,10 +419,7 @@
                 .map(model -> named.behindFor(model, runningVersion(engine, model), context.nowNanos()))
                 .max(Comparator.naturalOrder())
                 .orElse(Duration.ZERO);
-        return named.oldWeightsAllowed()
-                .minus(READY_BEFORE_THE_LIMIT)
-                .minus(behind)
-                .toNanos();
+        return named.oldWeightsAllowed().minus(LOADING_MARGIN).minus(behind).toNanos();
     }
 
     private void order(ListedEndpoint engine, Loading loading, EngineState state) {
@@ -441,7 +438,7 @@
                 engine, loading.weights, duty.fencingNumber(), state.orders(), duty.leaseExpiryNanos()));
     }
 
-    private void onOrdered(EngineAnswer.Ordered ordered) {
+    private void onOrdered(EngineAnswer.OrderAnswered ordered) {
         Loading loading = inProgress.get(ordered.endpoint().endpoint());
         ListedEndpoint engine = engines.get(ordered.endpoint().endpoint());
         boolean isExpected = loading != null && engine != null && loading.ordered;
@@ -498,11 +495,11 @@
     private void finish(ListedEndpoint engine, Loading loading) {
         inProgress.remove(engine.id());
         reportedWeights.put(engine.id(), new ReportedWeights(loading.weights, context.nowNanos()));
-        context.raise(new WeightsRun(engine.incarnation(), loading.weights));
+        context.raise(new WeightsReported(engine.incarnation(), loading.weights));
         broadcastLoading.run();
         advance();
     }
 
     /** Raised when an engine reports that it runs these weights. */
-    public record WeightsRun(EndpointIncarnation endpoint, ModelWeights weights) implements ControlEvent {}
+    public record WeightsReported(EndpointIncarnation endpoint, ModelWeights weights) implements ControlEvent {}
 }
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -27,7 +27,7 @@
  *
  * <ul>
  *   <li>The caller gets exactly one end: {@code answerEnd}, {@code answerError}, {@code cut}, or it left.
- *   <li>A request that isn't repeatable is sent again only after proof that it did not run: the endpoint said so, or no
+ *   <li>A request that isn't retryable is sent again only after proof that it did not run: the endpoint said so, or no
  *       connection came about. It is sent over a connection opened for it, because on a kept one that turns out closed
  *       nobody can tell whether it was read.
  *   <li>A status that promises "not run" reaches the caller only if no attempt may have run.
@@ -46,7 +46,7 @@
     /** An attempt that gets less time than this can't end well. */
     private static final Duration LEAST_USEFUL = Duration.ofMillis(20);
 
-    /** A repeatable request whose answer hasn't begun after so many times its target is tried elsewhere. */
+    /** A retryable request whose answer hasn't begun after so many times its target is tried elsewhere. */
     private static final int TARGETS_TO_HEAD = 2;
 
     /**
@@ -97,7 +97,7 @@
     public enum TimerKind {
         /** The time of the request is over. */
         DEADLINE,
-        /** The answer of a repeatable request hasn't begun in time. */
+        /** The answer of a retryable request hasn't begun in time. */
         HEAD,
         /** A resumable stream may have fallen silent. */
         GAP
@@ -268,7 +268,7 @@
         state = State.SENDING;
         start = null;
         effects.send(leg, chosen, time, events.lastId(), needsOwnConnection());
-        if (route.repeatable()) {
+        if (route.retryable()) {
             effects.schedule(TimerKind.HEAD, leg, headPatience(chosen));
         }
     }
@@ -278,7 +278,7 @@
      * that doesn't come about shows at once. For streams that is worth a new one each.
      */
     private boolean needsOwnConnection() {
-        return !route.repeatable() || route.streamed() || sends > 1;
+        return !route.retryable() || route.streamed() || sends > 1;
     }
 
     private Duration headPatience(PlacementDecision.Placed chosen) {
@@ -382,10 +382,10 @@
      *
      * <ol>
      *   <li>A fault is kept back for the caller: its body can't be had any more, so this is the failure to tell.
-     *   <li>Nothing was sent: another endpoint may try, also for a request that isn't repeatable.
+     *   <li>Nothing was sent: another endpoint may try, also for a request that isn't retryable.
      *   <li>The answer has begun and the stream can be resumed: go on elsewhere after the last whole event.
      *   <li>The answer has begun otherwise: cut it, so that it can't look whole.
-     *   <li>Nothing reached the caller and the request is repeatable: another endpoint, within attempts and budget.
+     *   <li>Nothing reached the caller and the request is retryable: another endpoint, within attempts and budget.
      *   <li>Else it may have run and its answer is lost: say so.
      * </ol>
      */
@@ -449,7 +449,7 @@
     }
 
     private boolean mayRunAgain() {
-        return route.repeatable() && runs < route.mostAttempts() && sends < MOST_SENDS;
+        return route.retryable() && runs < route.maxAttempts() && sends < MOST_SENDS;
     }
 
     private boolean timeForAnother() {
@@ -488,7 +488,7 @@
     }
 
     private Duration silence() {
-        return Comparators.max(route.longestGap().multipliedBy(GAPS_TO_SILENCE), SHORTEST_SILENCE);
+        return Comparators.max(route.maxGap().multipliedBy(GAPS_TO_SILENCE), SHORTEST_SILENCE);
     }
 
     private void abandonLeg(End end) {
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -11,11 +11,11 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import org.yuccagw.core.control.ControlContext;
+import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Homes;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.follow.NamedWeightsComponent;
@@ -31,11 +31,11 @@
 /** Which endpoints may take a request at present, whatever it would cost there. */
 final class Candidates {
     /** No request may begin on older weights this long before the time at which that is forbidden. */
-    private static final Duration OLD_WEIGHTS_MARGIN = WeightOrdersComponent.READY_BEFORE_THE_LIMIT;
+    private static final Duration OLD_WEIGHTS_MARGIN = WeightOrdersComponent.LOADING_MARGIN;
 
     private final EndpointTable endpoints;
     private final ColdLimit cold;
-    private final Regions regions;
+    private final DomainRegions regions;
     private final NamedWeightsComponent weights;
     private final RateLimitsComponent rateLimits;
     private final NoticesComponent notices;
@@ -56,7 +56,7 @@
     Candidates(
             EndpointTable endpoints,
             ColdLimit cold,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             EndpointConstraints constraints,
             PlacementComponent.Fleet fleet,
@@ -99,13 +99,13 @@
      */
     List<EndpointState> of(PlacementRequest request) {
         long now = context.nowNanos();
-        Homes homes = request.homes();
+        AllowedRegions allowedRegions = request.allowedRegions();
         List<EndpointState> ready = new ArrayList<>();
         List<EndpointState> full = new ArrayList<>();
         List<EndpointState> unreached = new ArrayList<>();
         boolean soon = false;
         for (EndpointState endpoint : endpoints.all()) {
-            if (!mayTake(endpoint, request, homes)) {
+            if (!mayTake(endpoint, request, allowedRegions)) {
                 continue;
             }
             if (!bearsAnother(endpoint, request)) {
@@ -125,14 +125,14 @@
     }
 
     /**
-     * Whether every endpoint that is there has failed this request already or lies outside of its homes, so that
+     * Whether every endpoint that is there has failed this request already or lies outside of its allowed regions, so that
      * waiting can't help.
      */
     boolean isHopeless(PlacementRequest request) {
-        Homes homes = request.homes();
-        if (homes.isBinding()
+        AllowedRegions allowedRegions = request.allowedRegions();
+        if (allowedRegions.isRestricted()
                 && usable(request.service())
-                        .noneMatch(each -> isIn(homes, each.listed().domain()))) {
+                        .noneMatch(each -> isIn(allowedRegions, each.listed().domain()))) {
             return true;
         }
         if (request.excluded().isEmpty()) {
@@ -179,7 +179,7 @@
         }
         boolean isOwn = own.test(request);
         return endpoints.all().stream()
-                .filter(endpoint -> mayTake(endpoint, request, request.homes()))
+                .filter(endpoint -> mayTake(endpoint, request, request.allowedRegions()))
                 .map(endpoint -> notices.turnsAwayFor(endpoint.listed().incarnation(), isOwn))
                 .min(Comparator.naturalOrder())
                 .orElse(Duration.ZERO);
@@ -190,7 +190,7 @@
             return List.of();
         }
         List<ListedEndpoint> able = endpoints.all().stream()
-                .filter(endpoint -> mayTake(endpoint, request, request.homes()))
+                .filter(endpoint -> mayTake(endpoint, request, request.allowedRegions()))
                 .map(EndpointState::listed)
                 .toList();
         boolean allLimited = able.stream().allMatch(endpoint -> rateLimits.isLimited(endpoint.incarnation()));
@@ -222,10 +222,10 @@
         return cold.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
 
-    private boolean mayTake(EndpointState endpoint, PlacementRequest request, Homes homes) {
+    private boolean mayTake(EndpointState endpoint, PlacementRequest request, AllowedRegions allowedRegions) {
         return endpoint.listed().service().equals(request.service())
                 && endpoint.isUsable(context.nowNanos())
-                && isIn(homes, endpoint.listed().domain())
+                && isIn(allowedRegions, endpoint.listed().domain())
                 && !request.excluded().contains(endpoint.listed().id())
                 && versionFits(endpoint, request);
     }
@@ -246,7 +246,7 @@
         return behind.compareTo(weights.oldWeightsAllowed().minus(OLD_WEIGHTS_MARGIN)) < 0;
     }
 
-    private boolean isIn(Homes homes, FailureDomain domain) {
-        return homes.allow(regions.of(domain));
+    private boolean isIn(AllowedRegions allowedRegions, FailureDomain domain) {
+        return allowedRegions.allows(regions.of(domain));
     }
 }
--- a/src/main/java/org/yuccagw/core/placing/ColdLimit.java
+++ b/src/main/java/org/yuccagw/core/placing/ColdLimit.java
@@ -53,7 +53,7 @@
 
     /** Requests in a span. */
     int part(ColdTraits traits, int shares) {
-        double bound = traits.perSecond() * bounds.overage() + bounds.slack();
+        double bound = traits.maxRequestsPerSecond() * bounds.overage() + bounds.slack();
         return shares == 0 ? 0 : (int) (bound * SHARE_OF_BOUND / shares);
     }
 }
--- a/src/main/java/org/yuccagw/core/placing/EndpointTable.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointTable.java
@@ -83,7 +83,7 @@
             present(leaves.endpoint()).ifPresent(EndpointState::leave);
         } else if (event instanceof WorkTransferred transferred) {
             present(transferred.endpoint()).ifPresent(endpoint -> move(endpoint, transferred));
-        } else if (event instanceof WeightOrdersComponent.WeightsRun runs) {
+        } else if (event instanceof WeightOrdersComponent.WeightsReported runs) {
             hearWeights(runs.endpoint(), runs.weights());
         }
     }
--- a/src/main/java/org/yuccagw/core/placing/Evacuations.java
+++ b/src/main/java/org/yuccagw/core/placing/Evacuations.java
@@ -75,7 +75,7 @@
 
     private void useAgain(EndpointState endpoint, long nowNanos) {
         endpoint.evacuated(false);
-        Duration lasts = cold.apply(endpoint.listed().service()).lasts();
+        Duration lasts = cold.apply(endpoint.listed().service()).duration();
         if (!lasts.isZero()) {
             endpoint.coldFor(lasts, nowNanos);
         }
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -13,12 +13,12 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
+import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
-import org.yuccagw.core.deployment.Regions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.ListedEndpoint;
@@ -73,7 +73,7 @@
 
     private final RetryBounds retries;
     private final Candidates candidates;
-    private final Regions regions;
+    private final DomainRegions regions;
     private final NamedWeightsComponent weights;
     private final StoresComponent stores;
     private final RateLimitsComponent rateLimits;
@@ -119,7 +119,7 @@
 
     private PlacementComponent(
             PlacementBounds bounds,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             StoresComponent stores,
             EngineCachesComponent caches,
@@ -144,7 +144,7 @@
      * The placing of one entry.
      *
      * @param bounds of what all entries send
-     * @param regions in which homes of routes and workspaces are looked up
+     * @param regions in which allowed regions of routes and workspaces are looked up
      * @param weights which weights are named
      * @param stores plans what is fetched from and saved to cache stores
      * @param caches what engines hold themselves
@@ -154,7 +154,7 @@
      */
     public static PlacementComponent of(
             PlacementBounds bounds,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             StoresComponent stores,
             EngineCachesComponent caches,
@@ -443,8 +443,8 @@
         OptionalLong version = asked.prompt().isPresent()
                 ? endpoint.versionOf(asked.prompt().get().model())
                 : OptionalLong.empty();
-        Optional<String> salt =
-                asked.prompt().map(prompt -> CacheSalt.of(asked.workspace(), asked.homes(), version.orElse(0)));
+        Optional<String> salt = asked.prompt()
+                .map(prompt -> CacheSalt.of(asked.workspace(), asked.allowedRegions(), version.orElse(0)));
         Optional<CachePlan> cache = cachePlan(asked, endpoint, version, salt);
         context.perform(Decision.of("placed")
                 .with("request", asked.request())
@@ -513,14 +513,18 @@
         String model = asked.prompt().get().model();
         boolean old = weights.isBehind(model, version.getAsLong());
         Duration behind = weights.behindFor(model, version.getAsLong(), context.nowNanos());
-        if (behind.compareTo(RetiredPartsComponent.OLD_FETCHES) >= 0) {
+        if (behind.compareTo(RetiredPartsComponent.OLD_VERSION_FETCH_PERIOD) >= 0) {
             return Optional.empty();
         }
-        int held = needs.heldParts(asked, endpoint);
-        Homes homes = asked.homes();
+        int held = needs.heldPartCount(asked, endpoint);
+        AllowedRegions allowedRegions = asked.allowedRegions();
         FailureDomain domain = endpoint.listed().domain();
         return stores.plan(
-                asked.prompt().get(), salt.get(), domain, held, kept -> !old && homes.allow(regions.of(kept)));
+                asked.prompt().get(),
+                salt.get(),
+                domain,
+                held,
+                kept -> !old && allowedRegions.allows(regions.of(kept)));
     }
 
     private void refuse(PlacementRequest asked, YuccagwException error, String reason) {
--- a/src/main/java/org/yuccagw/core/placing/PromptNeeds.java
+++ b/src/main/java/org/yuccagw/core/placing/PromptNeeds.java
@@ -39,7 +39,7 @@
         PromptShape prompt = request.prompt().orElseThrow();
         String salt = saltFor(request, endpoint);
         List<PromptPart> shared = prompt.sharedParts();
-        int index = heldParts(prompt, salt, endpoint, expected);
+        int index = heldPartCount(prompt, salt, endpoint, expected);
         int held = tokensOf(shared.subList(0, index));
         int fetched = 0;
         double millis = 0;
@@ -59,19 +59,21 @@
     }
 
     /** How many shared parts at the beginning of the prompt the endpoint holds, as far as known. */
-    int heldParts(PlacementRequest request, EndpointState endpoint) {
-        return heldParts(request.prompt().orElseThrow(), saltFor(request, endpoint), endpoint, false);
+    int heldPartCount(PlacementRequest request, EndpointState endpoint) {
+        return heldPartCount(request.prompt().orElseThrow(), saltFor(request, endpoint), endpoint, false);
     }
 
-    private int heldParts(PromptShape prompt, String salt, EndpointState endpoint, boolean expected) {
-        return caches.heldParts(endpoint.listed(), prompt, salt)
+    private int heldPartCount(PromptShape prompt, String salt, EndpointState endpoint, boolean expected) {
+        return caches.heldPartCount(endpoint.listed(), prompt, salt)
                 .orElse(expected ? prompt.sharedParts().size() : 0);
     }
 
     private static String saltFor(PlacementRequest request, EndpointState endpoint) {
         String model = request.prompt().orElseThrow().model();
         return CacheSalt.of(
-                request.workspace(), request.homes(), endpoint.versionOf(model).orElse(0));
+                request.workspace(),
+                request.allowedRegions(),
+                endpoint.versionOf(model).orElse(0));
     }
 
     private static int tokensOf(List<PromptPart> parts) {
--- a/src/main/java/org/yuccagw/core/placing/WaitingRequests.java
+++ b/src/main/java/org/yuccagw/core/placing/WaitingRequests.java
@@ -69,7 +69,7 @@
             return Comparators.min(LONGEST_PLAIN_WAIT, share);
         }
         Duration byTarget = asked.route().target().multipliedBy(TARGETS_OF_CALLER_PATIENCE);
-        Duration byGap = asked.route().longestGap().multipliedBy(GAPS_OF_CALLER_PATIENCE);
+        Duration byGap = asked.route().maxGap().multipliedBy(GAPS_OF_CALLER_PATIENCE);
         Duration patience = Comparators.max(LEAST_CALLER_PATIENCE, Comparators.max(byTarget, byGap));
         double millis = Math.min(patience.toMillis() * SHARE_OF_CALLER_PATIENCE, asked.leftMillis() * SHARE_OF_LEFT);
         return Duration.ofMillis((long) millis);
--- a/src/main/java/org/yuccagw/core/stores/CacheHolderEvents.java
+++ b/src/main/java/org/yuccagw/core/stores/CacheHolderEvents.java
@@ -114,9 +114,9 @@
             onChanges(changes);
         } else if (event instanceof StoreAnswer.Listed listed) {
             onListed(listed);
-        } else if (event instanceof StoreAnswer.Noticed noticed) {
+        } else if (event instanceof StoreAnswer.Notice noticed) {
             noticed.notice().backOff().ifPresent(duration -> backOff(noticed.store(), duration));
-        } else if (event instanceof StoreAnswer.Silent silent) {
+        } else if (event instanceof StoreAnswer.Unanswered silent) {
             onSilent(silent);
         }
     }
@@ -161,7 +161,7 @@
         }
         sentNanos.put(store.id(), context.nowNanos());
         callPolicy.recordCall(store);
-        context.perform(new StoreCall.AskChanges(store, stored.nextEvent(), POLL_WAIT));
+        context.perform(new StoreCall.PollChanges(store, stored.nextEvent(), POLL_WAIT));
     }
 
     private void backOff(StoreId holder, Duration duration) {
@@ -191,7 +191,7 @@
         if (!all.contains(context.self().entry())) {
             return false;
         }
-        int maxFollowers = Math.max(1, store.mostWatchers() - RESERVED_WATCHERS);
+        int maxFollowers = Math.max(1, store.maxWatchers() - RESERVED_WATCHERS);
         if (all.size() <= maxFollowers) {
             return true;
         }
@@ -242,7 +242,7 @@
     }
 
     /** Stops the use of the holder's contents until it answers again: a broken call is the first sign of a crash. */
-    private void onSilent(StoreAnswer.Silent silent) {
+    private void onSilent(StoreAnswer.Unanswered silent) {
         StoredParts stored = holders.get(silent.store());
         if (stored == null) {
             return;
--- a/src/main/java/org/yuccagw/core/stores/CachePlan.java
+++ b/src/main/java/org/yuccagw/core/stores/CachePlan.java
@@ -8,11 +8,13 @@
  * The stores from which an endpoint fetches the parts of one prompt and to which it saves them, one element for each
  * part.
  *
- * @param untilMillis deadline of the fetches in milliseconds on the endpoints' clock; the endpoint discards a fetch
+ * @param fetchDeadlineMillis deadline of the fetches in milliseconds on the endpoints' clock; the endpoint discards a fetch
  *     that hasn't ended by then
  */
 public record CachePlan(
-        ImmutableList<Optional<Source>> fetches, ImmutableList<Optional<NetworkAddress>> saves, long untilMillis) {
+        ImmutableList<Optional<Source>> fetches,
+        ImmutableList<Optional<NetworkAddress>> saves,
+        long fetchDeadlineMillis) {
 
     /** A store that holds a part, and the number of the part's tokens that it holds. */
     public record Source(NetworkAddress store, int tokens) {}
--- a/src/main/java/org/yuccagw/core/stores/EngineCachesComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/EngineCachesComponent.java
@@ -80,7 +80,7 @@
             if (listed.remove(subject.endpoint()) != null) {
                 updateHolders();
             }
-        } else if (event instanceof StoreAnswer.Noticed noticed && engines.containsKey(noticed.store())) {
+        } else if (event instanceof StoreAnswer.Notice noticed && engines.containsKey(noticed.store())) {
             context.raise(new NoticeReceived(engines.get(noticed.store()), noticed.notice(), false));
         }
         events.handle(event);
@@ -145,7 +145,7 @@
                 endpoint.domain(),
                 traits.memoryTokens(),
                 traits.linkMegabits(),
-                traits.mostWatchers(),
+                traits.maxWatchers(),
                 false,
                 0);
     }
@@ -154,7 +154,7 @@
      * Returns how many parts at the beginning of the prompt the engine holds, or empty if its contents aren't known at
      * present.
      */
-    public Optional<Integer> heldParts(ListedEndpoint engine, PromptShape prompt, String salt) {
+    public Optional<Integer> heldPartCount(ListedEndpoint engine, PromptShape prompt, String salt) {
         return events.find(holderId(engine))
                 .filter(stored -> stored.isFresh(context.nowNanos()))
                 .map(stored -> countHeldParts(stored, prompt, salt));
--- a/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
@@ -29,7 +29,7 @@
  * can be in progress:
  *
  * <ol>
- *   <li>Entries plan no fetch of an older version once the newer version was named {@link #OLD_FETCHES} ago.
+ *   <li>Entries plan no fetch of an older version once the newer version was named {@link #OLD_VERSION_FETCH_PERIOD} ago.
  *   <li>The engine discards a fetch that was planned before after {@link StoresComponent#FETCH_TIMEOUT}.
  *   <li>An entry may have learned of the naming late, by up to {@link #MAX_NAMING_DELAY}.
  *   <li>All listed engines run the newer weights, so no fetch of the older version can begin.
@@ -46,13 +46,13 @@
      * Loading all engines takes about as long; only in exceptional cases does an engine run the older weights for
      * longer.
      */
-    public static final Duration OLD_FETCHES = Duration.ofSeconds(3);
+    public static final Duration OLD_VERSION_FETCH_PERIOD = Duration.ofSeconds(3);
 
     /** The tightest bound that the platform sets on the time within which an entry must learn of a change. */
     static final Duration MAX_NAMING_DELAY = Duration.ofSeconds(2);
 
     static final Duration RETIREMENT_DELAY =
-            OLD_FETCHES.plus(StoresComponent.FETCH_TIMEOUT).plus(MAX_NAMING_DELAY);
+            OLD_VERSION_FETCH_PERIOD.plus(StoresComponent.FETCH_TIMEOUT).plus(MAX_NAMING_DELAY);
 
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
@@ -61,7 +61,7 @@
 
     private final BooleanSupplier mayAct;
     private final NamedWeightsComponent named;
-    private final Function<String, OptionalLong> lowestRunning;
+    private final Function<String, OptionalLong> lowestRunningVersion;
     private final StoresComponent stores;
 
     /** For each store and model, the version below which all parts were freed. */
@@ -73,11 +73,11 @@
     private RetiredPartsComponent(
             BooleanSupplier mayAct,
             NamedWeightsComponent named,
-            Function<String, OptionalLong> lowestRunning,
+            Function<String, OptionalLong> lowestRunningVersion,
             StoresComponent stores) {
         this.mayAct = mayAct;
         this.named = named;
-        this.lowestRunning = lowestRunning;
+        this.lowestRunningVersion = lowestRunningVersion;
         this.stores = stores;
     }
 
@@ -86,15 +86,15 @@
      *
      * @param mayAct whether this entry is the one that frees parts
      * @param named the named weights
-     * @param lowestRunning returns the lowest version of a model that any engine runs
+     * @param lowestRunningVersion returns the lowest version of a model that any engine runs
      * @param stores the configured stores
      */
     public static RetiredPartsComponent of(
             BooleanSupplier mayAct,
             NamedWeightsComponent named,
-            Function<String, OptionalLong> lowestRunning,
+            Function<String, OptionalLong> lowestRunningVersion,
             StoresComponent stores) {
-        return new RetiredPartsComponent(mayAct, named, lowestRunning, stores);
+        return new RetiredPartsComponent(mayAct, named, lowestRunningVersion, stores);
     }
 
     @Override
@@ -135,7 +135,7 @@
         Map<String, Long> retiredBelow = new HashMap<>();
         for (String model : named.models()) {
             OptionalLong newest = named.newestOlderThan(model, RETIREMENT_DELAY, context.nowNanos());
-            OptionalLong lowest = lowestRunning.apply(model);
+            OptionalLong lowest = lowestRunningVersion.apply(model);
             if (newest.isPresent() && lowest.isPresent()) {
                 retiredBelow.put(model, Math.min(newest.getAsLong(), lowest.getAsLong()));
             }
--- a/src/main/java/org/yuccagw/core/stores/StoreAnswer.java
+++ b/src/main/java/org/yuccagw/core/stores/StoreAnswer.java
@@ -41,10 +41,10 @@
     record Freed(StoreId store, boolean done, String detail) implements StoreAnswer {}
 
     /** A notice in the headers of an answer; reported before the answer itself. */
-    record Noticed(StoreId store, EndpointNotice notice) implements StoreAnswer {}
+    record Notice(StoreId store, EndpointNotice notice) implements StoreAnswer {}
 
     /** The call failed: the store may have terminated, or this entry can't reach it. */
-    record Silent(StoreId store, String reason) implements StoreAnswer {}
+    record Unanswered(StoreId store, String reason) implements StoreAnswer {}
 
     /**
      * A part became whole in a store, or was removed from it.
--- a/src/main/java/org/yuccagw/core/stores/StoreCall.java
+++ b/src/main/java/org/yuccagw/core/stores/StoreCall.java
@@ -13,9 +13,9 @@
      * Polls for events; answered by {@link StoreAnswer.Changes}.
      *
      * @param since number of the next event, 0 for all events that the store still keeps
-     * @param longestWait how long the store may hold the call open until an event occurs
+     * @param maxWait how long the store may hold the call open until an event occurs
      */
-    record AskChanges(CacheStore store, long since, Duration longestWait) implements StoreCall {}
+    record PollChanges(CacheStore store, long since, Duration maxWait) implements StoreCall {}
 
     /** Queries whole and partial parts; answered by {@link StoreAnswer.Inspected}. */
     record Inspect(CacheStore store) implements StoreCall {}
@@ -28,5 +28,5 @@
     record FreeParts(CacheStore store, long epoch, ImmutableList<PartName> parts) implements StoreCall {}
 
     /** Queries all parts that the store holds whole; answered by {@link StoreAnswer.Listed}. */
-    record AskList(CacheStore store) implements StoreCall {}
+    record ListParts(CacheStore store) implements StoreCall {}
 }
--- a/src/main/java/org/yuccagw/core/stores/StoresComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/StoresComponent.java
@@ -130,7 +130,7 @@
         double bits = 8.0 * tokens * engine.tokenBytes();
         double megabits = Math.min(store.linkMegabits(), engine.linkMegabits());
         double localMillis = megabits > 0 ? bits / (megabits * BITS_PER_MEGABIT) * MILLIS_PER_SECOND : 0;
-        return store.firstMillis()
+        return store.startLatencyMillis()
                 + (store.domain().equals(domain) ? localMillis : localMillis * REMOTE_TRANSFER_FACTOR);
     }
 
@@ -138,12 +138,16 @@
      * Plans the fetches and saves of a prompt on an endpoint, and records the saves as requested.
      *
      * @param domain the endpoint's failure domain
-     * @param heldParts number of parts at the beginning of the prompt that the endpoint holds; they are planned as
+     * @param heldPartCount number of parts at the beginning of the prompt that the endpoint holds; they are planned as
      *     fetches all the same, in case it evicts them meanwhile, but don't count as transfers
      * @param maySave whether parts that no store holds may be saved in a failure domain
      */
     public Optional<CachePlan> plan(
-            PromptShape prompt, String salt, FailureDomain domain, int heldParts, Predicate<FailureDomain> maySave) {
+            PromptShape prompt,
+            String salt,
+            FailureDomain domain,
+            int heldPartCount,
+            Predicate<FailureDomain> maySave) {
         if (events.holders().isEmpty() || prompt.parts().size() < 2) {
             return Optional.empty();
         }
@@ -157,7 +161,7 @@
             Optional<StoredParts> source = source(salt, part, Optional.of(domain));
             fetches.add(source.map(
                     stored -> new CachePlan.Source(stored.store().address(), stored.tokens(salt, part.id()))));
-            if (index >= heldParts) {
+            if (index >= heldPartCount) {
                 source.ifPresent(stored -> reserveLink(stored, part.tokens()));
             }
             Optional<StoredParts> target = target(salt, part, isSession, source, domain, maySave);
@@ -203,7 +207,7 @@
     /** Orders local stores before remote ones, then those that begin a transfer quickly before slower ones. */
     private static double distance(CacheStore store, Optional<FailureDomain> domain) {
         boolean isRemote = domain.isPresent() && !store.domain().equals(domain.get());
-        return (isRemote ? 1_000 : 0) + store.firstMillis();
+        return (isRemote ? 1_000 : 0) + store.startLatencyMillis();
     }
 
     /**
@@ -231,7 +235,7 @@
                 .filter(stored -> stored.acceptsSaves(context.nowNanos()) && stored.hasFreeCapacity(part.tokens()))
                 .filter(stored -> hasLinkCapacity(stored, MAX_LINK_WAIT_FOR_SAVES))
                 .min(Comparator.comparingDouble((StoredParts stored) ->
-                                preferQuick ? stored.store().firstMillis() : sizeRank(stored))
+                                preferQuick ? stored.store().startLatencyMillis() : sizeRank(stored))
                         .thenComparingDouble(stored -> distance(stored.store(), Optional.of(domain)))
                         .thenComparingInt(stored -> (stored.store().id().value() + part.id()).hashCode()));
         boolean isNearer = candidate.isPresent()
@@ -259,6 +263,6 @@
     }
 
     private void requestList(StoredParts stored) {
-        context.perform(new StoreCall.AskList(stored.store()));
+        context.perform(new StoreCall.ListParts(stored.store()));
     }
 }
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -145,7 +145,7 @@
     /** Whether this entry takes new work. */
     public boolean isReady() {
         return control.snapshot()
-                .part(DirectorySnapshot.class)
+                .find(DirectorySnapshot.class)
                 .map(DirectorySnapshot::ready)
                 .orElse(false);
     }
@@ -159,7 +159,7 @@
         log.info("entry {} stops: {} requests in progress", self.entry(), runs.count());
         control.offer(new StopRequested());
         Duration timeToLive = control.snapshot()
-                .part(DirectorySnapshot.class)
+                .find(DirectorySnapshot.class)
                 .map(DirectorySnapshot::timeToLive)
                 .orElse(Duration.ZERO);
         long until = System.nanoTime() + timeToLive.toNanos();
@@ -234,11 +234,11 @@
     }
 
     private Optional<org.yuccagw.core.id.NetworkAddress> peerAddress(org.yuccagw.core.id.EntryId entry) {
-        return control.snapshot().part(PeerAddresses.class).flatMap(known -> known.find(entry));
+        return control.snapshot().find(PeerAddresses.class).flatMap(known -> known.find(entry));
     }
 
     private SystemLimits systemLimits() {
-        return control.snapshot().part(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.usual());
+        return control.snapshot().find(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.usual());
     }
 
     private void tellLoad() {
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -104,7 +104,8 @@
                 follow::isReachable,
                 settings.bounds().orderSeparation());
         orders = WeightOrdersComponent.of(duty, weights, this::announceOrders, placement::requestsOn, calls);
-        RetiredPartsComponent retired = RetiredPartsComponent.of(duty::mayAct, weights, orders::lowestRunning, stores);
+        RetiredPartsComponent retired =
+                RetiredPartsComponent.of(duty::mayAct, weights, orders::lowestRunningVersion, stores);
         components = List.of(
                 follow,
                 configuration,
@@ -315,6 +316,6 @@
 
     @Override
     public ImmutableList<PeerStatus.Weights> weights() {
-        return orders.weightsHeard();
+        return orders.reportedWeights();
     }
 }
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -126,7 +126,7 @@
                 "yuccagw_rate_limited_endpoints",
                 "Endpoints that ask for fewer requests, as far as this entry knows",
                 () -> control.snapshot()
-                        .part(RateLimitsSnapshot.class)
+                        .find(RateLimitsSnapshot.class)
                         .orElse(RateLimitsSnapshot.NONE)
                         .endpoints());
         metrics.gauge(
@@ -141,7 +141,7 @@
     }
 
     private NoticesSnapshot notices() {
-        return control.snapshot().part(NoticesSnapshot.class).orElse(NoticesSnapshot.NONE);
+        return control.snapshot().find(NoticesSnapshot.class).orElse(NoticesSnapshot.NONE);
     }
 
     /**
@@ -222,7 +222,7 @@
     }
 
     private PeersSnapshot peersSnapshot() {
-        return control.snapshot().part(PeersSnapshot.class).orElse(PeersSnapshot.none());
+        return control.snapshot().find(PeersSnapshot.class).orElse(PeersSnapshot.none());
     }
 
     /** One I/O thread: the VM has less than a core, and a second thread would only add switches. */
--- a/src/main/java/org/yuccagw/platform/DeploymentReader.java
+++ b/src/main/java/org/yuccagw/platform/DeploymentReader.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalInt;
+import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
@@ -87,7 +87,7 @@
                 route.path("noAuth").asBoolean(false),
                 route.path("sessionAffinity").asBoolean(false),
                 route.path("resumable").asBoolean(false),
-                readHomes(route));
+                readAllowedRegions(route));
     }
 
     private static RouteKind readKind(String word) {
@@ -149,13 +149,13 @@
                 keys.build(),
                 priority,
                 workspace.path("isolated").asBoolean(false),
-                readHomes(workspace));
+                readAllowedRegions(workspace));
     }
 
-    private static Homes readHomes(JsonNode object) {
+    private static AllowedRegions readAllowedRegions(JsonNode object) {
         List<Region> regions = new ArrayList<>();
         object.path("allowedRegions").forEach(region -> regions.add(Region.of(region.asText())));
-        return Homes.in(regions);
+        return AllowedRegions.in(regions);
     }
 
     private static RequestLimits readLimits(JsonNode limits) {
--- a/src/main/java/org/yuccagw/platform/EndpointHeads.java
+++ b/src/main/java/org/yuccagw/platform/EndpointHeads.java
@@ -68,7 +68,7 @@
                             .orElse(NO_ADDRESS))
                     .collect(Collectors.joining(","));
             put(headers, PlatformNames.KV_FETCH, fetches);
-            put(headers, PlatformNames.KV_UNTIL, Long.toString(plan.untilMillis()));
+            put(headers, PlatformNames.KV_UNTIL, Long.toString(plan.fetchDeadlineMillis()));
         }
         if (plan.hasSave()) {
             String saves = plan.saves().stream()
--- a/src/main/java/org/yuccagw/platform/EngineCaller.java
+++ b/src/main/java/org/yuccagw/platform/EngineCaller.java
@@ -46,7 +46,7 @@
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof EngineCall.AskState ask) {
+        if (action instanceof EngineCall.QueryState ask) {
             askState(ask, input);
             return true;
         }
@@ -57,12 +57,12 @@
         return false;
     }
 
-    private void askState(EngineCall.AskState ask, ControlInput input) {
+    private void askState(EngineCall.QueryState ask, ControlInput input) {
         HttpQuery query = to(ask, HttpQuery.get(ask.endpoint().address(), PlatformNames.REPORT_PATH));
         caller.send(query).whenComplete((answer, failure) -> {
             hearNotice(ask, answer, input);
             Optional<EngineState> state = failure == null ? readState(answer) : Optional.empty();
-            input.offer(new EngineAnswer.Told(ask.endpoint().incarnation(), state));
+            input.offer(new EngineAnswer.StateReported(ask.endpoint().incarnation(), state));
         });
     }
 
@@ -80,13 +80,13 @@
 
     private void order(EngineCall.OrderWeights order, ControlInput input) {
         caller.worker().getIoThread().execute(() -> {
-            if (nanoTime.getAsLong() - order.heldUntilNanos() >= 0) {
-                input.offer(new EngineAnswer.Ordered(order.endpoint().incarnation(), Outcome.NOT_SENT));
+            if (nanoTime.getAsLong() - order.leaseExpiryNanos() >= 0) {
+                input.offer(new EngineAnswer.OrderAnswered(order.endpoint().incarnation(), Outcome.NOT_SENT));
                 return;
             }
             caller.send(orderQuery(order)).whenComplete((answer, failure) -> {
                 hearNotice(order, answer, input);
-                input.offer(new EngineAnswer.Ordered(
+                input.offer(new EngineAnswer.OrderAnswered(
                         order.endpoint().incarnation(), failure == null ? outcome(answer.status()) : Outcome.UNKNOWN));
             });
         });
--- a/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
+++ b/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
@@ -11,7 +11,7 @@
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.adapters.settings.StrictObject;
 import org.yuccagw.core.control.EntryIdentity;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EntryId;
@@ -91,16 +91,16 @@
                 root.optionalText("log_level").orElse("info"));
     }
 
-    private static Regions readRegions(StrictObject told) throws YuccagwException {
+    private static DomainRegions readRegions(StrictObject told) throws YuccagwException {
         if (!told.has("zones")) {
-            return Regions.UNKNOWN;
+            return DomainRegions.UNKNOWN;
         }
         StrictObject zones = told.lenient("zones");
         ImmutableMap.Builder<FailureDomain, Region> regions = ImmutableMap.builder();
         for (String name : zones.fieldNames()) {
             regions.put(FailureDomain.of(name), Region.of(zones.text(name)));
         }
-        return new Regions(regions.buildOrThrow());
+        return new DomainRegions(regions.buildOrThrow());
     }
 
     /**
@@ -109,7 +109,7 @@
      */
     private static int readCapacity(StrictObject told) throws YuccagwException {
         if (!told.has("limits")) {
-            return EntryIdentity.USUAL_CAPACITY;
+            return EntryIdentity.DEFAULT_CAPACITY;
         }
         StrictObject limits = told.lenient("limits");
         double share = limits.has("cpuShare") ? limits.decimal("cpuShare") : 1;
--- a/src/main/java/org/yuccagw/platform/PlatformRecords.java
+++ b/src/main/java/org/yuccagw/platform/PlatformRecords.java
@@ -127,6 +127,6 @@
                 FailureDomain.of(value.required("domain").asText()),
                 NetworkAddress.parse(value.required("callers").asText()),
                 NetworkAddress.parse(value.required("peers").asText()),
-                value.path("capacity").asInt(EntryIdentity.USUAL_CAPACITY));
+                value.path("capacity").asInt(EntryIdentity.DEFAULT_CAPACITY));
     }
 }
--- a/src/test/java/org/yuccagw/core/placing/PromptNeedsTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PromptNeedsTest.java
@@ -16,12 +16,12 @@
 import org.yuccagw.core.control.ControlAction;
 import org.yuccagw.core.control.ControlInput;
 import org.yuccagw.core.control.Decision;
+import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
@@ -96,7 +96,7 @@
     }
 
     private static boolean answer(ControlBench bench, ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges ask) {
+        if (action instanceof StoreCall.PollChanges ask) {
             StoreAnswer.Change held = new StoreAnswer.Change(true, "s.1", "session", 5_000, "model");
             bench.time()
                     .after(
@@ -137,7 +137,7 @@
                 true,
                 true,
                 false,
-                Homes.ANYWHERE);
+                AllowedRegions.ANYWHERE);
         return new PlacementRequest(
                 RequestId.of("r1"),
                 route,
--- a/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
@@ -124,7 +124,7 @@
     }
 
     private Optional<Integer> heldPartCount(long startedMillis) {
-        return caches.heldParts(engine("near", startedMillis), PROMPT, SALT);
+        return caches.heldPartCount(engine("near", startedMillis), PROMPT, SALT);
     }
 
     private void reportPart(boolean held, String part, int tokens) {
@@ -133,7 +133,7 @@
     }
 
     private boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges poll) {
+        if (action instanceof StoreCall.PollChanges poll) {
             polledHolders.add(poll.store().id().value());
             bench.time().after(Duration.ofMillis(100), () -> {
                 ImmutableList<StoreAnswer.Change> changes = ImmutableList.copyOf(pending);
--- a/src/test/java/org/yuccagw/core/stores/RetiredPartsComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/RetiredPartsComponentTest.java
@@ -38,7 +38,7 @@
     private ControlBench bench;
     private BenchNode entry;
     private boolean holdsDuty;
-    private long lowestRunning;
+    private long lowestRunningVersion;
     private boolean silent;
     private long epoch;
     private Set<PartName> whole;
@@ -48,7 +48,7 @@
     @BeforeMethod
     public void startEntry() {
         holdsDuty = true;
-        lowestRunning = 1;
+        lowestRunningVersion = 1;
         silent = false;
         epoch = 1;
         whole = partNames("s.1", "s.2", "w.audit.1");
@@ -58,8 +58,8 @@
         bench.onAction(this::perform);
         NamedWeightsComponent named = NamedWeightsComponent.of(Duration.ofSeconds(8));
         StoresComponent stores = StoresComponent.of(List::of);
-        RetiredPartsComponent retired =
-                RetiredPartsComponent.of(() -> holdsDuty, named, model -> OptionalLong.of(lowestRunning), stores);
+        RetiredPartsComponent retired = RetiredPartsComponent.of(
+                () -> holdsDuty, named, model -> OptionalLong.of(lowestRunningVersion), stores);
         entry = bench.start("entry-1", List.of(named, stores, retired));
         entry.offer(new ConfigurationComponent.Applied(Deployment.of(
                 1,
@@ -77,7 +77,7 @@
     @Test
     public void partsOfOlderWeightsAreFreedOnceNoRequestCanReadThem() {
         nameWeights(2);
-        lowestRunning = 2;
+        lowestRunningVersion = 2;
         bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(1));
         assertEquals(whole, partNames("s.2"));
         assertEquals(partial, partNames("s.2"));
@@ -88,7 +88,7 @@
     @Test
     public void nothingIsFreedWhileAFetchMayBeInProgress() {
         nameWeights(2);
-        lowestRunning = 2;
+        lowestRunningVersion = 2;
         bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.minusMillis(100));
         assertEquals(whole.size(), 3);
     }
@@ -99,7 +99,7 @@
         nameWeights(2);
         bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(5));
         assertEquals(whole.size(), 3);
-        lowestRunning = 2;
+        lowestRunningVersion = 2;
         bench.runFor(Duration.ofSeconds(1));
         assertEquals(whole, partNames("s.2"));
     }
@@ -108,7 +108,7 @@
     public void onlyTheHolderOfTheDutyFreesParts() {
         holdsDuty = false;
         nameWeights(2);
-        lowestRunning = 2;
+        lowestRunningVersion = 2;
         bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(5));
         assertTrue(inspectedStores.isEmpty());
     }
@@ -117,7 +117,7 @@
     public void aStoreThatDidNotAnswerIsQueriedAgain() {
         silent = true;
         nameWeights(2);
-        lowestRunning = 2;
+        lowestRunningVersion = 2;
         bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(3));
         silent = false;
         bench.runFor(Duration.ofSeconds(3));
@@ -127,7 +127,7 @@
     @Test
     public void aManagedStoreIsQueriedOncePerNamingAndASelfEvictingStoreNever() {
         nameWeights(2);
-        lowestRunning = 2;
+        lowestRunningVersion = 2;
         bench.runFor(RetiredPartsComponent.RETIREMENT_DELAY.plusSeconds(20));
         long inspectionsBefore = inspectedStores.size();
         bench.runFor(Duration.ofSeconds(20));
@@ -159,7 +159,7 @@
             input.offer(new StoreAnswer.Freed(free.store().id(), done, ""));
             return true;
         }
-        return action instanceof Decision || action instanceof StoreCall.AskChanges;
+        return action instanceof Decision || action instanceof StoreCall.PollChanges;
     }
 
     private StoreAnswer contents(CacheStore store) {
--- a/src/test/java/org/yuccagw/core/stores/StoresComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/StoresComponentTest.java
@@ -134,7 +134,7 @@
     public void aStoreThatRequestedABackOffIsNotCalledUntilItEnds() {
         FakeStore fake = fakes.get(LARGE.id());
         fake.broken = true;
-        entry.offer(new StoreAnswer.Noticed(LARGE.id(), EndpointNotice.ofBackOff(Duration.ofSeconds(3))));
+        entry.offer(new StoreAnswer.Notice(LARGE.id(), EndpointNotice.ofBackOff(Duration.ofSeconds(3))));
         bench.runFor(Duration.ofMillis(200));
         int callsBefore = fake.calls;
         bench.runFor(Duration.ofMillis(2_700));
@@ -188,7 +188,7 @@
         for (int index = 1; index <= 70; index++) {
             ControlBench ownBench = ControlBench.of(index);
             List<StoreId> calls = new ArrayList<>();
-            ownBench.onAction((action, input) -> action instanceof StoreCall.AskChanges poll
+            ownBench.onAction((action, input) -> action instanceof StoreCall.PollChanges poll
                     && calls.add(poll.store().id()));
             List<EntryId> all = java.util.stream.IntStream.rangeClosed(1, 70)
                     .mapToObj(number -> EntryId.of("entry-" + number))
@@ -198,7 +198,7 @@
             ownBench.runFor(Duration.ofMillis(10));
             followers += calls.contains(LARGE.id()) ? 1 : 0;
         }
-        assertEquals(followers, LARGE.mostWatchers() - 2);
+        assertEquals(followers, LARGE.maxWatchers() - 2);
     }
 
     // A prompt is restricted to its region. Its parts must not be saved to a store elsewhere, whatever free capacity
@@ -220,7 +220,7 @@
     }
 
     private boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges poll) {
+        if (action instanceof StoreCall.PollChanges poll) {
             FakeStore fake = fakes.get(poll.store().id());
             fake.calls++;
             if (!fake.silent) {
@@ -231,9 +231,9 @@
         return action instanceof Decision;
     }
 
-    private static StoreAnswer answer(StoreCall.AskChanges poll, FakeStore fake) {
+    private static StoreAnswer answer(StoreCall.PollChanges poll, FakeStore fake) {
         if (fake.broken) {
-            return new StoreAnswer.Silent(poll.store().id(), "reset");
+            return new StoreAnswer.Unanswered(poll.store().id(), "reset");
         }
         ImmutableList<StoreAnswer.Change> changes = ImmutableList.copyOf(fake.pending);
         fake.pending.clear();
@@ -253,7 +253,7 @@
                 new RequestLimits(1, 1, Duration.ofSeconds(1), Duration.ofSeconds(1)));
     }
 
-    private static CacheStore store(String name, int port, long tokens, double firstMillis) {
+    private static CacheStore store(String name, int port, long tokens, double startLatencyMillis) {
         return new CacheStore(
                 StoreId.of(name),
                 NetworkAddress.of("127.0.0.1", port),
@@ -262,6 +262,6 @@
                 40_000,
                 12,
                 true,
-                firstMillis);
+                startLatencyMillis);
     }
 }
--- a/src/test/java/org/yuccagw/daemon/StepLoadTest.java
+++ b/src/test/java/org/yuccagw/daemon/StepLoadTest.java
@@ -228,7 +228,7 @@
         node.offer(new PlacementRequest(
                 RequestId.of("r" + all.size()),
                 route,
-                route.pick(0),
+                route.selectService(0),
                 Optional.empty(),
                 Optional.of(prompt),
                 "f" + all.size(),
--- a/src/test/java/org/yuccagw/daemon/VirtualFleet.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualFleet.java
@@ -20,7 +20,7 @@
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.duty.EngineAnswer;
 import org.yuccagw.core.duty.EngineCall;
@@ -53,8 +53,8 @@
 
     static final FailureDomain NORTHERN = FailureDomain.of("ulemiste");
     static final FailureDomain SOUTHERN = FailureDomain.of("kadaka");
-    private static final Regions REGIONS =
-            new Regions(ImmutableMap.of(NORTHERN, Region.of("north"), SOUTHERN, Region.of("south")));
+    private static final DomainRegions REGIONS =
+            new DomainRegions(ImmutableMap.of(NORTHERN, Region.of("north"), SOUTHERN, Region.of("south")));
 
     private static final int COLD_SECONDS = 3;
     static final Duration COLD = Duration.ofSeconds(COLD_SECONDS);
@@ -280,7 +280,7 @@
         node.offer(new PlacementRequest(
                 RequestId.of("r" + nextRequest++),
                 route,
-                route.pick(0),
+                route.selectService(0),
                 Optional.empty(),
                 prompt,
                 fingerprint,
@@ -310,7 +310,7 @@
     }
 
     private boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof EngineCall.AskState ask) {
+        if (action instanceof EngineCall.QueryState ask) {
             EntryId from = ((BenchNode) input).entry();
             statesAsked.add(new StateAsked(
                     from, ask.endpoint().incarnation(), bench.time().nowNanos()));
@@ -331,7 +331,7 @@
 
     private EngineAnswer told(EndpointIncarnation asked) {
         EndpointId engine = asked.endpoint();
-        return new EngineAnswer.Told(
+        return new EngineAnswer.StateReported(
                 asked,
                 Optional.of(new EngineState(
                         starts.get(engine),
@@ -372,7 +372,7 @@
                 .after(
                         Duration.ofMillis(3),
                         () -> input.offer(
-                                new EngineAnswer.Ordered(order.endpoint().incarnation(), told)));
+                                new EngineAnswer.OrderAnswered(order.endpoint().incarnation(), told)));
     }
 
     private void finishLoading(EndpointId engine, long start, long version) {
@@ -384,7 +384,7 @@
     }
 
     private static EngineAnswer unanswered(EngineCall.OrderWeights order) {
-        return new EngineAnswer.Ordered(order.endpoint().incarnation(), EngineAnswer.Outcome.UNKNOWN);
+        return new EngineAnswer.OrderAnswered(order.endpoint().incarnation(), EngineAnswer.Outcome.UNKNOWN);
     }
 
     private static GatewaySettings settings(String name, FailureDomain domain) {
@@ -406,7 +406,7 @@
                         OLD_WEIGHTS_ALLOWED,
                         Duration.ofSeconds(2),
                         Optional.empty()),
-                EntryIdentity.USUAL_CAPACITY,
+                EntryIdentity.DEFAULT_CAPACITY,
                 "info");
     }
 }
--- a/src/test/java/org/yuccagw/daemon/VirtualLoad.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualLoad.java
@@ -149,7 +149,7 @@
 
     /** Each engine has news of its cache whenever it is asked, a moment later. */
     private boolean tellEvents(ControlAction action, ControlInput input) {
-        if (!(action instanceof StoreCall.AskChanges ask)) {
+        if (!(action instanceof StoreCall.PollChanges ask)) {
             return false;
         }
         EndpointIncarnation engine = startNamed(ask.store().id().value());
--- a/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
+++ b/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.core.control.EntryIdentity;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
@@ -42,7 +42,7 @@
     @Test
     public void regionsOfFailureDomainsAreRead() throws YuccagwException {
         String told = TOLD.replace("\"bounds\":", "\"zones\": {\"a\": \"north\", \"b\": \"south\"}, \"bounds\":");
-        Regions regions = GatewaySettingsReader.parse(rendered(told)).regions();
+        DomainRegions regions = GatewaySettingsReader.parse(rendered(told)).regions();
         assertEquals(regions.of(FailureDomain.of("b")), Optional.of(Region.of("south")));
         assertEquals(regions.of(FailureDomain.of("c")), Optional.empty());
     }
@@ -57,8 +57,8 @@
     public void whatAVmCanCarryIsTheSmallerOneOfItsProcessorAndItsNetwork() throws YuccagwException {
         assertEquals(capacityOf("{\"cpuShare\": 0.75, \"cores\": 2, \"linkMbps\": 1000.0}"), 150);
         assertEquals(capacityOf("{\"cpuShare\": 0.75, \"cores\": 2, \"linkMbps\": 14.0}"), 28);
-        assertEquals(capacityOf("{\"memoryMb\": 430}"), EntryIdentity.USUAL_CAPACITY);
-        assertEquals(GatewaySettingsReader.parse(rendered(TOLD)).capacity(), EntryIdentity.USUAL_CAPACITY);
+        assertEquals(capacityOf("{\"memoryMb\": 430}"), EntryIdentity.DEFAULT_CAPACITY);
+        assertEquals(GatewaySettingsReader.parse(rendered(TOLD)).capacity(), EntryIdentity.DEFAULT_CAPACITY);
     }
 
     private static int capacityOf(String limits) throws YuccagwException {
--- a/src/test/java/org/yuccagw/platform/StoreCallerTest.java
+++ b/src/test/java/org/yuccagw/platform/StoreCallerTest.java
@@ -75,7 +75,7 @@
     @Test
     public void eventsTellPartsEpochAndClock() throws Exception {
         StoreAnswer.Changes changes =
-                (StoreAnswer.Changes) ask(new StoreCall.AskChanges(store, 118, Duration.ofMillis(200)));
+                (StoreAnswer.Changes) ask(new StoreCall.PollChanges(store, 118, Duration.ofMillis(200)));
         assertEquals(changes.epoch(), 7);
         assertEquals(changes.next(), 120);
         assertEquals(changes.clockMillis(), 55_000);
