--- a/src/main/java/org/yuccagw/core/deployment/ColdTraits.java
+++ b/src/main/java/org/yuccagw/core/deployment/ColdTraits.java
@@ -7,8 +7,8 @@
  * state that makes them fast, such as a cache.
  *
  * @param duration how long an endpoint stays cold
- * @param maxRequestsPerSecond requests per second that a cold endpoint can handle; a rate well above it terminates the endpoint. 0
- *     for no limit
+ * @param maxRequestsPerSecond requests per second that a cold endpoint can handle; a rate well above it terminates the
+ *     endpoint. 0 for no limit
  */
 public record ColdTraits(Duration duration, double maxRequestsPerSecond) {
     /** The limits of endpoints that are never cold. */
--- a/src/main/java/org/yuccagw/core/duty/EngineCall.java
+++ b/src/main/java/org/yuccagw/core/duty/EngineCall.java
@@ -12,7 +12,8 @@
     record QueryState(ListedEndpoint endpoint) implements EngineCall {}
 
     /**
-     * Orders the engine to load weights while its requests keep running; answered by {@link EngineAnswer.OrderAnswered}.
+     * Orders the engine to load weights while its requests keep running; answered by {@link
+     * EngineAnswer.OrderAnswered}.
      *
      * @param expectedOrders the number of orders that the engine has accepted so far; it rejects a late copy of this
      *     order, since the number is higher by then
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Whether every endpoint that is there has failed this request already or lies outside of its allowed regions, so that
-     * waiting can't help.
+     * Whether every endpoint that is there has failed this request already or lies outside of its allowed regions, so
+     * that waiting can't help.
      */
     boolean isHopeless(PlacementRequest request) {
         AllowedRegions allowedRegions = request.allowedRegions();
--- a/src/main/java/org/yuccagw/core/stores/CachePlan.java
+++ b/src/main/java/org/yuccagw/core/stores/CachePlan.java
@@ -8,8 +8,8 @@
  * The stores from which an endpoint fetches the parts of one prompt and to which it saves them, one element for each
  * part.
  *
- * @param fetchDeadlineMillis deadline of the fetches in milliseconds on the endpoints' clock; the endpoint discards a fetch
- *     that hasn't ended by then
+ * @param fetchDeadlineMillis deadline of the fetches in milliseconds on the endpoints' clock; the endpoint discards a
+ *     fetch that hasn't ended by then
  */
 public record CachePlan(
         ImmutableList<Optional<Source>> fetches,
--- a/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/RetiredPartsComponent.java
@@ -29,7 +29,8 @@
  * can be in progress:
  *
  * <ol>
- *   <li>Entries plan no fetch of an older version once the newer version was named {@link #OLD_VERSION_FETCH_PERIOD} ago.
+ *   <li>Entries plan no fetch of an older version once the newer version was named {@link #OLD_VERSION_FETCH_PERIOD}
+ *       ago.
  *   <li>The engine discards a fetch that was planned before after {@link StoresComponent#FETCH_TIMEOUT}.
  *   <li>An entry may have learned of the naming late, by up to {@link #MAX_NAMING_DELAY}.
  *   <li>All listed engines run the newer weights, so no fetch of the older version can begin.
--- a/src/main/java/org/yuccagw/core/swap/PoolSwap.java
+++ b/src/main/java/org/yuccagw/core/swap/PoolSwap.java
@@ -39,8 +39,8 @@
  *   <li>The permits haven't been read since the shard was gained: they are read. Permits of the earlier owner count.
  *   <li>An endpoint with a permit matches, was removed, was replaced, or has been silent for long: its permit ends.
  *   <li>Fewer permits than the limit are in use, and without one more endpoint the floor would still be kept: the next
- *       endpoint gets a permit. Ended and new permits are written in one compare-and-swap; no order is sent before it is
- *       confirmed.
+ *       endpoint gets a permit. Ended and new permits are written in one compare-and-swap; no order is sent before it
+ *       is confirmed.
  *   <li>An endpoint with a permit reported its state after the permit was confirmed, doesn't match, and isn't loading:
  *       it is ordered to load. The order contains the fencing number and the time from which on it must not be sent.
  *   <li>The answer to an order was lost: the endpoint's next report shows whether it is loading; only if it isn't, the
