--- a/src/main/java/org/yuccagw/core/request/RequestMachine.java
+++ b/src/main/java/org/yuccagw/core/request/RequestMachine.java
@@ -220,9 +220,9 @@
         RouteRequested.Answer.Chosen chosen = (RouteRequested.Answer.Chosen) answer;
         attempt = chosen.attempt();
         endpoint = chosen.endpoint();
-        if (chosen.importFirst().isPresent()) {
+        if (chosen.importPlan().isPresent()) {
             state = State.IMPORTING;
-            effects.startImport(attempt, endpoint, chosen.importFirst().get());
+            effects.startImport(attempt, endpoint, chosen.importPlan().get());
         } else {
             send();
         }
@@ -482,7 +482,7 @@
             stream = "";
             state = State.WAITING;
             leg++;
-            effects.schedule(TimerKind.BACKOFF, leg, retry.after());
+            effects.schedule(TimerKind.BACKOFF, leg, retry.delay());
         } else {
             fail(retryError((RetryDecision.GiveUp) decision));
         }
--- a/src/test/java/org/yuccagw/core/cache/CacheIndexTest.java
+++ b/src/test/java/org/yuccagw/core/cache/CacheIndexTest.java
@@ -126,11 +126,11 @@
 
     @Test
     public void evictionDeletesThePromptsThatReturnLeastOften() {
-        CacheCore core = CacheCore.usual(2);
+        CacheCore core = CacheCore.withDefaults(2);
         for (int i = 0; i < 40; i++) {
             core.serve(CacheCore.prompt("once" + i, 20));
             core.serve(CacheCore.prompt("often", 20));
-            core.pass(Duration.ofSeconds(30));
+            core.advance(Duration.ofSeconds(30));
             core.finishExports();
         }
         core.handle(new StoreUpdate.StatusRead(
@@ -138,16 +138,16 @@
         core.handle(new StoreUpdate.StatusRead(
                 CacheCore.store(1), new StoreUpdate.Usage(0, 1), new StoreUpdate.Usage(96, 100), 1_000));
         Set<BlockKey> frequent = new HashSet<>(CacheCore.prompt("often", 20));
-        core.actions(CacheCommand.DeleteBlocks.class)
+        core.takeActions(CacheCommand.DeleteBlocks.class)
                 .forEach(command -> command.blocks().forEach(block -> assertFalse(frequent.contains(block.key()))));
     }
 
     @Test
     public void aPrefetchHintImportsAStoredPromptIntoAnEngineOnce() {
-        CacheCore core = CacheCore.usual(3);
+        CacheCore core = CacheCore.withDefaults(3);
         var prompt = CacheCore.prompt("notebook", 40);
         core.serve(prompt);
-        core.pass(Duration.ofSeconds(5));
+        core.advance(Duration.ofSeconds(5));
         core.finishExports();
         core.evictAll(core.route(prompt).endpoint().id());
         List<Integer> startedBlocks = new ArrayList<>();
@@ -156,7 +156,7 @@
         core.handle(new PrefetchRequested(scope, prompt, startedBlocks::add));
         core.handle(new PrefetchRequested(scope, prompt, startedBlocks::add));
         assertEquals(startedBlocks, List.of(40, 0));
-        assertEquals(core.actions(CacheCommand.PrefetchBlocks.class).size(), 1);
+        assertEquals(core.takeActions(CacheCommand.PrefetchBlocks.class).size(), 1);
     }
 
     private static BlockKey key(int number) {
--- a/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
+++ b/src/test/java/org/yuccagw/core/forward/RecordedForwardEffects.java
@@ -16,7 +16,7 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 
-/** Writes down what a machine asks for, in virtual time. */
+/** Records the effects of a {@link ForwardMachine} in virtual time. */
 final class RecordedForwardEffects implements ForwardEffects {
     final List<Long> begunTickets = new ArrayList<>();
     final List<NoticeReceived> notices = new ArrayList<>();
@@ -27,7 +27,7 @@
     ErrorKind error;
     int ends;
 
-    void pass(Duration time) {
+    void advance(Duration time) {
         nowNanos += time.toNanos();
     }
 
@@ -37,16 +37,20 @@
     }
 
     @Override
-    public void askPlace(
-            ImmutableSet<EndpointId> excluded, PlacementRequest.Kind kind, OptionalLong pinned, Duration left) {
-        String version = pinned.isPresent() ? " version " + pinned.getAsLong() : "";
+    public void requestPlacement(
+            ImmutableSet<EndpointId> excluded,
+            PlacementRequest.Kind kind,
+            OptionalLong pinnedVersion,
+            Duration remaining) {
+        String version = pinnedVersion.isPresent() ? " version " + pinnedVersion.getAsLong() : "";
         lines.add("place " + kind + " without " + excluded + version);
     }
 
     @Override
-    public void send(long leg, PlacementDecision.Placed placed, Duration left, long afterEvent, boolean fresh) {
-        lines.add("send leg " + leg + " to " + placed.endpoint().id() + " left " + left.toMillis() + " after "
-                + afterEvent + (fresh ? " fresh" : ""));
+    public void send(
+            long leg, PlacementDecision.Placed placed, Duration remaining, long afterEvent, boolean newConnection) {
+        lines.add("send leg " + leg + " to " + placed.endpoint().id() + " left " + remaining.toMillis() + " after "
+                + afterEvent + (newConnection ? " fresh" : ""));
     }
 
     @Override
@@ -55,12 +59,12 @@
     }
 
     @Override
-    public void hold(long leg) {
+    public void pauseReading(long leg) {
         lines.add("hold leg " + leg);
     }
 
     @Override
-    public void readOn(long leg) {
+    public void resumeReading(long leg) {
         lines.add("read on leg " + leg);
     }
 
@@ -83,14 +87,14 @@
     }
 
     @Override
-    public void cut() {
+    public void abortAnswer() {
         lines.add("cut");
     }
 
     @Override
-    public void answerError(YuccagwException told) {
-        error = told.kind();
-        lines.add("error " + told.kind());
+    public void answerError(YuccagwException raised) {
+        error = raised.kind();
+        lines.add("error " + raised.kind());
     }
 
     @Override
