--- a/src/main/java/org/yuccagw/core/deployment/Route.java
+++ b/src/main/java/org/yuccagw/core/deployment/Route.java
@@ -36,7 +36,7 @@
         AllowedRegions allowedRegions) {
 
     /** Returns whether a request may be retried although it may have run before. */
-    public boolean retryable() {
+    public boolean repeatable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAM && resumable);
     }
 
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -465,7 +465,7 @@
     }
 
     private boolean mayRunAgain() {
-        return route.repeatable() && runs < route.mostAttempts() && sends < MAX_SENDS;
+        return route.repeatable() && runs < route.maxAttempts() && sends < MAX_SENDS;
     }
 
     private boolean hasTimeForRetry() {
@@ -506,7 +506,7 @@
     }
 
     private Duration silenceTimeout() {
-        return Comparators.max(route.longestGap().multipliedBy(SILENCE_TIMEOUT_GAPS), MIN_SILENCE_TIMEOUT);
+        return Comparators.max(route.maxGap().multipliedBy(SILENCE_TIMEOUT_GAPS), MIN_SILENCE_TIMEOUT);
     }
 
     private void abandonLeg(End end) {
