--- a/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
@@ -433,7 +433,7 @@
                 .with("version", loading.weights.version())
                 .with("fence", duty.fencingNumber())
                 .with("expected_orders", state.orders()));
-        calls.made(engine.incarnation());
+        calls.recordCall(engine.incarnation());
         context.perform(new EngineCall.OrderWeights(
                 engine, loading.weights, duty.fencingNumber(), state.orders(), duty.leaseExpiryNanos()));
     }
--- a/src/main/java/org/yuccagw/core/ratelimit/InternalCalls.java
+++ b/src/main/java/org/yuccagw/core/ratelimit/InternalCalls.java
@@ -5,7 +5,10 @@
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.NoticesComponent;
 
-/** Calls of this entry to endpoints that are no caller's requests, such as for cache events or the state of engines. */
+/**
+ * Limits the calls of this entry to endpoints that don't serve a caller's request, such as those for cache events or
+ * for the state of engines.
+ */
 public final class InternalCalls {
     private final RateLimitsComponent rateLimits;
     private final NoticesComponent notices;
@@ -15,29 +18,29 @@
         this.notices = constraints.notices();
     }
 
-    /** Calls within what endpoints ask for. */
+    /** Creates the limiter from the constraints that endpoints requested. */
     public static InternalCalls of(EndpointConstraints constraints) {
         return new InternalCalls(constraints);
     }
 
-    /** Whether the endpoint asks for so few calls that all are needed for requests. */
-    public boolean asksForFewer(EndpointIncarnation endpoint) {
-        return rateLimits.isLimited(endpoint) || notices.backsOff(endpoint);
+    /** Returns whether the endpoint accepts so few calls that all are needed for requests. */
+    public boolean isRestricted(EndpointIncarnation endpoint) {
+        return rateLimits.isLimited(endpoint) || notices.isBackingOff(endpoint);
     }
 
-    /** Whether the endpoint bears a call now that can't wait for long. */
-    public boolean mayMake(EndpointIncarnation endpoint) {
-        return notices.bearsCall(endpoint);
+    /** Returns whether the endpoint accepts an internal call now that can't be delayed for long. */
+    public boolean allowsCall(EndpointIncarnation endpoint) {
+        return notices.allowsInternalCall(endpoint);
     }
 
-    /** How long after a call the next one has to wait. */
-    public Duration apart(EndpointIncarnation endpoint) {
-        return Comparators.max(rateLimits.betweenCalls(endpoint), notices.backOffLeft(endpoint));
+    /** Returns the minimum time between a call and the next one. */
+    public Duration minInterval(EndpointIncarnation endpoint) {
+        return Comparators.max(rateLimits.minInternalCallInterval(endpoint), notices.remainingBackOff(endpoint));
     }
 
-    /** Notes that a call is made now. */
-    public void made(EndpointIncarnation endpoint) {
-        rateLimits.sendsCall(endpoint);
-        notices.sendsCall(endpoint);
+    /** Records that a call is made now. */
+    public void recordCall(EndpointIncarnation endpoint) {
+        rateLimits.recordInternalCall(endpoint);
+        notices.recordInternalCall(endpoint);
     }
 }
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -96,7 +96,7 @@
                 new Placing(),
                 responder);
         PlacementClient client =
-                PlacementClient.of(this::placersOf, placement::usableEndpoint, placement::spared, notices);
+                PlacementClient.of(this::placersOf, placement::usableEndpoint, placement::excludedEndpoints, notices);
         duty = DutyComponent.of(
                 WEIGHTS_DUTY,
                 codec,
@@ -171,10 +171,10 @@
      * this entry may not. Nobody either where no endpoint takes the request from this entry.
      */
     private List<EntryId> placersOf(PlacementRequest request) {
-        if (placement.isTurnedAway(request)) {
+        if (placement.isRejectedByAllEndpoints(request)) {
             return List.of();
         }
-        return peers.isMeshed() ? placement.othersWithinLimits(request) : peers.ownLeads();
+        return peers.isMeshed() ? placement.entriesWithRateLimitShare(request) : peers.ownLeads();
     }
 
     /** How this entry follows the key-value service. */
@@ -206,7 +206,7 @@
         private static final int SHARES_OF_LONE_ENTRY = 5;
 
         @Override
-        public int placing() {
+        public int placingEntryCount() {
             return peers.isMeshed()
                     ? peers.aliveCount()
                     : Math.max(1, peers.firstLeads().size());
@@ -217,7 +217,7 @@
          * turned to them already: 10 shares at 95 entries in five failure domains, as at 300.
          */
         @Override
-        public int retryShares() {
+        public int retryShareCount() {
             if (peers.isMeshed()) {
                 return peers.aliveCount();
             }
@@ -228,7 +228,7 @@
 
         /** One share for each known entry of a mesh; else one for each lead of the endpoint's failure domain. */
         @Override
-        public int coldShares(FailureDomain domain) {
+        public int coldShareCount(FailureDomain domain) {
             if (peers.isMeshed()) {
                 return peers.knownCount();
             }
@@ -236,12 +236,12 @@
         }
 
         @Override
-        public void tellAll(PeerMessage message) {
+        public void sendToAllPlacers(PeerMessage message) {
             peers.sendToAllLeads(message);
         }
 
         @Override
-        public void tellOfEndpoint(FailureDomain domain, PeerMessage message) {
+        public void sendToPlacersFor(FailureDomain domain, PeerMessage message) {
             peers.sendToFirstLeadOf(domain, message);
         }
     }
@@ -254,11 +254,13 @@
     /** Who sends to endpoints with a rate limit, and who hears what endpoints say of themselves. */
     private final class Limiting implements RateLimitsComponent.Fleet {
         @Override
-        public RateLimitShares sendersTo(ListedEndpoint endpoint) {
+        public RateLimitShares sharesFor(ListedEndpoint endpoint) {
             if (peers.isMeshed()) {
                 return RateLimitShares.ofMesh(peers.servingOrRecentlySilent());
             }
-            return leads(endpoint.domain()) ? RateLimitShares.ofLeads(peers.ownLeads()) : RateLimitShares.nobody();
+            return leads(endpoint.domain())
+                    ? RateLimitShares.ofLeads(peers.ownLeads())
+                    : RateLimitShares.ofUnknownPlacers();
         }
 
         @Override
@@ -285,7 +287,7 @@
     }
 
     private void announceOrders() {
-        placement.ownLoading(orders.loading());
+        placement.updateLocallyLoading(orders.loading());
         peers.sendStatusNow();
     }
 
--- a/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
@@ -36,7 +36,7 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.prompt.PromptPart;
 import org.yuccagw.core.prompt.PromptShape;
-import org.yuccagw.core.ratelimit.NoOthers;
+import org.yuccagw.core.ratelimit.NoPeers;
 
 public class EngineCachesComponentTest {
     private static final String SALT = "s.1";
