--- a/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
+++ b/src/main/java/org/yuccagw/core/duty/WeightOrdersComponent.java
@@ -258,14 +258,14 @@
                 loading.answerAwaited = true;
                 loading.nextCallNanos =
                         context.nowNanos() + minDelay(engine, CALL_TIMEOUT).toNanos();
-                calls.made(engine.incarnation());
+                calls.recordCall(engine.incarnation());
                 context.perform(new EngineCall.QueryState(engine));
             }
         }
     }
 
     private boolean isDue(ListedEndpoint engine, Loading loading) {
-        return context.nowNanos() - loading.nextCallNanos >= 0 && calls.mayMake(engine.incarnation());
+        return context.nowNanos() - loading.nextCallNanos >= 0 && calls.allowsCall(engine.incarnation());
     }
 
     /** Starts the update of the next engines, those with the fewest running requests first. */
@@ -273,7 +273,7 @@
         List<ListedEndpoint> waiting = new ArrayList<>();
         for (ListedEndpoint engine : engines.values()) {
             boolean inProgressAlready = inProgress.containsKey(engine.id());
-            if (missingWeights(engine).isPresent() && !inProgressAlready && calls.mayMake(engine.incarnation())) {
+            if (missingWeights(engine).isPresent() && !inProgressAlready && calls.allowsCall(engine.incarnation())) {
                 waiting.add(engine);
             }
         }
@@ -330,7 +330,7 @@
             return false;
         }
         boolean justOrdered = loading.ordered && context.nowNanos() - loading.orderedNanos < CALL_TIMEOUT.toNanos();
-        return justOrdered || calls.mayMake(engine.incarnation());
+        return justOrdered || calls.allowsCall(engine.incarnation());
     }
 
     private Optional<ModelWeights> missingWeights(ListedEndpoint engine) {
@@ -384,7 +384,7 @@
     private boolean mayOrder(ListedEndpoint engine, Loading loading) {
         List<ListedEndpoint> pool = sameService(engine);
         boolean hasSlot = loading.ordered || orderedIn(pool) < concurrency(pool);
-        return hasSlot && calls.mayMake(engine.incarnation());
+        return hasSlot && calls.allowsCall(engine.incarnation());
     }
 
     private static long normalConcurrency(List<ListedEndpoint> pool) {
@@ -457,7 +457,7 @@
 
     /** Returns the delay before the next call, which is longer for an engine that requested fewer internal calls. */
     private Duration minDelay(ListedEndpoint engine, Duration delay) {
-        return Comparators.max(delay, calls.apart(engine.incarnation()));
+        return Comparators.max(delay, calls.minInterval(engine.incarnation()));
     }
 
     private static Duration delayAfter(EngineAnswer.Outcome outcome) {
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -14,8 +14,8 @@
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Homes;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.AllowedRegions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.follow.NamedWeightsComponent;
@@ -31,11 +31,11 @@
 /** Selects the endpoints that may accept a request at present, regardless of the cost of running it there. */
 final class Candidates {
     /** Time before the deadline for outdated weights from which no request may start on them. */
-    private static final Duration OUTDATED_WEIGHTS_MARGIN = WeightOrdersComponent.READY_BEFORE_THE_LIMIT;
+    private static final Duration OUTDATED_WEIGHTS_MARGIN = WeightOrdersComponent.LOADING_MARGIN;
 
     private final EndpointTable endpoints;
     private final ColdEndpointLimit coldLimit;
-    private final Regions regions;
+    private final DomainRegions regions;
     private final NamedWeightsComponent weights;
     private final RateLimitsComponent rateLimits;
     private final NoticesComponent notices;
@@ -56,7 +56,7 @@
     Candidates(
             EndpointTable endpoints,
             ColdEndpointLimit coldLimit,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             EndpointConstraints constraints,
             PlacementComponent.Fleet fleet,
@@ -101,13 +101,13 @@
      */
     List<EndpointState> forRequest(PlacementRequest request) {
         long now = context.nowNanos();
-        Homes homes = request.homes();
+        AllowedRegions allowedRegions = request.allowedRegions();
         List<EndpointState> ready = new ArrayList<>();
         List<EndpointState> full = new ArrayList<>();
         List<EndpointState> unreached = new ArrayList<>();
         boolean availableSoon = false;
         for (EndpointState endpoint : endpoints.all()) {
-            if (!isEligible(endpoint, request, homes)) {
+            if (!isEligible(endpoint, request, allowedRegions)) {
                 continue;
             }
             if (!acceptsAnother(endpoint, request)) {
@@ -128,13 +128,13 @@
 
     /**
      * Returns whether waiting can't help: every usable endpoint has already failed this request or lies outside its
-     * homes.
+     * allowed regions.
      */
     boolean isUnservable(PlacementRequest request) {
-        Homes homes = request.homes();
-        if (homes.isBinding()
+        AllowedRegions allowedRegions = request.allowedRegions();
+        if (allowedRegions.isRestricted()
                 && usable(request.service())
-                        .noneMatch(each -> isIn(homes, each.listed().domain()))) {
+                        .noneMatch(each -> isIn(allowedRegions, each.listed().domain()))) {
             return true;
         }
         if (request.excluded().isEmpty()) {
@@ -186,7 +186,7 @@
         }
         boolean local = isLocal.test(request);
         return endpoints.all().stream()
-                .filter(endpoint -> isEligible(endpoint, request, request.homes()))
+                .filter(endpoint -> isEligible(endpoint, request, request.allowedRegions()))
                 .map(endpoint ->
                         notices.remainingRejectionTime(endpoint.listed().incarnation(), local))
                 .min(Comparator.naturalOrder())
@@ -198,7 +198,7 @@
             return List.of();
         }
         List<ListedEndpoint> eligible = endpoints.all().stream()
-                .filter(endpoint -> isEligible(endpoint, request, request.homes()))
+                .filter(endpoint -> isEligible(endpoint, request, request.allowedRegions()))
                 .map(EndpointState::listed)
                 .toList();
         boolean allLimited = eligible.stream().allMatch(endpoint -> rateLimits.isLimited(endpoint.incarnation()));
@@ -233,10 +233,10 @@
         return coldLimit.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
 
-    private boolean isEligible(EndpointState endpoint, PlacementRequest request, Homes homes) {
+    private boolean isEligible(EndpointState endpoint, PlacementRequest request, AllowedRegions allowedRegions) {
         return endpoint.listed().service().equals(request.service())
                 && endpoint.isUsable(context.nowNanos())
-                && isIn(homes, endpoint.listed().domain())
+                && isIn(allowedRegions, endpoint.listed().domain())
                 && !request.excluded().contains(endpoint.listed().id())
                 && runsAcceptableVersion(endpoint, request);
     }
@@ -257,7 +257,7 @@
         return outdatedFor.compareTo(weights.oldWeightsAllowed().minus(OUTDATED_WEIGHTS_MARGIN)) < 0;
     }
 
-    private boolean isIn(Homes homes, FailureDomain domain) {
-        return homes.allow(regions.of(domain));
+    private boolean isIn(AllowedRegions allowedRegions, FailureDomain domain) {
+        return allowedRegions.allows(regions.of(domain));
     }
 }
--- a/src/main/java/org/yuccagw/core/placing/ColdEndpointLimit.java
+++ b/src/main/java/org/yuccagw/core/placing/ColdEndpointLimit.java
@@ -57,7 +57,7 @@
 
     /** Returns the requests per window that one share permits. */
     int requestsPerShare(ColdTraits traits, int shares) {
-        double limit = traits.perSecond() * bounds.overage() + bounds.slack();
+        double limit = traits.maxRequestsPerSecond() * bounds.overage() + bounds.slack();
         return shares == 0 ? 0 : (int) (limit * SHARE_OF_LIMIT / shares);
     }
 }
--- a/src/main/java/org/yuccagw/core/placing/EndpointTable.java
+++ b/src/main/java/org/yuccagw/core/placing/EndpointTable.java
@@ -84,7 +84,7 @@
             current(announced.endpoint()).ifPresent(EndpointState::markLeaving);
         } else if (event instanceof WorkTransferred transferred) {
             current(transferred.endpoint()).ifPresent(endpoint -> transferWork(endpoint, transferred));
-        } else if (event instanceof WeightOrdersComponent.WeightsRun weights) {
+        } else if (event instanceof WeightOrdersComponent.WeightsReported weights) {
             updateWeights(weights.endpoint(), weights.weights());
         }
     }
--- a/src/main/java/org/yuccagw/core/placing/Evacuations.java
+++ b/src/main/java/org/yuccagw/core/placing/Evacuations.java
@@ -76,7 +76,7 @@
 
     private void resumeUse(EndpointState endpoint, long nowNanos) {
         endpoint.setEvacuated(false);
-        Duration coldDuration = coldTraits.apply(endpoint.listed().service()).lasts();
+        Duration coldDuration = coldTraits.apply(endpoint.listed().service()).duration();
         if (!coldDuration.isZero()) {
             endpoint.setColdFor(coldDuration, nowNanos);
         }
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -17,8 +17,8 @@
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.AllowedRegions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.ListedEndpoint;
@@ -74,7 +74,7 @@
 
     private final RetryBounds retryBounds;
     private final Candidates candidates;
-    private final Regions regions;
+    private final DomainRegions regions;
     private final NamedWeightsComponent weights;
     private final StoresComponent stores;
     private final RateLimitsComponent rateLimits;
@@ -124,7 +124,7 @@
 
     private PlacementComponent(
             PlacementBounds bounds,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             StoresComponent stores,
             EngineCachesComponent caches,
@@ -155,7 +155,7 @@
      * Creates the placement component of one entry.
      *
      * @param bounds limits on what all entries together send
-     * @param regions used to look up the homes of routes and workspaces
+     * @param regions used to look up the allowed regions of routes and workspaces
      * @param weights the named weight versions
      * @param stores plans the transfers from and to cache stores
      * @param caches the parts that engines hold in their own caches
@@ -165,7 +165,7 @@
      */
     public static PlacementComponent of(
             PlacementBounds bounds,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             StoresComponent stores,
             EngineCachesComponent caches,
@@ -466,7 +466,7 @@
                 ? endpoint.versionOf(request.prompt().get().model())
                 : OptionalLong.empty();
         Optional<String> salt =
-                request.prompt().map(prompt -> CacheSalt.of(request.workspace(), request.homes(), version.orElse(0)));
+                request.prompt().map(prompt -> CacheSalt.of(request.workspace(), request.allowedRegions(), version.orElse(0)));
         Optional<CachePlan> cache = cachePlan(request, endpoint, version, salt);
         context.perform(Decision.of("placed")
                 .with("request", request.request())
@@ -537,18 +537,18 @@
         String model = request.prompt().get().model();
         boolean outdated = weights.isBehind(model, version.getAsLong());
         Duration outdatedFor = weights.behindFor(model, version.getAsLong(), context.nowNanos());
-        if (outdatedFor.compareTo(RetiredPartsComponent.OLD_FETCHES) >= 0) {
+        if (outdatedFor.compareTo(RetiredPartsComponent.OLD_VERSION_FETCH_PERIOD) >= 0) {
             return Optional.empty();
         }
-        int heldParts = planner.heldParts(request, endpoint);
-        Homes homes = request.homes();
+        int heldPartCount = planner.heldPartCount(request, endpoint);
+        AllowedRegions allowedRegions = request.allowedRegions();
         FailureDomain domain = endpoint.listed().domain();
         return stores.plan(
                 request.prompt().get(),
                 salt.get(),
                 domain,
-                heldParts,
-                storeDomain -> !outdated && homes.allow(regions.of(storeDomain)));
+                heldPartCount,
+                storeDomain -> !outdated && allowedRegions.allows(regions.of(storeDomain)));
     }
 
     private void refuse(PlacementRequest request, YuccagwException error, String reason) {
--- a/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
+++ b/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
@@ -40,7 +40,7 @@
         PromptShape prompt = request.prompt().orElseThrow();
         String salt = saltFor(request, endpoint);
         List<PromptPart> shared = prompt.sharedParts();
-        int index = heldParts(prompt, salt, endpoint, isPreferred);
+        int index = heldPartCount(prompt, salt, endpoint, isPreferred);
         int heldTokens = tokensOf(shared.subList(0, index));
         int fetchedTokens = 0;
         double fetchMillis = 0;
@@ -60,19 +60,19 @@
     }
 
     /** Returns the known number of shared parts at the start of the prompt that the endpoint holds. */
-    int heldParts(PlacementRequest request, EndpointState endpoint) {
-        return heldParts(request.prompt().orElseThrow(), saltFor(request, endpoint), endpoint, false);
+    int heldPartCount(PlacementRequest request, EndpointState endpoint) {
+        return heldPartCount(request.prompt().orElseThrow(), saltFor(request, endpoint), endpoint, false);
     }
 
-    private int heldParts(PromptShape prompt, String salt, EndpointState endpoint, boolean isPreferred) {
-        return caches.heldParts(endpoint.listed(), prompt, salt)
+    private int heldPartCount(PromptShape prompt, String salt, EndpointState endpoint, boolean isPreferred) {
+        return caches.heldPartCount(endpoint.listed(), prompt, salt)
                 .orElse(isPreferred ? prompt.sharedParts().size() : 0);
     }
 
     private static String saltFor(PlacementRequest request, EndpointState endpoint) {
         String model = request.prompt().orElseThrow().model();
         return CacheSalt.of(
-                request.workspace(), request.homes(), endpoint.versionOf(model).orElse(0));
+                request.workspace(), request.allowedRegions(), endpoint.versionOf(model).orElse(0));
     }
 
     private static int tokensOf(List<PromptPart> parts) {
--- a/src/main/java/org/yuccagw/core/placing/RequestQueue.java
+++ b/src/main/java/org/yuccagw/core/placing/RequestQueue.java
@@ -80,7 +80,7 @@
             return Comparators.min(MAX_PLAIN_WAIT, share);
         }
         Duration timeoutByTarget = request.route().target().multipliedBy(TARGETS_PER_CALLER_TIMEOUT);
-        Duration timeoutByGap = request.route().longestGap().multipliedBy(GAPS_PER_CALLER_TIMEOUT);
+        Duration timeoutByGap = request.route().maxGap().multipliedBy(GAPS_PER_CALLER_TIMEOUT);
         Duration callerTimeout = Comparators.max(MIN_CALLER_TIMEOUT, Comparators.max(timeoutByTarget, timeoutByGap));
         double millis =
                 Math.min(callerTimeout.toMillis() * CALLER_TIMEOUT_SHARE, request.leftMillis() * TIME_LEFT_SHARE);
--- a/src/main/java/org/yuccagw/core/stores/EngineCachesComponent.java
+++ b/src/main/java/org/yuccagw/core/stores/EngineCachesComponent.java
@@ -125,12 +125,12 @@
     private final class EngineCallPolicy implements CacheHolderEvents.CallPolicy {
         @Override
         public boolean allowsCall(CacheStore holder) {
-            return !calls.asksForFewer(engines.get(holder.id()));
+            return !calls.isRestricted(engines.get(holder.id()));
         }
 
         @Override
         public void recordCall(CacheStore holder) {
-            calls.made(engines.get(holder.id()));
+            calls.recordCall(engines.get(holder.id()));
         }
     }
 
--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreCaller.java
@@ -39,14 +39,14 @@
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges ask) {
+        if (action instanceof StoreCall.PollChanges ask) {
             HttpQuery query = HttpQuery.get(ask.store().address(), "/kv-events?since=" + ask.since())
-                    .withHeader("Wait-Ms", Long.toString(ask.longestWait().toMillis()))
-                    .withTimeouts(CONNECT_TIMEOUT, ask.longestWait().plus(ANSWER_MARGIN));
+                    .withHeader("Wait-Ms", Long.toString(ask.maxWait().toMillis()))
+                    .withTimeouts(CONNECT_TIMEOUT, ask.maxWait().plus(ANSWER_MARGIN));
             send(ask, query, input);
             return true;
         }
-        if (action instanceof StoreCall.AskList ask) {
+        if (action instanceof StoreCall.ListParts ask) {
             send(ask, listOf(ask.store()), input);
             return true;
         }
@@ -105,12 +105,12 @@
         StoreId store = call.store().id();
         caller.send(query).whenComplete((answer, failure) -> {
             if (failure != null) {
-                input.offer(new StoreAnswer.Silent(store, failure.toString()));
+                input.offer(new StoreAnswer.Unanswered(store, failure.toString()));
                 return;
             }
             EndpointNotice notice = EndpointNotices.read(answer.status(), answer.headers());
             if (notice.hasContent()) {
-                input.offer(new StoreAnswer.Noticed(store, notice));
+                input.offer(new StoreAnswer.Notice(store, notice));
             }
             input.offer(read(call, answer));
         });
@@ -119,13 +119,13 @@
     private static StoreAnswer read(StoreCall call, HttpAnswer answer) {
         StoreId store = call.store().id();
         if (!answer.isSuccess()) {
-            return new StoreAnswer.Silent(store, "status " + answer.status());
+            return new StoreAnswer.Unanswered(store, "status " + answer.status());
         }
         try {
             JsonNode body = JsonText.read(answer.body());
             long epoch = body.required("bootEpoch").asLong();
             long next = body.required("nextToken").asLong();
-            return call instanceof StoreCall.AskList
+            return call instanceof StoreCall.ListParts
                     ? new StoreAnswer.Listed(store, epoch, next, readHeld(body.path("held")))
                     : new StoreAnswer.Changes(
                             store,
@@ -135,7 +135,7 @@
                             body.path("clock_ms").asLong(0),
                             readChanges(body.path("events")));
         } catch (IOException | IllegalArgumentException e) {
-            return new StoreAnswer.Silent(store, "unreadable: " + e.getMessage());
+            return new StoreAnswer.Unanswered(store, "unreadable: " + e.getMessage());
         }
     }
 
--- a/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
@@ -21,7 +21,7 @@
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
@@ -99,7 +99,7 @@
     }
 
     private static boolean answer(ControlBench bench, ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges query) {
+        if (action instanceof StoreCall.PollChanges query) {
             StoreAnswer.Change storedPart = new StoreAnswer.Change(true, "s.1", "session", 5_000, "model");
             bench.time()
                     .after(
@@ -140,7 +140,7 @@
                 true,
                 true,
                 false,
-                Homes.ANYWHERE);
+                AllowedRegions.ANYWHERE);
         return new PlacementRequest(
                 RequestId.of("r1"),
                 route,
--- a/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
+++ b/src/test/java/org/yuccagw/core/stores/EngineCachesComponentTest.java
@@ -61,7 +61,7 @@
         polledHolders = new HashSet<>();
         eventsLost = false;
         bench.onAction(this::perform);
-        caches = EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoOthers.unlimitedCalls());
+        caches = EngineCachesComponent.of(() -> List.of(EntryId.of("entry-1")), NoPeers.unlimitedCalls());
         entry = bench.start("entry-1", FailureDomain.of("near"), List.of(caches));
         entry.offer(new ConfigurationComponent.Applied(deployment()));
         entry.offer(listed(engine("near", 1)));
