--- a/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
+++ b/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
@@ -49,7 +49,7 @@
     private final Traces traces;
     private final Runnable drain;
     private final SnapshotViews views;
-    private final OperatorCheck operators;
+    private final OperatorAuthenticator operators;
     private final Undertow server;
 
     private AdminServer(
@@ -66,7 +66,7 @@
         this.metrics = metrics;
         this.traces = traces;
         this.views = SnapshotViews.of(settings.entry());
-        this.operators = OperatorCheck.of(settings.bootstrapOperatorKeyHash());
+        this.operators = OperatorAuthenticator.of(settings.bootstrapOperatorKeyHash());
         this.server = makeServer(settings, tls);
     }
 
@@ -115,7 +115,7 @@
     }
 
     private HttpHandler routes() {
-        CatalogueCalls catalogue = CatalogueCalls.of(snapshots, input);
+        CatalogueHandlers catalogue = CatalogueHandlers.of(snapshots, input);
         RoutingHandler routes = Handlers.routing();
         routes.get("/healthz", exchange -> exchange.getResponseSender().send("ok\n"));
         routes.get("/readyz", this::readiness);
--- a/src/main/java/org/yuccagw/adapters/admin/CatalogueCalls.java
+++ b/src/main/java/org/yuccagw/adapters/admin/CatalogueHandlers.java
@@ -23,7 +23,7 @@
  * <p>The document that an operator sends carries the revision that the edit began from, as {@code GET} wrote it there.
  * So get, change, put is safe by itself: if somebody else was faster, the edit is a conflict and nothing changes.
  */
-final class CatalogueCalls {
+final class CatalogueHandlers {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String JSON = "application/json";
 
@@ -31,13 +31,13 @@
     private final ControlInput input;
     private final CatalogueJson json = CatalogueJson.create();
 
-    private CatalogueCalls(Supplier<ControlSnapshot> snapshots, ControlInput input) {
+    private CatalogueHandlers(Supplier<ControlSnapshot> snapshots, ControlInput input) {
         this.snapshots = snapshots;
         this.input = input;
     }
 
-    static CatalogueCalls of(Supplier<ControlSnapshot> snapshots, ControlInput input) {
-        return new CatalogueCalls(snapshots, input);
+    static CatalogueHandlers of(Supplier<ControlSnapshot> snapshots, ControlInput input) {
+        return new CatalogueHandlers(snapshots, input);
     }
 
     /** The catalogue in force, or the one of {@code ?revision=N}. */
--- a/src/main/java/org/yuccagw/adapters/admin/OperatorCheck.java
+++ b/src/main/java/org/yuccagw/adapters/admin/OperatorAuthenticator.java
@@ -18,18 +18,18 @@
  * <p>Only hashes are kept. A hash is compared with all of the list, each in constant time, so that the time of a
  * refusal tells nothing about how near a guess was. The bootstrap key counts only while there is no catalogue.
  */
-final class OperatorCheck {
+final class OperatorAuthenticator {
     private static final String BEARER = "Bearer ";
     private static final String BOOTSTRAP = "bootstrap";
 
     private final Optional<String> bootstrapKeyHash;
 
-    private OperatorCheck(Optional<String> bootstrapKeyHash) {
+    private OperatorAuthenticator(Optional<String> bootstrapKeyHash) {
         this.bootstrapKeyHash = bootstrapKeyHash;
     }
 
-    static OperatorCheck of(Optional<String> bootstrapKeyHash) {
-        return new OperatorCheck(bootstrapKeyHash);
+    static OperatorAuthenticator of(Optional<String> bootstrapKeyHash) {
+        return new OperatorAuthenticator(bootstrapKeyHash);
     }
 
     /** The operator's name; throws MISSING_KEY or FORBIDDEN. */
--- a/src/main/java/org/yuccagw/adapters/control/ControlRunner.java
+++ b/src/main/java/org/yuccagw/adapters/control/ControlRunner.java
@@ -58,7 +58,7 @@
         this.peers = peers;
         this.handlers = List.copyOf(handlers);
         this.disruptor = new Disruptor<>(
-                Slot::new, RING_SLOTS, this::makeThread, ProducerType.MULTI, TimerWait.until(core::nextTimerNanos));
+                Slot::new, RING_SLOTS, this::makeThread, ProducerType.MULTI, TimerWaitStrategy.until(core::nextTimerNanos));
         disruptor.handleEventsWith(new Handler());
     }
 
--- a/src/main/java/org/yuccagw/adapters/control/TimerWait.java
+++ b/src/main/java/org/yuccagw/adapters/control/TimerWaitStrategy.java
@@ -17,12 +17,12 @@
  *
  * <p>The time of the next timer is read on the consumer's thread only, which is the one that sets timers.
  */
-final class TimerWait implements WaitStrategy {
+final class TimerWaitStrategy implements WaitStrategy {
     private final LongSupplier nextTimerNanos;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition published = lock.newCondition();
 
-    private TimerWait(LongSupplier nextTimerNanos) {
+    private TimerWaitStrategy(LongSupplier nextTimerNanos) {
         this.nextTimerNanos = nextTimerNanos;
     }
 
@@ -31,8 +31,8 @@
      *
      * @param nextTimerNanos monotonic time of the next timer, {@link Long#MAX_VALUE} if none is set
      */
-    static TimerWait until(LongSupplier nextTimerNanos) {
-        return new TimerWait(nextTimerNanos);
+    static TimerWaitStrategy until(LongSupplier nextTimerNanos) {
+        return new TimerWaitStrategy(nextTimerNanos);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/adapters/decisions/RequestStory.java
+++ b/src/main/java/org/yuccagw/adapters/decisions/RequestTimeline.java
@@ -15,7 +15,7 @@
  * request, from {@link #BEFORE} its first line to its last. Clocks of entries differ, so the order of lines of
  * different entries that are a few milliseconds apart says nothing.
  */
-public final class RequestStory {
+public final class RequestTimeline {
     /** Longer than any wait that decides about a request: outages, avoided endpoints, the loading of weights. */
     static final Duration BEFORE = Duration.ofSeconds(3);
 
@@ -25,19 +25,19 @@
     private final ImmutableList<DecisionLine> own;
     private final ImmutableList<DecisionLine> beliefs;
 
-    private RequestStory(ImmutableList<DecisionLine> own, ImmutableList<DecisionLine> beliefs) {
+    private RequestTimeline(ImmutableList<DecisionLine> own, ImmutableList<DecisionLine> beliefs) {
         this.own = own;
         this.beliefs = beliefs;
     }
 
     /** The story of the request with this id; has no lines if the logs don't know it. */
-    public static RequestStory of(String request, List<DecisionLine> lines) {
+    public static RequestTimeline of(String request, List<DecisionLine> lines) {
         ImmutableList<DecisionLine> own = lines.stream()
                 .filter(line -> line.field(REQUEST).equals(request))
                 .sorted(Comparator.comparing(DecisionLine::time))
                 .collect(ImmutableList.toImmutableList());
         if (own.isEmpty()) {
-            return new RequestStory(own, own);
+            return new RequestTimeline(own, own);
         }
         Instant from = own.get(0).time().minus(BEFORE);
         Instant to = own.get(own.size() - 1).time();
@@ -52,7 +52,7 @@
                 .filter(line -> concerns(line, entries, endpoints))
                 .sorted(Comparator.comparing(DecisionLine::time))
                 .collect(ImmutableList.toImmutableList());
-        return new RequestStory(own, beliefs);
+        return new RequestTimeline(own, beliefs);
     }
 
     private static boolean concerns(DecisionLine line, Set<String> entries, Set<String> endpoints) {
--- a/src/main/java/org/yuccagw/adapters/tls/SwitchingContext.java
+++ b/src/main/java/org/yuccagw/adapters/tls/ReloadableSslContext.java
@@ -17,13 +17,13 @@
  * An SSL context that takes each new connection to the context that is current then. A handshake in progress keeps the
  * one that it began with, so that it never sees the certificate of one and the key of another.
  */
-final class SwitchingContext extends SSLContext {
-    private SwitchingContext(AtomicReference<SSLContext> current) {
+final class ReloadableSslContext extends SSLContext {
+    private ReloadableSslContext(AtomicReference<SSLContext> current) {
         super(new Delegate(current), current.get().getProvider(), current.get().getProtocol());
     }
 
     static SSLContext over(AtomicReference<SSLContext> current) {
-        return new SwitchingContext(current);
+        return new ReloadableSslContext(current);
     }
 
     private static final class Delegate extends SSLContextSpi {
--- a/src/main/java/org/yuccagw/adapters/tls/ReloadingTls.java
+++ b/src/main/java/org/yuccagw/adapters/tls/ReloadingTls.java
@@ -40,7 +40,7 @@
         this.files = files;
         this.used = used;
         this.current = new AtomicReference<>(first);
-        this.context = SwitchingContext.over(current);
+        this.context = ReloadableSslContext.over(current);
     }
 
     /**
--- a/src/main/java/org/yuccagw/cli/ExplainCommand.java
+++ b/src/main/java/org/yuccagw/cli/ExplainCommand.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import org.yuccagw.adapters.decisions.RequestStory;
+import org.yuccagw.adapters.decisions.RequestTimeline;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -26,7 +26,7 @@
 
     @Override
     public Integer call() {
-        RequestStory story = RequestStory.of(request, DecisionFiles.read(files));
+        RequestTimeline story = RequestTimeline.of(request, DecisionLogReader.read(files));
         if (!story.isKnown()) {
             throw CommandFailure.failed("no line of the files is about request " + request);
         }
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -11,9 +11,9 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.yuccagw.adapters.control.ControlRunner;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.peer.PeerTransport;
-import org.yuccagw.adapters.serving.RunCount;
+import org.yuccagw.adapters.serving.ActiveRequests;
 import org.yuccagw.adapters.serving.ServingServer;
 import org.yuccagw.adapters.serving.ServingServices;
 import org.yuccagw.adapters.settings.GatewaySettings;
@@ -58,10 +58,10 @@
     private final GatewaySettings settings;
     private final EntryIdentity self;
     private final DecisionLog decisions = DecisionLog.start();
-    private final RunCount runs = RunCount.create();
+    private final ActiveRequests runs = ActiveRequests.create();
     private final XnioWorker worker;
-    private final HttpCaller traffic;
-    private final HttpCaller platform;
+    private final HttpClient traffic;
+    private final HttpClient platform;
     private final PeerTransport peers;
     private final ControlRunner control;
     private final ServingServer server;
@@ -80,11 +80,11 @@
                 settings.capacity());
         Metrics metrics = Metrics.create();
         worker = makeWorker();
-        traffic = HttpCaller.on(worker);
-        platform = HttpCaller.on(worker);
+        traffic = HttpClient.on(worker);
+        platform = HttpClient.on(worker);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
         GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
-        ControlInputs inputs = new ControlInputs();
+        DeferredControlInput inputs = new DeferredControlInput();
         peers = PeerTransport.of(
                 self,
                 GatewayComponents.codec(),
--- a/src/main/java/org/yuccagw/platform/EndpointNotices.java
+++ b/src/main/java/org/yuccagw/platform/EndpointNotices.java
@@ -6,7 +6,7 @@
 import io.undertow.util.HeaderValues;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
 import org.yuccagw.core.notice.NoticeReceived;
@@ -41,7 +41,7 @@
     }
 
     /** What the answer to a call of this entry says of the endpoint; empty if nothing, or if another one answered. */
-    static Optional<NoticeReceived> heard(EndpointIncarnation endpoint, HttpAnswer answer) {
+    static Optional<NoticeReceived> heard(EndpointIncarnation endpoint, HttpResponse answer) {
         String from = text(answer.headers(), PlatformNames.ENDPOINT_ID);
         boolean foreign = !from.isEmpty() && !from.equals(endpoint.endpoint().value());
         EndpointNotice notice = read(answer.status(), answer.headers());
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformDialect.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.yuccagw.adapters.serving.CallerHead;
-import org.yuccagw.adapters.serving.Dialect;
+import org.yuccagw.adapters.serving.WireProtocol;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
@@ -15,7 +15,7 @@
 import org.yuccagw.core.placing.PlacementDecision;
 
 /** How callers and endpoints of the platform spell requests and answers. */
-public final class PlatformDialect implements Dialect {
+public final class PlatformDialect implements WireProtocol {
     private PlatformDialect() {}
 
     public static PlatformDialect create() {
--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreCaller.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.Optional;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.control.ActionHandler;
@@ -27,13 +27,13 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration ANSWER_MARGIN = Duration.ofMillis(600);
     private static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
-    private final HttpCaller caller;
+    private final HttpClient caller;
 
-    private StoreCaller(HttpCaller caller) {
+    private StoreCaller(HttpClient caller) {
         this.caller = caller;
     }
 
-    public static StoreCaller of(HttpCaller caller) {
+    public static StoreCaller of(HttpClient caller) {
         return new StoreCaller(caller);
     }
 
@@ -72,7 +72,7 @@
         });
     }
 
-    private static Optional<StoreAnswer.Contents> readContents(HttpAnswer answer) {
+    private static Optional<StoreAnswer.Contents> readContents(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return Optional.empty();
         }
@@ -116,7 +116,7 @@
         });
     }
 
-    private static StoreAnswer read(StoreCall call, HttpAnswer answer) {
+    private static StoreAnswer read(StoreCall call, HttpResponse answer) {
         StoreId store = call.store().id();
         if (!answer.isSuccess()) {
             return new StoreAnswer.Unanswered(store, "status " + answer.status());
--- a/src/test/java/org/yuccagw/adapters/control/TimerWaitTest.java
+++ b/src/test/java/org/yuccagw/adapters/control/TimerWaitStrategyTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.testng.annotations.Test;
 
-public class TimerWaitTest {
+public class TimerWaitStrategyTest {
     private static final long LATER = TimeUnit.SECONDS.toNanos(60);
 
     private final SequenceBarrier quiet = new Barrier();
@@ -21,7 +21,7 @@
     @Test
     public void aDueTimerEndsTheWait() {
         Sequence cursor = new Sequence(-1);
-        TimerWait wait = TimerWait.until(() -> System.nanoTime() - 1);
+        TimerWaitStrategy wait = TimerWaitStrategy.until(() -> System.nanoTime() - 1);
         assertThrows(TimeoutException.class, () -> wait.waitFor(0, cursor, cursor, quiet));
     }
 
@@ -31,7 +31,7 @@
         Sequence cursor = new Sequence(-1);
         AtomicInteger looks = new AtomicInteger();
         CompletableFuture<Void> waiting = new CompletableFuture<>();
-        TimerWait wait = TimerWait.until(() -> {
+        TimerWaitStrategy wait = TimerWaitStrategy.until(() -> {
             looks.incrementAndGet();
             waiting.complete(null);
             return System.nanoTime() + LATER;
@@ -44,7 +44,7 @@
         assertTrue(looks.get() <= 2, looks + " looks");
     }
 
-    private long await(TimerWait wait, Sequence cursor) {
+    private long await(TimerWaitStrategy wait, Sequence cursor) {
         try {
             return wait.waitFor(0, cursor, cursor, quiet);
         } catch (AlertException | InterruptedException | TimeoutException e) {
--- a/src/test/java/org/yuccagw/adapters/decisions/DecisionLogReadingTest.java
+++ b/src/test/java/org/yuccagw/adapters/decisions/DecisionLogReadingTest.java
@@ -57,19 +57,19 @@
 
     @Test
     public void theStoryOfARequestIsInOrderAndNamesWhatWasBelievedOfItsEndpoints() {
-        String text = RequestStory.of("r1", LOG).text();
+        String text = RequestTimeline.of("r1", LOG).text();
         assertTrue(text.indexOf("endpoint-avoided endpoint=i-1") < text.indexOf("placed"), text);
         assertTrue(text.indexOf("placed") < text.indexOf("refused"), text);
         assertTrue(text.indexOf("refused") < text.indexOf("outcome=overloaded"), text);
         assertFalse(text.contains("i-9"), text);
         assertFalse(text.contains("r2"), text);
         assertFalse(text.contains("store a"), text);
-        assertTrue(RequestStory.of("r2", LOG).text().contains("store a"));
+        assertTrue(RequestTimeline.of("r2", LOG).text().contains("store a"));
     }
 
     @Test
     public void anUnknownRequestHasNoStory() {
-        assertFalse(RequestStory.of("r3", LOG).isKnown());
+        assertFalse(RequestTimeline.of("r3", LOG).isKnown());
     }
 
     @Test
--- a/src/test/java/org/yuccagw/adapters/telemetry/LazyLogQueueTest.java
+++ b/src/test/java/org/yuccagw/adapters/telemetry/PollingLogQueueTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.BlockingQueue;
 import org.testng.annotations.Test;
 
-public class LazyLogQueueTest {
+public class PollingLogQueueTest {
     @Test
     public void linesComeOutInTheOrderInWhichTheyWentIn() throws InterruptedException {
         BlockingQueue<String> queue = LazyLogQueue.of(4);
--- a/src/test/java/org/yuccagw/platform/EndpointNoticesTest.java
+++ b/src/test/java/org/yuccagw/platform/EndpointNoticesTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
@@ -69,9 +69,9 @@
     public void anotherEndpointAtTheAddressSaysNothingOfTheOneThatWasCalled() {
         HeaderMap headers = headers("Server-Leaving", "1");
         NoticeReceived received = new NoticeReceived(ENDPOINT, EndpointNotice.ofLeaving(), false);
-        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpAnswer(503, headers, new byte[0])), Optional.of(received));
+        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpResponse(503, headers, new byte[0])), Optional.of(received));
         headers.put(new HttpString("Yuccagw-Instance-Id"), "e2");
-        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpAnswer(503, headers, new byte[0])), Optional.empty());
+        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpResponse(503, headers, new byte[0])), Optional.empty());
     }
 
     private static HeaderMap headers(String name, String value) {
--- a/src/test/java/org/yuccagw/platform/StoreCallerTest.java
+++ b/src/test/java/org/yuccagw/platform/StoreCallerTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.id.FailureDomain;
@@ -42,7 +42,7 @@
     private final Map<PartName, Integer> partial = new LinkedHashMap<>();
     private long epoch;
     private StandInServer server;
-    private HttpCaller caller;
+    private HttpClient caller;
     private StoreCaller calls;
     private CacheStore store;
 
@@ -60,7 +60,7 @@
                 .on("GET", "/kv-list", call -> call.reply(list()))
                 .on("POST", "/kv-free", this::free)
                 .listen(0);
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         calls = StoreCaller.of(caller);
         store = new CacheStore(
                 StoreId.of("store"), server.address(), FailureDomain.of("a"), 10_000, 1_000, 12, true, 1);
