--- a/src/main/java/org/yuccagw/adapters/caller/AnswerRelay.java
+++ b/src/main/java/org/yuccagw/adapters/caller/AnswerRelay.java
@@ -84,7 +84,7 @@
     private Optional<NetworkAddress> addressOf(EntryId entry) {
         return services.snapshot()
                 .get()
-                .part(DirectorySnapshot.class)
+                .find(DirectorySnapshot.class)
                 .flatMap(directory -> directory.entries().stream()
                         .filter(status -> status.entry().equals(entry))
                         .map(EntryStatus::callerAddress)
--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -24,7 +24,7 @@
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.ErrorKind;
@@ -182,7 +182,7 @@
         ForwardRequest request = new ForwardRequest(
                 head.id(),
                 route,
-                route.pick(ThreadLocalRandom.current().nextDouble()),
+                route.selectService(ThreadLocalRandom.current().nextDouble()),
                 workspace,
                 head.prompt(),
                 head.timeout().orElse(route.timeout()),
@@ -203,12 +203,12 @@
     private Deployment requireConfirmedDeployment() throws YuccagwException {
         Deployment deployment = services.snapshot()
                 .get()
-                .part(Deployment.class)
+                .find(Deployment.class)
                 .orElseThrow(() ->
                         ErrorKind.NOT_READY.raise("has no configuration yet").comeBackAfter(NOT_READY_RETRY_DELAY));
         if (services.maxUnconfirmedKeyAge().isPresent()) {
             FollowSnapshot follow =
-                    services.snapshot().get().part(FollowSnapshot.class).orElse(FollowSnapshot.none());
+                    services.snapshot().get().find(FollowSnapshot.class).orElse(FollowSnapshot.none());
             long ageNanos = System.nanoTime() - follow.confirmedNanos();
             if (ageNanos > services.maxUnconfirmedKeyAge().get().toNanos()) {
                 throw ErrorKind.NOT_READY
@@ -221,7 +221,7 @@
 
     private static Optional<WorkspaceAccess> workspaceOf(Deployment deployment, Route route, CallerHead head)
             throws YuccagwException {
-        if (!deployment.keysNeeded() || route.open()) {
+        if (!deployment.keysRequired() || route.open()) {
             return Optional.empty();
         }
         String key = head.bearerKey().orElseThrow(ErrorKind.MISSING_KEY::raise);
@@ -241,7 +241,7 @@
     private void logRefusal(HttpServerExchange exchange, YuccagwException error) {
         long version = services.snapshot()
                 .get()
-                .part(Deployment.class)
+                .find(Deployment.class)
                 .map(Deployment::version)
                 .orElse(0L);
         services.decisions()
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -153,7 +153,7 @@
     /** Returns whether this entry accepts new requests. */
     public boolean isReady() {
         return control.snapshot()
-                .part(DirectorySnapshot.class)
+                .find(DirectorySnapshot.class)
                 .map(DirectorySnapshot::ready)
                 .orElse(false);
     }
@@ -246,7 +246,7 @@
     }
 
     private SystemLimits systemLimits() {
-        return control.snapshot().part(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.usual());
+        return control.snapshot().find(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.usual());
     }
 
     private void scheduleLoadReports() {
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -326,6 +326,6 @@
 
     @Override
     public ImmutableList<PeerStatus.Weights> weights() {
-        return orders.weightsHeard();
+        return orders.reportedWeights();
     }
 }
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -136,7 +136,7 @@
                 "yuccagw_rate_limited_endpoints",
                 "Endpoints that ask for fewer requests, as far as this entry knows",
                 () -> control.snapshot()
-                        .part(RateLimitsSnapshot.class)
+                        .find(RateLimitsSnapshot.class)
                         .orElse(RateLimitsSnapshot.NONE)
                         .endpoints());
         metrics.registerGauge(
@@ -152,7 +152,7 @@
     }
 
     private NoticesSnapshot notices() {
-        return control.snapshot().part(NoticesSnapshot.class).orElse(NoticesSnapshot.NONE);
+        return control.snapshot().find(NoticesSnapshot.class).orElse(NoticesSnapshot.NONE);
     }
 
     /**
@@ -234,7 +234,7 @@
     }
 
     private PeersSnapshot peersSnapshot() {
-        return control.snapshot().part(PeersSnapshot.class).orElse(PeersSnapshot.none());
+        return control.snapshot().find(PeersSnapshot.class).orElse(PeersSnapshot.none());
     }
 
     /**
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.Region;
@@ -118,8 +118,8 @@
     public void theCacheOfBoundPromptsHasItsOwnSalt() {
         Homes north = Homes.in(List.of(Region.of("north")));
         String bound = CacheSalt.of(Optional.empty(), north, 7);
-        assertFalse(bound.equals(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 7)));
+        assertFalse(bound.equals(CacheSalt.of(Optional.empty(), AllowedRegions.ANYWHERE, 7)));
         assertEquals(bound, "s.@north.7");
-        assertEquals(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 7), "s.7");
+        assertEquals(CacheSalt.of(Optional.empty(), AllowedRegions.ANYWHERE, 7), "s.7");
     }
 }
