--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -57,7 +57,7 @@
     private final ServingServices services;
     private final ActiveRequests activeRequests;
     private final Undertow server;
-    private final Regions regions;
+    private final DomainRegions regions;
     private volatile boolean closingConnections;
     private volatile boolean refusingNewStreams;
     private volatile boolean refusingNewRequests;
@@ -294,6 +294,6 @@
     }
 
     private PeersSnapshot peersSnapshot() {
-        return services.snapshot().get().part(PeersSnapshot.class).orElse(PeersSnapshot.none());
+        return services.snapshot().get().find(PeersSnapshot.class).orElse(PeersSnapshot.none());
     }
 }
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -167,7 +167,7 @@
         log.info("entry {} is stopping, with {} requests in progress", self.entry(), runs.count());
         control.offer(new StopRequested());
         Duration directoryTimeToLive = control.snapshot()
-                .part(DirectorySnapshot.class)
+                .find(DirectorySnapshot.class)
                 .map(DirectorySnapshot::timeToLive)
                 .orElse(Duration.ZERO);
         long untilNanos = System.nanoTime() + directoryTimeToLive.toNanos();
@@ -242,7 +242,7 @@
     }
 
     private Optional<org.yuccagw.core.id.NetworkAddress> peerAddress(org.yuccagw.core.id.EntryId entry) {
-        return control.snapshot().part(PeerAddresses.class).flatMap(addresses -> addresses.find(entry));
+        return control.snapshot().find(PeerAddresses.class).flatMap(addresses -> addresses.find(entry));
     }
 
     private SystemLimits systemLimits() {
--- a/src/main/java/org/yuccagw/platform/EngineCaller.java
+++ b/src/main/java/org/yuccagw/platform/EngineCaller.java
@@ -57,7 +57,7 @@
         return false;
     }
 
-    private void askState(EngineCall.AskState ask, ControlInput input) {
+    private void askState(EngineCall.QueryState ask, ControlInput input) {
         HttpRequest query = to(ask, HttpRequest.get(ask.endpoint().address(), PlatformNames.REPORT_PATH));
         caller.send(query).whenComplete((answer, failure) -> {
             hearNotice(ask, answer, input);
--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreCaller.java
@@ -39,10 +39,10 @@
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges ask) {
+        if (action instanceof StoreCall.PollChanges ask) {
             HttpRequest query = HttpRequest.get(ask.store().address(), "/kv-events?since=" + ask.since())
-                    .withHeader("Wait-Ms", Long.toString(ask.longestWait().toMillis()))
-                    .withTimeouts(CONNECT_TIMEOUT, ask.longestWait().plus(ANSWER_MARGIN));
+                    .withHeader("Wait-Ms", Long.toString(ask.maxWait().toMillis()))
+                    .withTimeouts(CONNECT_TIMEOUT, ask.maxWait().plus(ANSWER_MARGIN));
             send(ask, query, input);
             return true;
         }
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -99,24 +99,24 @@
 
     @Test
     public void theHomesOfRouteAndWorkspaceBothApply() {
-        Homes route = Homes.in(List.of(Region.of("north"), Region.of("south")));
-        Homes workspace = Homes.in(List.of(Region.of("south"), Region.of("east")));
-        Homes both = route.and(workspace);
-        assertTrue(both.allow(Optional.of(Region.of("south"))));
-        assertFalse(both.allow(Optional.of(Region.of("north"))));
-        assertFalse(both.allow(Optional.of(Region.of("east"))));
-        Homes neither = Homes.in(List.of(Region.of("north"))).and(Homes.in(List.of(Region.of("east"))));
-        assertTrue(neither.isBinding());
-        assertFalse(neither.allow(Optional.of(Region.of("north"))));
-        assertEquals(Homes.ANYWHERE.and(route), route);
-        assertEquals(route.and(Homes.ANYWHERE), route);
-        assertFalse(route.allow(Optional.empty()));
-        assertTrue(Homes.ANYWHERE.allow(Optional.empty()));
+        AllowedRegions route = AllowedRegions.in(List.of(Region.of("north"), Region.of("south")));
+        AllowedRegions workspace = AllowedRegions.in(List.of(Region.of("south"), Region.of("east")));
+        AllowedRegions both = route.intersect(workspace);
+        assertTrue(both.allows(Optional.of(Region.of("south"))));
+        assertFalse(both.allows(Optional.of(Region.of("north"))));
+        assertFalse(both.allows(Optional.of(Region.of("east"))));
+        AllowedRegions neither = AllowedRegions.in(List.of(Region.of("north"))).intersect(AllowedRegions.in(List.of(Region.of("east"))));
+        assertTrue(neither.isRestricted());
+        assertFalse(neither.allows(Optional.of(Region.of("north"))));
+        assertEquals(AllowedRegions.ANYWHERE.intersect(route), route);
+        assertEquals(route.intersect(AllowedRegions.ANYWHERE), route);
+        assertFalse(route.allows(Optional.empty()));
+        assertTrue(AllowedRegions.ANYWHERE.allows(Optional.empty()));
     }
 
     @Test
     public void theCacheOfBoundPromptsHasItsOwnSalt() {
-        Homes north = Homes.in(List.of(Region.of("north")));
+        AllowedRegions north = AllowedRegions.in(List.of(Region.of("north")));
         String bound = CacheSalt.of(Optional.empty(), north, 7);
         assertFalse(bound.equals(CacheSalt.of(Optional.empty(), AllowedRegions.ANYWHERE, 7)));
         assertEquals(bound, "s.@north.7");
--- a/src/test/java/org/yuccagw/daemon/VirtualFleet.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualFleet.java
@@ -316,7 +316,7 @@
     }
 
     private boolean handleAction(ControlAction action, ControlInput input) {
-        if (action instanceof EngineCall.AskState query) {
+        if (action instanceof EngineCall.QueryState query) {
             EntryId from = ((BenchNode) input).entry();
             stateQueries.add(new StateQuery(
                     from, query.endpoint().incarnation(), bench.time().nowNanos()));
@@ -337,7 +337,7 @@
 
     private EngineAnswer stateAnswer(EndpointIncarnation queried) {
         EndpointId engine = queried.endpoint();
-        return new EngineAnswer.Told(
+        return new EngineAnswer.StateReported(
                 queried,
                 Optional.of(new EngineState(
                         starts.get(engine),
@@ -378,7 +378,7 @@
                 .after(
                         Duration.ofMillis(3),
                         () -> input.offer(
-                                new EngineAnswer.Ordered(order.endpoint().incarnation(), reported)));
+                                new EngineAnswer.OrderAnswered(order.endpoint().incarnation(), reported)));
     }
 
     private void finishLoading(EndpointId engine, long start, long version) {
--- a/src/test/java/org/yuccagw/daemon/VirtualLoad.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualLoad.java
@@ -149,7 +149,7 @@
 
     /** Answers each query for cache events with one change after a short delay. */
     private boolean answerCacheEvents(ControlAction action, ControlInput input) {
-        if (!(action instanceof StoreCall.AskChanges query)) {
+        if (!(action instanceof StoreCall.PollChanges query)) {
             return false;
         }
         EndpointIncarnation engine = parseIncarnation(query.store().id().value());
