--- a/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
@@ -208,13 +208,13 @@
     public void requestQuarantineDecision() {
         services.control()
                 .offer(new QuarantineRequested(
-                        profile.fingerprint(), verdict -> runOnThread(() -> machine.onQuarantineDecision(verdict))));
+                        profile.fingerprint(), decision -> runOnThread(() -> machine.onQuarantineDecision(decision))));
     }
 
     @Override
-    public void requestRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
+    public void requestRoute(Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean isolated) {
         spans.begin("route");
-        RouteRequested.Query question = new RouteRequested.Query(
+        RouteRequested.Query query = new RouteRequested.Query(
                 profile.request(),
                 profile.workspace(),
                 profile.service(),
@@ -224,17 +224,17 @@
                 target.completionBody().map(CompletionBody::promptTokens).orElse(0L),
                 target.completionBody().map(body -> (long) body.maxTokens()).orElse(0L),
                 excluded,
-                alone);
-        services.control().offer(new RouteRequested(question, routed -> runOnThread(() -> onRouted(routed))));
+                isolated);
+        services.control().offer(new RouteRequested(query, routeAnswer -> runOnThread(() -> onRouted(routeAnswer))));
     }
 
-    private void onRouted(RouteRequested.Answer routed) {
-        if (routed instanceof RouteRequested.Answer.Chosen chosen) {
+    private void onRouted(RouteRequested.Answer routeAnswer) {
+        if (routeAnswer instanceof RouteRequested.Answer.Chosen chosen) {
             spans.setAttribute("route", "endpoint", chosen.endpoint().id().value());
             spans.addRouteExplanation(chosen.explanation());
         }
         spans.end("route");
-        machine.onRoute(routed);
+        machine.onRoute(routeAnswer);
     }
 
     private ImmutableList<BlockKey> blockKeys(String version) {
--- a/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
@@ -53,7 +53,7 @@
     private final Map<TimerKind, XnioExecutor.Key> timers = new EnumMap<>(TimerKind.class);
     private long firstByteNanos;
     private Attempt current;
-    private boolean heldByMachine;
+    private boolean pausedByMachine;
 
     private ServingRun(
             ServingServices services,
@@ -148,12 +148,12 @@
     @Override
     public void pauseReading(long leg) {
         current.call.pause();
-        heldByMachine = true;
+        pausedByMachine = true;
     }
 
     @Override
     public void resumeReading(long leg) {
-        heldByMachine = false;
+        pausedByMachine = false;
         current.call.resume();
     }
 
@@ -254,14 +254,14 @@
 
     @Override
     public void pause() {
-        if (current != null && current.call != null && !heldByMachine) {
+        if (current != null && current.call != null && !pausedByMachine) {
             current.call.pause();
         }
     }
 
     @Override
     public void resume() {
-        if (current != null && current.call != null && !heldByMachine) {
+        if (current != null && current.call != null && !pausedByMachine) {
             current.call.resume();
         }
     }
