--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -34,7 +34,7 @@
     }
 
     static Catalogue catalogue(ControlSnapshot snapshot) {
-        return snapshot.part(Catalogue.class).orElse(Catalogue.none());
+        return snapshot.part(Catalogue.class).orElse(Catalogue.empty());
     }
 
     static boolean isReady(ControlSnapshot snapshot) {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
@@ -65,7 +65,7 @@
     private final Undertow server;
     private final BodyReader bodies;
     private final Prefetcher prefetcher;
-    private volatile WorkspaceKeys keys = WorkspaceKeys.of(Catalogue.none());
+    private volatile WorkspaceKeys keys = WorkspaceKeys.of(Catalogue.empty());
     private volatile boolean refusing;
 
     /** Makes the event for a hint that a prompt will return soon. */
--- a/src/main/java/org/yuccagw/adapters/peer/CatalogueUpdateCodec.java
+++ b/src/main/java/org/yuccagw/adapters/peer/CatalogueUpdateCodec.java
@@ -24,9 +24,9 @@
     @Override
     public boolean encode(PeerMessage message, Envelope.Builder envelope) {
         CatalogueMessage.Builder body = CatalogueMessage.newBuilder();
-        if (message instanceof CatalogueUpdate.Whole whole) {
+        if (message instanceof CatalogueUpdate.FullDocument whole) {
             body.setKind(WHOLE).setRevision(whole.revision()).setDocument(ByteString.copyFrom(whole.document()));
-        } else if (message instanceof CatalogueUpdate.Ask ask) {
+        } else if (message instanceof CatalogueUpdate.Request ask) {
             body.setKind(ASK).setRevision(ask.revision());
         } else if (message instanceof CatalogueUpdate.Delta delta) {
             body.setKind(DELTA)
@@ -49,8 +49,8 @@
         byte[] document = body.getDocument().toByteArray();
         return Optional.of(
                 switch (body.getKind()) {
-                    case WHOLE -> new CatalogueUpdate.Whole(body.getRevision(), document);
-                    case ASK -> new CatalogueUpdate.Ask(body.getRevision());
+                    case WHOLE -> new CatalogueUpdate.FullDocument(body.getRevision(), document);
+                    case ASK -> new CatalogueUpdate.Request(body.getRevision());
                     case DELTA -> new CatalogueUpdate.Delta(body.getRevision(), body.getBaseRevision(), document);
                     default ->
                         throw ErrorKind.PEER_MESSAGE_INVALID.raise(
--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -130,7 +130,7 @@
 
     private void begin(HttpServerExchange exchange) throws YuccagwException {
         if (refusing) {
-            throw ErrorKind.STOPPING.raise().comeBackAfter(Duration.ZERO);
+            throw ErrorKind.STOPPING.raise().withRetryAfter(Duration.ZERO);
         }
         Deployment deployment = confirmedDeployment();
         CallerHead head = services.dialect().readHead(exchange.getRequestHeaders());
@@ -141,7 +141,7 @@
                 deployment.route(head.host(), exchange.getRequestURI()).orElseThrow(ErrorKind.UNKNOWN_ROUTE::raise);
         Optional<WorkspaceAccess> workspace = workspaceOf(deployment, route, head);
         if (refusingStreams && route.streamed()) {
-            throw ErrorKind.STOPPING.raise().comeBackAfter(Duration.ZERO);
+            throw ErrorKind.STOPPING.raise().withRetryAfter(Duration.ZERO);
         }
         if (HttpContinue.requiresContinueResponse(exchange)) {
             HttpContinue.sendContinueResponse(exchange, new IoCallback() {
@@ -200,7 +200,7 @@
                 .get()
                 .part(Deployment.class)
                 .orElseThrow(() ->
-                        ErrorKind.NOT_READY.raise("has no configuration yet").comeBackAfter(NOT_READY_WAIT));
+                        ErrorKind.NOT_READY.raise("has no configuration yet").withRetryAfter(NOT_READY_WAIT));
         if (services.keysUnconfirmed().isPresent()) {
             FollowSnapshot follow =
                     services.snapshot().get().part(FollowSnapshot.class).orElse(FollowSnapshot.none());
@@ -208,7 +208,7 @@
             if (ageNanos > services.keysUnconfirmed().get().toNanos()) {
                 throw ErrorKind.NOT_READY
                         .raise("could not confirm its configuration")
-                        .comeBackAfter(NOT_READY_WAIT);
+                        .withRetryAfter(NOT_READY_WAIT);
             }
         }
         return deployment;
--- a/src/main/java/org/yuccagw/adapters/settings/CatalogueReader.java
+++ b/src/main/java/org/yuccagw/adapters/settings/CatalogueReader.java
@@ -55,7 +55,7 @@
 
     private Catalogue readRoot(StrictObject root) throws YuccagwException {
         long revision = root.has("revision") ? root.wholeNumber("revision", 0, Long.MAX_VALUE) : 0;
-        SystemLimits system = root.has("system") ? readSystem(root) : SystemLimits.usual();
+        SystemLimits system = root.has("system") ? readSystem(root) : SystemLimits.defaults();
         classes = readClasses(root);
         return Catalogue.of(revision, system, classes, readWorkspaces(root), readServices(root), readOperators(root));
     }
@@ -233,7 +233,7 @@
 
     private static Limits readLimits(StrictObject object) throws YuccagwException {
         if (!object.has("limits")) {
-            return Limits.none();
+            return Limits.unlimited();
         }
         StrictObject limits =
                 object.object("limits", "concurrent_requests", "requests_per_second", "tokens_per_second");
--- a/src/main/java/org/yuccagw/bench/control/InMemoryKeyValue.java
+++ b/src/main/java/org/yuccagw/bench/control/InMemoryKeyValue.java
@@ -233,12 +233,11 @@
         Waiting waiting = new Waiting(watch, answer);
         if (watchesSilent) {
             time.after(
-                    watch.longestWait().plus(WATCH_MARGIN),
-                    () -> answer.accept(new KeyValueAnswer.Lost("silent watch")));
+                    watch.maxWait().plus(WATCH_MARGIN), () -> answer.accept(new KeyValueAnswer.Lost("silent watch")));
             return;
         }
         watches.add(waiting);
-        time.after(watch.longestWait(), () -> {
+        time.after(watch.maxWait(), () -> {
             if (!waiting.over) {
                 waiting.over = true;
                 watches.remove(waiting);
--- a/src/main/java/org/yuccagw/bench/control/SampleCatalogues.java
+++ b/src/main/java/org/yuccagw/bench/control/SampleCatalogues.java
@@ -39,7 +39,7 @@
                 CLASS, 0, 1, Duration.ofSeconds(10), Duration.ofMinutes(5), Duration.ofSeconds(5), 1, 1);
         return Catalogue.of(
                 0,
-                SystemLimits.usual(),
+                SystemLimits.defaults(),
                 Map.of(CLASS, requestClass),
                 workspaces,
                 Map.of(),
@@ -63,7 +63,7 @@
                 ServiceName.of(pool),
                 "serving@example.org",
                 CLASS,
-                Limits.none(),
+                Limits.unlimited(),
                 pool,
                 checksFencing,
                 Optional.of(new ModelSettings(version, "", atOnce, floor, 16, 1024)),
--- a/src/main/java/org/yuccagw/bench/local/LocalCatalogue.java
+++ b/src/main/java/org/yuccagw/bench/local/LocalCatalogue.java
@@ -46,7 +46,7 @@
     }
 
     public static Catalogue usual() {
-        return withWorkspaces(List.of("statistics", "ministry"), Limits.none());
+        return withWorkspaces(List.of("statistics", "ministry"), Limits.unlimited());
     }
 
     /** The usual catalogue with these workspaces, all with the same limits. */
@@ -58,7 +58,7 @@
                 .collect(java.util.stream.Collectors.toMap(Workspace::id, workspace -> workspace));
         return Catalogue.of(
                 0,
-                SystemLimits.usual(),
+                SystemLimits.defaults(),
                 Map.of(CLASS, interactive),
                 workspaces,
                 Map.of(ServiceName.of(MODEL), model(), ServiceName.of(PLAIN), plain()),
@@ -85,7 +85,7 @@
                 ServiceName.of(MODEL),
                 "assistant@example.org",
                 CLASS,
-                Limits.none(),
+                Limits.unlimited(),
                 MODEL,
                 true,
                 Optional.of(new Service.ModelSettings(VERSION, "", 2, 1, BLOCK_TOKENS, BYTES_PER_TOKEN)),
@@ -97,7 +97,7 @@
                 ServiceName.of(PLAIN),
                 "platform@example.org",
                 CLASS,
-                Limits.none(),
+                Limits.unlimited(),
                 PLAIN,
                 false,
                 Optional.empty(),
--- a/src/main/java/org/yuccagw/bench/requests/CommitCost.java
+++ b/src/main/java/org/yuccagw/bench/requests/CommitCost.java
@@ -17,7 +17,7 @@
     private static final int SHARDS = 16;
     private static final int ENTRIES = 8;
     private static final int SECONDS = 10;
-    private static final int[] CALLS_PER_SECOND = {1, 10, 100, 1_000};
+    private static final int[] MAX_CALLS_PER_SECOND = {1, 10, 100, 1_000};
     private static final double MICROS_PER_MILLI = 1e3;
 
     private CommitCost() {}
@@ -30,7 +30,7 @@
                 "KV writes for 1000 claims",
                 "decided after, median (ms)",
                 "decided after, 99 in 100 (ms)");
-        for (int rate : CALLS_PER_SECOND) {
+        for (int rate : MAX_CALLS_PER_SECOND) {
             add(table, rate, seed);
         }
         return table.build();
--- a/src/main/java/org/yuccagw/bench/requests/Fairness.java
+++ b/src/main/java/org/yuccagw/bench/requests/Fairness.java
@@ -166,7 +166,7 @@
         RequestClass interactive = new RequestClass(
                 CLASS, 0, 1, FIRST_TOKEN_DEADLINE, Duration.ofMinutes(5), Duration.ofSeconds(10), 1, 1);
         Map<WorkspaceId, Workspace> workspaces =
-                Map.of(LARGE, new Workspace(LARGE, "owner", CLASS, Limits.none(), 1, List.of(), "secret"));
-        return Catalogue.of(1, SystemLimits.usual(), Map.of(CLASS, interactive), workspaces, Map.of(), List.of());
+                Map.of(LARGE, new Workspace(LARGE, "owner", CLASS, Limits.unlimited(), 1, List.of(), "secret"));
+        return Catalogue.of(1, SystemLimits.defaults(), Map.of(CLASS, interactive), workspaces, Map.of(), List.of());
     }
 }
--- a/src/main/java/org/yuccagw/bench/routing/World.java
+++ b/src/main/java/org/yuccagw/bench/routing/World.java
@@ -140,13 +140,14 @@
                             name,
                             "owner@example.org",
                             CLASS,
-                            Limits.none(),
+                            Limits.unlimited(),
                             shape.name(),
                             true,
                             Optional.of(model),
                             List.of()));
         }
-        return Catalogue.of(revision, SystemLimits.usual(), Map.of(CLASS, requestClass), Map.of(), services, List.of());
+        return Catalogue.of(
+                revision, SystemLimits.defaults(), Map.of(CLASS, requestClass), Map.of(), services, List.of());
     }
 
     PlatformListed stores() {
--- a/src/main/java/org/yuccagw/cli/CatalogueDiffCommand.java
+++ b/src/main/java/org/yuccagw/cli/CatalogueDiffCommand.java
@@ -44,7 +44,7 @@
 
     private static Catalogue catalogueInForce(AdminClient client) throws YuccagwException {
         if (client.get("/admin/status").path("revision").asLong() == 0) {
-            return Catalogue.none();
+            return Catalogue.empty();
         }
         byte[] document = client.getText("/admin/catalogue").getBytes(StandardCharsets.UTF_8);
         return CatalogueJson.create().decode(document);
--- a/src/main/java/org/yuccagw/cli/SettingsCommand.java
+++ b/src/main/java/org/yuccagw/cli/SettingsCommand.java
@@ -76,7 +76,7 @@
         }
 
         private static Kind guess(byte[] document) throws YuccagwException {
-            if (GatewaySettingsReader.looksLikeOne(document)) {
+            if (GatewaySettingsReader.isPlatformSettings(document)) {
                 return Kind.GATEWAY;
             }
             return CatalogueJson.looksLikeCatalogue(document) ? Kind.CATALOGUE : Kind.ENTRY;
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -159,7 +159,7 @@
         if (retry == ErrorKind.Retry.OTHER_ENTRY) {
             failed(FailureClass.ENTRY_NOT_READY, comeBack, error);
         } else if (retry == ErrorKind.Retry.CALLER && comeBack.isPresent()) {
-            failed(FailureClass.ENTRY_REFUSED, comeBack, error.comeBackAfter(comeBack.get()));
+            failed(FailureClass.ENTRY_REFUSED, comeBack, error.withRetryAfter(comeBack.get()));
         } else {
             result.completeExceptionally(error);
         }
@@ -169,7 +169,7 @@
         try {
             JsonNode error = JSON.readTree(body).path("error");
             ErrorKind kind = ErrorKind.valueOf(error.path("code").asText().toUpperCase(Locale.ROOT));
-            return kind.received(error.path("message").asText());
+            return kind.fromAnswer(error.path("message").asText());
         } catch (IOException | IllegalArgumentException e) {
             return ErrorKind.INTERNAL.raiseFrom(e, "the entry's error can't be read");
         }
--- a/src/main/java/org/yuccagw/core/admission/AdmissionComponent.java
+++ b/src/main/java/org/yuccagw/core/admission/AdmissionComponent.java
@@ -52,7 +52,7 @@
     private final Map<ServiceName, ServiceGate> gates = new HashMap<>();
     private final Map<RequestId, Waiting> waiting = new LinkedHashMap<>();
     private final Map<RequestId, Admitted> admitted = new HashMap<>();
-    private Catalogue catalogue = Catalogue.none();
+    private Catalogue catalogue = Catalogue.empty();
     private ControlContext context;
     private boolean recheckSet;
     private long refused;
@@ -202,7 +202,7 @@
         YuccagwException error = prediction.byLimits()
                 ? ErrorKind.WORKSPACE_LIMIT.raise(request.workspace(), shares.describe(request))
                 : ErrorKind.OVERLOADED.raise((long) (seconds * MILLIS));
-        reply(request, Optional.of(error.comeBackAfter(Duration.ofMillis(comeBackMillis))));
+        reply(request, Optional.of(error.withRetryAfter(Duration.ofMillis(comeBackMillis))));
     }
 
     private void admit(Waiting request, ServiceGate gate) {
--- a/src/main/java/org/yuccagw/core/admission/CapacityComponent.java
+++ b/src/main/java/org/yuccagw/core/admission/CapacityComponent.java
@@ -30,7 +30,7 @@
     private static final int PERCENT = 100;
 
     private final Map<ServiceName, Integer> told = new HashMap<>();
-    private Catalogue catalogue = Catalogue.none();
+    private Catalogue catalogue = Catalogue.empty();
     private EndpointsSnapshot endpoints = EndpointsSnapshot.empty();
     private long entries = 1;
 
--- a/src/main/java/org/yuccagw/core/admission/LimitShares.java
+++ b/src/main/java/org/yuccagw/core/admission/LimitShares.java
@@ -46,7 +46,7 @@
     private final Map<ShardNumber, OwnedShard> owned = new HashMap<>();
     private final Map<ShardNumber, Introduced> introduced = new HashMap<>();
     private final Map<EntryId, Member> members = new HashMap<>();
-    private Catalogue catalogue = Catalogue.none();
+    private Catalogue catalogue = Catalogue.empty();
     private ControlContext context;
     private Runnable onChange = () -> {};
 
@@ -99,7 +99,7 @@
         Optional<Limits> found = limit.isOfWorkspace()
                 ? catalogue.workspace(WorkspaceId.of(limit.name())).map(Workspace::limits)
                 : catalogue.service(ServiceName.of(limit.name())).map(Service::limits);
-        return found.orElse(Limits.none());
+        return found.orElse(Limits.unlimited());
     }
 
     boolean admits(WorkspaceId workspace, ServiceName service) {
--- a/src/main/java/org/yuccagw/core/cache/CacheState.java
+++ b/src/main/java/org/yuccagw/core/cache/CacheState.java
@@ -24,7 +24,7 @@
     private final PromptTree prompts;
     private final StoreTable stores = StoreTable.create();
     private final ImportsInProgress imports = new ImportsInProgress();
-    private Catalogue catalogue = Catalogue.none();
+    private Catalogue catalogue = Catalogue.empty();
     private EndpointsSnapshot endpoints = EndpointsSnapshot.empty();
     private boolean otherEntries;
     private OptionalDouble prefillSpeed = OptionalDouble.empty();
--- a/src/main/java/org/yuccagw/core/catalogue/Catalogue.java
+++ b/src/main/java/org/yuccagw/core/catalogue/Catalogue.java
@@ -8,17 +8,17 @@
 import org.yuccagw.core.id.WorkspaceId;
 
 /**
- * The operators' catalogue at one revision: everything that operators decide, in one immutable document.
+ * The operators' catalogue at one revision: an immutable document with all settings that operators control.
  *
- * <p>Revisions only grow. Two catalogues with the same revision are equal; an entry daemon puts a catalogue in force
- * only if its revision is above the one in force, which is why an accepted change never reverts.
+ * <p>Revisions only increase, and two catalogues with the same revision are equal. An entry daemon applies a catalogue
+ * only if its revision is higher than that of the catalogue in force, so an accepted change never reverts.
  *
- * @param revision 0 for "none yet"
+ * @param revision the revision, starting at 1; 0 while there is no catalogue
  * @param system settings of the whole deployment
- * @param classes by name
- * @param workspaces by id
- * @param services by name
- * @param operators who may edit
+ * @param classes request classes by name
+ * @param workspaces workspaces by id
+ * @param services services by name
+ * @param operators the operators who may edit the catalogue
  */
 public record Catalogue(
         long revision,
@@ -27,9 +27,9 @@
         ImmutableSortedMap<WorkspaceId, Workspace> workspaces,
         ImmutableSortedMap<ServiceName, Service> services,
         List<OperatorKey> operators) {
-    private static final Catalogue NONE = new Catalogue(
+    private static final Catalogue EMPTY = new Catalogue(
             0,
-            SystemLimits.usual(),
+            SystemLimits.defaults(),
             ImmutableSortedMap.of(),
             ImmutableSortedMap.of(),
             ImmutableSortedMap.of(),
@@ -39,11 +39,12 @@
         operators = List.copyOf(operators);
     }
 
-    public static Catalogue none() {
-        return NONE;
+    /** Returns the catalogue of revision 0, which has no contents but the default system limits. */
+    public static Catalogue empty() {
+        return EMPTY;
     }
 
-    /** Makes a catalogue from maps in any order. */
+    /** Creates a catalogue from maps in any order. */
     public static Catalogue of(
             long revision,
             SystemLimits system,
@@ -60,6 +61,7 @@
                 operators);
     }
 
+    /** Returns a catalogue with the same contents and another revision. */
     public Catalogue atRevision(long newRevision) {
         return new Catalogue(newRevision, system, classes, workspaces, services, operators);
     }
@@ -76,7 +78,7 @@
         return Optional.ofNullable(classes.get(name));
     }
 
-    /** The workspace that a bearer key with this hash belongs to. */
+    /** Returns the workspace to which the bearer key with this hash belongs. */
     public Optional<Workspace> workspaceByKeyHash(String keyHash) {
         return workspaces.values().stream()
                 .filter(workspace -> workspace.keyHashes().contains(keyHash))
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueChanged.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueChanged.java
@@ -2,5 +2,5 @@
 
 import org.yuccagw.core.control.ControlEvent;
 
-/** A catalogue with a higher revision is in force on this entry from now on; raised by the catalogue part. */
+/** Raised by {@link CatalogueComponent} after a catalogue with a higher revision has come into force on this entry. */
 public record CatalogueChanged(Catalogue catalogue) implements ControlEvent {}
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueComponent.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueComponent.java
@@ -22,36 +22,37 @@
 import org.yuccagw.core.port.KeyValueCall;
 
 /**
- * The catalogue in force on this entry, its edits, and how accepted ones reach all entries.
+ * Maintains the catalogue in force on this entry, performs edits, and distributes accepted edits to the other entries.
  *
- * <p>Only a higher revision ever comes into force, from whichever source it comes first:
+ * <p>A catalogue comes into force only if its revision is higher than the current one. There are three sources, and the
+ * first that delivers a revision takes effect:
  *
  * <ul>
- *   <li>Push: whoever puts a revision in force passes the delta on to a few others, at once.
- *   <li>Gossip: members carry the revision that they have in force; who hears of a higher one asks for it.
- *   <li>The key-value service: every entry reads it at its start; a few entries follow it (see {@link
+ *   <li>Push: an entry that applies a revision immediately sends the delta to a few randomly chosen other entries.
+ *   <li>Gossip: membership messages carry the sender's revision, and an entry that receives a higher one requests it.
+ *   <li>The key-value service: every entry reads it at its start, and a few entries watch it (see {@link
  *       CatalogueFollower}).
  * </ul>
  *
- * <p>Readiness: an entry that heard neither the service nor any other entry for the freshness limit may serve an old
- * catalogue without knowing. It takes no new work until it hears one of them again.
+ * <p>Readiness: an entry that has received nothing from the key-value service and from other entries for the freshness
+ * limit may serve an outdated catalogue unknowingly. It accepts no new requests until it receives something again.
  */
 public final class CatalogueComponent implements ControlComponent, Readiness {
-    private static final int FAN_OUT = 4;
-    private static final Duration ASK_AGAIN = Duration.ofMillis(500);
+    private static final int PUSH_FAN_OUT = 4;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(500);
 
     private final CatalogueCodec codec;
     private CatalogueFollower follower;
     private ControlContext context;
-    private Catalogue inForce = Catalogue.none();
+    private Catalogue current = Catalogue.empty();
     private byte[] document = new byte[0];
     private byte[] previousDocument = new byte[0];
     private long previousRevision;
     private List<EntryId> others = List.of();
-    private long lastWordNanos;
-    private boolean serviceSaidNone;
-    private long askedUntilNanos;
-    private long unreadable;
+    private long lastContactNanos;
+    private boolean serviceHasNoCatalogue;
+    private long requestPendingUntilNanos;
+    private long unreadableCount;
 
     private CatalogueComponent(CatalogueCodec codec) {
         this.codec = codec;
@@ -64,188 +65,191 @@
     @Override
     public void start(ControlContext startContext) {
         context = startContext;
-        lastWordNanos = context.nowNanos();
-        askedUntilNanos = context.nowNanos();
-        follower = new CatalogueFollower(context, this::takeStored, this::onServiceWord);
+        lastContactNanos = context.nowNanos();
+        requestPendingUntilNanos = context.nowNanos();
+        follower = new CatalogueFollower(context, this::applyStored, this::onServiceAnswer);
         follower.start();
     }
 
     @Override
     public void handle(ControlEvent event, ControlContext ignored) {
         if (event instanceof PeerReceived received) {
-            lastWordNanos = context.nowNanos();
+            lastContactNanos = context.nowNanos();
             if (received.message() instanceof CatalogueUpdate update) {
                 receive(received.from(), update);
             }
         } else if (event instanceof MembersChanged changed) {
-            takeMembers(changed);
+            updateMembers(changed);
         } else if (event instanceof RevisionReported reported) {
-            ask(reported);
-        } else if (event instanceof CatalogueEditRequested asked) {
-            CatalogueEdit.begin(context, codec, asked, this::takeStored);
-        } else if (event instanceof CatalogueHistoryRequested asked) {
-            answerHistory(asked);
-        } else if (event instanceof CatalogueRevisionRequested asked) {
-            answerRevision(asked);
+            requestNewer(reported);
+        } else if (event instanceof CatalogueEditRequested edit) {
+            CatalogueEdit.start(context, codec, edit, this::applyStored);
+        } else if (event instanceof CatalogueHistoryRequested request) {
+            answerHistory(request);
+        } else if (event instanceof CatalogueRevisionRequested request) {
+            answerRevision(request);
         }
     }
 
     @Override
     public void contribute(ControlSnapshot.Builder snapshot) {
-        snapshot.put(Catalogue.class, inForce);
+        snapshot.put(Catalogue.class, current);
     }
 
     @Override
     public Optional<String> reasonAgainst(long nowNanos) {
-        if (inForce.revision() == 0) {
+        if (current.revision() == 0) {
             return Optional.of(
-                    serviceSaidNone
+                    serviceHasNoCatalogue
                             ? "has no catalogue: none was applied yet"
                             : "has no catalogue: neither the key-value service nor another entry gave one yet");
         }
-        Duration limit = inForce.system().freshnessLimit();
-        if (nowNanos - lastWordNanos > limit.toNanos()) {
+        Duration limit = current.system().freshnessLimit();
+        if (nowNanos - lastContactNanos > limit.toNanos()) {
             return Optional.of("can't confirm its catalogue: for " + limit.toSeconds()
                     + " s neither the key-value service nor another entry answered");
         }
         return Optional.empty();
     }
 
-    /** Documents of a higher revision that this version of the program could not read, since its start. */
+    /** Returns the number of documents of a higher revision that this version couldn't decode since the start. */
     public long unreadableDocuments() {
-        return unreadable;
+        return unreadableCount;
     }
 
-    // ---- What comes into force.
+    // ---- Applying revisions
 
-    private void takeStored(StoredCatalogue stored) {
-        take(stored.revision(), stored.document());
+    private void applyStored(StoredCatalogue stored) {
+        apply(stored.revision(), stored.document());
     }
 
-    private void onServiceWord(boolean hasCatalogue) {
-        lastWordNanos = context.nowNanos();
-        serviceSaidNone = !hasCatalogue;
+    private void onServiceAnswer(boolean hasCatalogue) {
+        lastContactNanos = context.nowNanos();
+        serviceHasNoCatalogue = !hasCatalogue;
     }
 
-    private void take(long revision, byte[] newDocument) {
-        if (revision <= inForce.revision()) {
+    private void apply(long revision, byte[] newDocument) {
+        if (revision <= current.revision()) {
             return;
         }
-        Catalogue read;
+        Catalogue decoded;
         try {
-            read = codec.decode(newDocument).atRevision(revision);
+            decoded = codec.decode(newDocument).atRevision(revision);
         } catch (YuccagwException e) {
-            unreadable++;
+            unreadableCount++;
             return;
         }
-        previousRevision = inForce.revision();
+        previousRevision = current.revision();
         previousDocument = document;
-        inForce = read;
+        current = decoded;
         document = newDocument;
-        context.raise(new CatalogueChanged(inForce));
-        push();
+        context.raise(new CatalogueChanged(current));
+        pushToPeers();
     }
 
-    private void push() {
+    private void pushToPeers() {
         List<EntryId> receivers = new ArrayList<>(others);
-        for (int chosen = 0; chosen < Math.min(FAN_OUT, receivers.size()); chosen++) {
-            Collections.swap(receivers, chosen, chosen + context.random().nextInt(receivers.size() - chosen));
-            context.send(receivers.get(chosen), newsSince(previousRevision));
+        for (int index = 0; index < Math.min(PUSH_FAN_OUT, receivers.size()); index++) {
+            Collections.swap(receivers, index, index + context.random().nextInt(receivers.size() - index));
+            context.send(receivers.get(index), updateSince(previousRevision));
         }
     }
 
-    private CatalogueUpdate newsSince(long revision) {
+    private CatalogueUpdate updateSince(long revision) {
         if (revision == previousRevision && revision > 0) {
             return new CatalogueUpdate.Delta(
-                    inForce.revision(), previousRevision, DocumentDelta.between(previousDocument, document));
+                    current.revision(), previousRevision, DocumentDelta.between(previousDocument, document));
         }
-        return new CatalogueUpdate.Whole(inForce.revision(), document);
+        return new CatalogueUpdate.FullDocument(current.revision(), document);
     }
 
-    // ---- Other entries.
+    // ---- Messages of other entries
 
     private void receive(EntryId from, CatalogueUpdate update) {
-        if (update instanceof CatalogueUpdate.Whole whole) {
-            askedUntilNanos = context.nowNanos();
-            take(whole.revision(), whole.document());
+        if (update instanceof CatalogueUpdate.FullDocument full) {
+            requestPendingUntilNanos = context.nowNanos();
+            apply(full.revision(), full.document());
         } else if (update instanceof CatalogueUpdate.Delta delta) {
             receiveDelta(from, delta);
-        } else if (update instanceof CatalogueUpdate.Ask asked && asked.revision() < inForce.revision()) {
-            context.send(from, newsSince(asked.revision()));
+        } else if (update instanceof CatalogueUpdate.Request request && request.revision() < current.revision()) {
+            context.send(from, updateSince(request.revision()));
         }
     }
 
     private void receiveDelta(EntryId from, CatalogueUpdate.Delta delta) {
-        if (delta.revision() <= inForce.revision()) {
+        if (delta.revision() <= current.revision()) {
             return;
         }
-        Optional<byte[]> next = delta.baseRevision() == inForce.revision()
+        Optional<byte[]> nextDocument = delta.baseRevision() == current.revision()
                 ? DocumentDelta.apply(document, delta.change())
                 : Optional.empty();
-        if (next.isPresent()) {
-            take(delta.revision(), next.get());
+        if (nextDocument.isPresent()) {
+            apply(delta.revision(), nextDocument.get());
         } else {
-            ask(new RevisionReported(from, delta.revision()));
+            requestNewer(new RevisionReported(from, delta.revision()));
         }
     }
 
-    /** One question at a time, so that a revision that many members have isn't sent to this entry many times. */
-    private void ask(RevisionReported reported) {
-        boolean waiting = context.nowNanos() - askedUntilNanos < 0;
-        if (reported.revision() > inForce.revision() && !waiting) {
-            askedUntilNanos = context.nowNanos() + ASK_AGAIN.toNanos();
-            context.send(reported.entry(), new CatalogueUpdate.Ask(inForce.revision()));
+    /**
+     * Requests a newer revision from the entry that reported it. At most one request is pending at a time, so that this
+     * entry doesn't receive a revision many times if many members have it.
+     */
+    private void requestNewer(RevisionReported reported) {
+        boolean pending = context.nowNanos() - requestPendingUntilNanos < 0;
+        if (reported.revision() > current.revision() && !pending) {
+            requestPendingUntilNanos = context.nowNanos() + REQUEST_TIMEOUT.toNanos();
+            context.send(reported.entry(), new CatalogueUpdate.Request(current.revision()));
         }
     }
 
-    private void takeMembers(MembersChanged changed) {
+    private void updateMembers(MembersChanged changed) {
         EntryId self = context.self().entry();
         others = changed.entries().stream()
                 .filter(entry -> entry.state() != State.DEAD)
                 .map(EntryStatus::entry)
                 .filter(entry -> !entry.equals(self))
                 .toList();
-        follower.takeMembers(others);
+        follower.updateMembers(others);
     }
 
-    // ---- Operators' questions.
+    // ---- Operators' queries
 
-    private void answerHistory(CatalogueHistoryRequested asked) {
+    private void answerHistory(CatalogueHistoryRequested request) {
         context.call(new KeyValueCall.Read(CatalogueKeys.CURRENT), answer -> {
             CatalogueHistoryRequested.Result result;
             try {
                 result = new CatalogueHistoryRequested.Result.History(
-                        readStored(answer, inForce.revision()).edits());
+                        readStored(answer, current.revision()).edits());
             } catch (YuccagwException e) {
                 result = new CatalogueHistoryRequested.Result.Refused(e);
             }
             CatalogueHistoryRequested.Result replied = result;
-            context.reply(() -> asked.reply().accept(replied));
+            context.reply(() -> request.reply().accept(replied));
         });
     }
 
-    private void answerRevision(CatalogueRevisionRequested asked) {
-        if (asked.revision() == inForce.revision()) {
-            context.reply(() -> asked.reply().accept(new CatalogueRevisionRequested.Result.Found(inForce)));
+    private void answerRevision(CatalogueRevisionRequested request) {
+        if (request.revision() == current.revision()) {
+            context.reply(() -> request.reply().accept(new CatalogueRevisionRequested.Result.Found(current)));
             return;
         }
-        context.call(new KeyValueCall.Read(CatalogueKeys.history(asked.revision())), answer -> {
+        context.call(new KeyValueCall.Read(CatalogueKeys.history(request.revision())), answer -> {
             CatalogueRevisionRequested.Result result;
             try {
-                byte[] found = readStored(answer, asked.revision()).document();
+                byte[] found = readStored(answer, request.revision()).document();
                 result = new CatalogueRevisionRequested.Result.Found(
-                        codec.decode(found).atRevision(asked.revision()));
+                        codec.decode(found).atRevision(request.revision()));
             } catch (YuccagwException e) {
                 result = new CatalogueRevisionRequested.Result.Refused(e);
             }
             CatalogueRevisionRequested.Result replied = result;
-            context.reply(() -> asked.reply().accept(replied));
+            context.reply(() -> request.reply().accept(replied));
         });
     }
 
     private static StoredCatalogue readStored(KeyValueAnswer answer, long revision) throws YuccagwException {
         if (!(answer instanceof KeyValueAnswer.Found found)) {
-            throw ErrorKind.STATE_UNAVAILABLE.raise(CatalogueKeys.reason(answer));
+            throw ErrorKind.STATE_UNAVAILABLE.raise(CatalogueKeys.failureReason(answer));
         }
         if (found.items().isEmpty()) {
             throw ErrorKind.UNKNOWN_ITEM.raise("catalogue of revision", revision);
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueDifference.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueDifference.java
@@ -7,17 +7,18 @@
 import java.util.TreeSet;
 
 /**
- * Names the fields in which two catalogues differ, as paths like {@code services/assistant/limits/requestsPerSecond}.
+ * Computes the fields in which two catalogues differ, as paths like {@code
+ * services/assistant/limits/requestsPerSecond}.
  *
- * <p>It walks records by their components and maps by their keys, so it knows every field that the catalogue has or
- * will have. An entry that only one side has is named as a whole.
+ * <p>Records are compared by component and maps by key, through reflection, so fields that are added to the catalogue
+ * later are covered. A map entry that exists on one side only is reported as a whole.
  */
 public final class CatalogueDifference {
     private final SortedSet<String> paths = new TreeSet<>();
 
     private CatalogueDifference() {}
 
-    /** Paths that differ; the revision is none of them. */
+    /** Returns the paths of all differing fields. Revisions are ignored. */
     public static SortedSet<String> between(Catalogue left, Catalogue right) {
         CatalogueDifference difference = new CatalogueDifference();
         difference.compare("", left.atRevision(0), right.atRevision(0));
@@ -49,25 +50,28 @@
             return;
         }
         for (RecordComponent component : components) {
-            compare(join(path, component.getName()), valueOf(component, left), valueOf(component, right));
+            compare(
+                    joinPath(path, component.getName()),
+                    componentValue(component, left),
+                    componentValue(component, right));
         }
     }
 
     private void compareMaps(String path, Map<?, ?> left, Map<?, ?> right) {
-        left.forEach((key, value) -> {
-            Object other = right.get(key);
-            if (other == null) {
-                paths.add(join(path, key.toString()));
+        left.forEach((key, leftValue) -> {
+            Object rightValue = right.get(key);
+            if (rightValue == null) {
+                paths.add(joinPath(path, key.toString()));
             } else {
-                compare(join(path, key.toString()), value, other);
+                compare(joinPath(path, key.toString()), leftValue, rightValue);
             }
         });
         right.keySet().stream()
                 .filter(key -> !left.containsKey(key))
-                .forEach(key -> paths.add(join(path, key.toString())));
+                .forEach(key -> paths.add(joinPath(path, key.toString())));
     }
 
-    private static Object valueOf(RecordComponent component, Object owner) {
+    private static Object componentValue(RecordComponent component, Object owner) {
         try {
             return component.getAccessor().invoke(owner);
         } catch (ReflectiveOperationException e) {
@@ -75,7 +79,7 @@
         }
     }
 
-    private static String join(String path, String name) {
+    private static String joinPath(String path, String name) {
         return path.isEmpty() ? name : path + "/" + name;
     }
 }
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueEdit.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueEdit.java
@@ -12,53 +12,59 @@
 import org.yuccagw.core.port.KeyValueCall;
 
 /**
- * One edit on its way to acceptance.
+ * Performs one edit of the catalogue in the key-value service.
  *
- * <p>The cases:
+ * <p>The algorithm:
  *
  * <ol>
- *   <li>Read the stored value. It already names this edit: accepted earlier, its answer was lost.
- *   <li>It has another revision than the operator began from: conflict, with the fields that both change.
- *   <li>Keep the stored document in the history, before it is replaced. So the history has no gap whoever dies when.
- *   <li>Compare-and-swap the successor over exactly the value that was read. Written: accepted.
- *   <li>Conflict: somebody was faster, or it was this edit itself, whose answer was lost. Back to 1, which tells which.
- *   <li>No answer: it may have taken effect, or may yet. The same compare-and-swap is sent again; either it is written,
- *       or it conflicts. After a conflict the key has moved on, so no late write of this edit can take effect any more,
- *       and reading decides for good.
- *   <li>Refused by the service, or time is up: before the first compare-and-swap nothing can have happened; after it,
- *       the edit is unconfirmed, and the operator may ask again under the same id.
+ *   <li>Read the stored value. If it already lists this edit, the edit was accepted earlier and its answer was lost.
+ *   <li>If the stored revision differs from the base revision of the edit, the edit conflicts; the error names the
+ *       fields that both sides change.
+ *   <li>Copy the stored document to the history before it is replaced, so that the history has no gap even if this
+ *       entry fails between any two steps.
+ *   <li>Replace exactly the value that was read by its successor, with a compare-and-swap. If it is written, the edit
+ *       is accepted.
+ *   <li>On a conflict, another edit was faster, or it was this edit itself and its answer was lost. Continue with step
+ *       1, which distinguishes the two.
+ *   <li>If no answer arrives, the compare-and-swap may have taken effect or may still do so. It is sent again unchanged
+ *       and is either written or conflicts. After a conflict the revision of the key has increased, so that no delayed
+ *       write of this edit can take effect any more, and reading gives the final result.
+ *   <li>If the service refuses or fails to answer until the time limit: before the first compare-and-swap the edit has
+ *       had no effect. After it the edit is unconfirmed, and the operator may retry with the same id.
  * </ol>
  */
 final class CatalogueEdit {
-    static final int LARGEST_VALUE_BYTES = 1_000_000;
+    static final int MAX_VALUE_BYTES = 1_000_000;
 
-    private static final Duration LONGEST = Duration.ofSeconds(10);
-    private static final Duration PAUSE = Duration.ofMillis(300);
+    private static final Duration EDIT_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final ControlContext context;
     private final CatalogueCodec codec;
-    private final CatalogueEditRequested requested;
-    private final Acceptance acceptance;
+    private final CatalogueEditRequested request;
+    private final AcceptanceListener listener;
     private final long deadlineNanos;
-    private boolean swapSent;
+    private boolean writeAttempted;
 
-    /** Told once an edit is accepted, with the document as stored. */
-    interface Acceptance {
-        void accepted(StoredCatalogue stored);
+    /** Called once when an edit is accepted. */
+    interface AcceptanceListener {
+        /** Receives the stored value that contains the accepted edit. */
+        void onAccepted(StoredCatalogue stored);
     }
 
     private CatalogueEdit(
-            ControlContext context, CatalogueCodec codec, CatalogueEditRequested requested, Acceptance acceptance) {
+            ControlContext context, CatalogueCodec codec, CatalogueEditRequested request, AcceptanceListener listener) {
         this.context = context;
         this.codec = codec;
-        this.requested = requested;
-        this.acceptance = acceptance;
-        this.deadlineNanos = context.nowNanos() + LONGEST.toNanos();
+        this.request = request;
+        this.listener = listener;
+        this.deadlineNanos = context.nowNanos() + EDIT_TIMEOUT.toNanos();
     }
 
-    static void begin(
-            ControlContext context, CatalogueCodec codec, CatalogueEditRequested requested, Acceptance acceptance) {
-        new CatalogueEdit(context, codec, requested, acceptance).read();
+    /** Starts an edit. The reply of the request is called exactly once. */
+    static void start(
+            ControlContext context, CatalogueCodec codec, CatalogueEditRequested request, AcceptanceListener listener) {
+        new CatalogueEdit(context, codec, request, listener).read();
     }
 
     private void read() {
@@ -66,7 +72,7 @@
             if (answer instanceof KeyValueAnswer.Found found) {
                 onRead(found);
             } else {
-                later(this::read, answer);
+                retryOrFail(this::read, answer);
             }
         });
     }
@@ -76,44 +82,45 @@
         try {
             StoredCatalogue stored =
                     item.isPresent() ? StoredCatalogue.decode(item.get().value()) : StoredCatalogue.empty();
-            Optional<AcceptedEdit> earlier = stored.edit(requested.editId());
+            Optional<AcceptedEdit> earlier = stored.findEdit(request.editId());
             if (earlier.isPresent()) {
                 accept(stored, earlier.get().revision());
-            } else if (stored.revision() != requested.baseRevision()) {
-                explainConflict(stored);
+            } else if (stored.revision() != request.baseRevision()) {
+                reportConflict(stored);
             } else {
-                keepPredecessor(stored, item.map(Item::revision).orElse(KeyValueCall.ABSENT));
+                saveToHistory(stored, item.map(Item::revision).orElse(KeyValueCall.ABSENT));
             }
         } catch (YuccagwException e) {
             refuse(e);
         }
     }
 
-    private void keepPredecessor(StoredCatalogue stored, long keyRevision) throws YuccagwException {
-        // The revision stands beside the document: in it, each delta would reach from there to the changed field.
-        byte[] document = codec.encode(requested.wanted().atRevision(0));
-        byte[] next = stored.successor(requested.editId(), requested.operator(), context.wallMillis(), document)
+    private void saveToHistory(StoredCatalogue stored, long keyRevision) throws YuccagwException {
+        // The revision is stored beside the document. Inside, each delta would extend from it to the changed field.
+        byte[] document = codec.encode(request.wanted().atRevision(0));
+        byte[] next = stored.successor(request.editId(), request.operator(), context.wallMillis(), document)
                 .encode();
-        if (next.length > LARGEST_VALUE_BYTES) {
-            throw ErrorKind.CATALOGUE_TOO_LARGE.raise(next.length, LARGEST_VALUE_BYTES);
+        if (next.length > MAX_VALUE_BYTES) {
+            throw ErrorKind.CATALOGUE_TOO_LARGE.raise(next.length, MAX_VALUE_BYTES);
         }
         if (stored.revision() == 0) {
-            swap(keyRevision, next);
+            replaceCurrent(keyRevision, next);
             return;
         }
         String key = CatalogueKeys.history(stored.revision());
-        byte[] kept = stored.encode();
-        context.call(new KeyValueCall.CompareAndSwap(key, KeyValueCall.ABSENT, kept, Optional.empty()), answer -> {
-            if (answer instanceof KeyValueAnswer.Written || answer instanceof KeyValueAnswer.Conflict) {
-                swap(keyRevision, next);
-            } else {
-                later(this::read, answer);
-            }
-        });
+        byte[] predecessor = stored.encode();
+        context.call(
+                new KeyValueCall.CompareAndSwap(key, KeyValueCall.ABSENT, predecessor, Optional.empty()), answer -> {
+                    if (answer instanceof KeyValueAnswer.Written || answer instanceof KeyValueAnswer.Conflict) {
+                        replaceCurrent(keyRevision, next);
+                    } else {
+                        retryOrFail(this::read, answer);
+                    }
+                });
     }
 
-    private void swap(long keyRevision, byte[] next) {
-        swapSent = true;
+    private void replaceCurrent(long keyRevision, byte[] next) {
+        writeAttempted = true;
         context.call(
                 new KeyValueCall.CompareAndSwap(CatalogueKeys.CURRENT, keyRevision, next, Optional.empty()), answer -> {
                     if (answer instanceof KeyValueAnswer.Written) {
@@ -121,7 +128,7 @@
                     } else if (answer instanceof KeyValueAnswer.Conflict) {
                         read();
                     } else {
-                        later(() -> swap(keyRevision, next), answer);
+                        retryOrFail(() -> replaceCurrent(keyRevision, next), answer);
                     }
                 });
     }
@@ -130,15 +137,15 @@
         try {
             StoredCatalogue stored = StoredCatalogue.decode(next);
             accept(stored, stored.revision());
-            forgetOldest(stored.revision());
+            deleteOldestFromHistory(stored.revision());
         } catch (YuccagwException e) {
             refuse(e);
         }
     }
 
-    /** The history is as long as the list of edits, so the service's memory stays bounded. */
-    private void forgetOldest(long revision) {
-        long oldest = revision - StoredCatalogue.EDITS_KEPT;
+    /** Deletes the revision that has left the list of edits, so that the memory used in the service is bounded. */
+    private void deleteOldestFromHistory(long revision) {
+        long oldest = revision - StoredCatalogue.MAX_EDITS;
         if (oldest <= 0) {
             return;
         }
@@ -150,49 +157,49 @@
         });
     }
 
-    private void explainConflict(StoredCatalogue stored) throws YuccagwException {
+    private void reportConflict(StoredCatalogue stored) throws YuccagwException {
         Catalogue current = codec.decode(stored.document());
-        context.call(new KeyValueCall.Read(CatalogueKeys.history(requested.baseRevision())), answer -> {
+        context.call(new KeyValueCall.Read(CatalogueKeys.history(request.baseRevision())), answer -> {
             try {
-                refuse(ErrorKind.CATALOGUE_CONFLICT.raise(stored.revision(), fieldsInConflict(answer, current)));
+                refuse(ErrorKind.CATALOGUE_CONFLICT.raise(stored.revision(), describeConflict(answer, current)));
             } catch (YuccagwException e) {
                 refuse(e);
             }
         });
     }
 
-    private String fieldsInConflict(KeyValueAnswer answer, Catalogue current) throws YuccagwException {
+    private String describeConflict(KeyValueAnswer answer, Catalogue current) throws YuccagwException {
         if (answer instanceof KeyValueAnswer.Found found && !found.items().isEmpty()) {
             byte[] value = found.items().get(0).value();
             Catalogue base = codec.decode(StoredCatalogue.decode(value).document());
-            SortedSet<String> theirs = CatalogueDifference.between(base, current);
-            SortedSet<String> both = CatalogueDifference.between(base, requested.wanted());
-            both.retainAll(theirs);
-            String fields = both.isEmpty() ? "no field" : String.join(", ", both);
-            return fields + " (accepted since revision " + requested.baseRevision() + ": " + String.join(", ", theirs)
-                    + ")";
+            SortedSet<String> acceptedChanges = CatalogueDifference.between(base, current);
+            SortedSet<String> commonChanges = CatalogueDifference.between(base, request.wanted());
+            commonChanges.retainAll(acceptedChanges);
+            String fields = commonChanges.isEmpty() ? "no field" : String.join(", ", commonChanges);
+            return fields + " (accepted since revision " + request.baseRevision() + ": "
+                    + String.join(", ", acceptedChanges) + ")";
         }
-        SortedSet<String> differing = CatalogueDifference.between(current, requested.wanted());
-        return String.join(", ", differing) + " (revision " + requested.baseRevision()
+        SortedSet<String> differences = CatalogueDifference.between(current, request.wanted());
+        return String.join(", ", differences) + " (revision " + request.baseRevision()
                 + " isn't in the history any more)";
     }
 
-    private void later(Runnable step, KeyValueAnswer answer) {
-        if (context.nowNanos() + PAUSE.toNanos() - deadlineNanos < 0) {
-            context.after(PAUSE, step);
-        } else if (swapSent) {
-            refuse(ErrorKind.EDIT_UNCONFIRMED.raise(requested.editId()));
+    private void retryOrFail(Runnable step, KeyValueAnswer answer) {
+        if (context.nowNanos() + RETRY_DELAY.toNanos() - deadlineNanos < 0) {
+            context.after(RETRY_DELAY, step);
+        } else if (writeAttempted) {
+            refuse(ErrorKind.EDIT_UNCONFIRMED.raise(request.editId()));
         } else {
-            refuse(ErrorKind.STATE_UNAVAILABLE.raise(CatalogueKeys.reason(answer)));
+            refuse(ErrorKind.STATE_UNAVAILABLE.raise(CatalogueKeys.failureReason(answer)));
         }
     }
 
     private void accept(StoredCatalogue stored, long revision) {
-        acceptance.accepted(stored);
-        context.reply(() -> requested.reply().accept(new Result.Accepted(revision)));
+        listener.onAccepted(stored);
+        context.reply(() -> request.reply().accept(new Result.Accepted(revision)));
     }
 
     private void refuse(YuccagwException error) {
-        context.reply(() -> requested.reply().accept(new Result.Refused(error)));
+        context.reply(() -> request.reply().accept(new Result.Refused(error)));
     }
 }
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueFollower.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueFollower.java
@@ -16,43 +16,49 @@
 /**
  * Follows the catalogue in the key-value service.
  *
- * <p>Only the {@link #WATCHERS} entries that rendezvous hashing puts first watch it, and an entry that knows no other.
- * So the calls of a waiting watch don't grow with the number of entries. All others read the key now and then, in an
- * interval that grows with the number of entries, so that these reads don't grow either.
+ * <p>The catalogue is watched only by the {@link #MAX_WATCHERS} entries with the highest rendezvous hashes, and by an
+ * entry without known peers, so that the number of concurrent watches doesn't grow with the number of entries. All
+ * other entries poll the key at an interval proportional to the number of entries, so that the rate of these reads
+ * doesn't grow either.
  *
- * <p>A watch may fall silent or miss a change. It has a timeout of its own here, whatever the client does, and each one
- * is followed by a read of the key, never by another watch alone.
+ * <p>A watch may hang or miss a change. It therefore has a timeout here, in addition to that of the client, and each
+ * watch is followed by a read of the key, never directly by another watch.
+ *
+ * <p>Reads, watches and waits form a sequence of rounds. A timer or an answer of an earlier round starts no new round,
+ * but a catalogue in a late answer is still used.
  */
 final class CatalogueFollower {
-    static final int WATCHERS = 5;
+    static final int MAX_WATCHERS = 5;
 
-    private static final Duration LONGEST_WATCH = Duration.ofSeconds(20);
-    private static final Duration SILENCE = Duration.ofSeconds(25);
-    private static final Duration READ_INTERVAL = Duration.ofSeconds(20);
-    private static final int ENTRIES_PER_READ_INTERVAL = 16;
-    private static final Duration CHOOSE_AFTER = Duration.ofMillis(100);
-    private static final Duration SHORTEST_RETRY = Duration.ofMillis(500);
-    private static final Duration LONGEST_RETRY = Duration.ofSeconds(5);
+    private static final Duration WATCH_WAIT = Duration.ofSeconds(20);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(25);
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(20);
+    private static final int ENTRIES_PER_POLL_INTERVAL = 16;
+    private static final Duration ROLE_SELECTION_DELAY = Duration.ofMillis(100);
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(500);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(5);
 
     private final ControlContext context;
-    private final Consumer<StoredCatalogue> found;
-    private final Consumer<Boolean> serviceAnswered;
+    private final Consumer<StoredCatalogue> catalogueListener;
+    private final Consumer<Boolean> serviceListener;
     private List<EntryId> entries;
     private boolean watching = true;
-    private boolean choosing;
-    private Duration retry = SHORTEST_RETRY;
+    private boolean roleSelectionPending;
+    private Duration retryDelay = MIN_RETRY_DELAY;
     private long round;
 
     /**
-     * A follower that isn't started.
+     * Creates a follower, which starts with {@link #start}.
      *
-     * @param found told of each document read
-     * @param serviceAnswered told of each answer of the service: whether it has a catalogue
+     * @param catalogueListener called with each stored catalogue that is read
+     * @param serviceListener called for each successful read and for each unreadable value; the argument is whether the
+     *     service has a readable catalogue
      */
-    CatalogueFollower(ControlContext context, Consumer<StoredCatalogue> found, Consumer<Boolean> serviceAnswered) {
+    CatalogueFollower(
+            ControlContext context, Consumer<StoredCatalogue> catalogueListener, Consumer<Boolean> serviceListener) {
         this.context = context;
-        this.found = found;
-        this.serviceAnswered = serviceAnswered;
+        this.catalogueListener = catalogueListener;
+        this.serviceListener = serviceListener;
         this.entries = List.of(context.self().entry());
     }
 
@@ -60,57 +66,57 @@
         read();
     }
 
-    void takeMembers(List<EntryId> others) {
+    void updateMembers(List<EntryId> others) {
         List<EntryId> all = new ArrayList<>(others);
         all.add(context.self().entry());
         entries = all;
-        if (!choosing) {
-            choosing = true;
-            context.after(CHOOSE_AFTER, this::chooseRole);
+        if (!roleSelectionPending) {
+            roleSelectionPending = true;
+            context.after(ROLE_SELECTION_DELAY, this::selectRole);
         }
     }
 
-    /** Changes of members come in bursts; one choice is made for all of them. */
-    private void chooseRole() {
-        choosing = false;
+    /** Selects the role of this entry. Membership changes come in bursts, so one delayed selection covers a burst. */
+    private void selectRole() {
+        roleSelectionPending = false;
         boolean wasWatching = watching;
-        watching = Rendezvous.isAmongTop(context.self().entry(), CatalogueKeys.CURRENT, entries, WATCHERS);
+        watching = Rendezvous.isAmongTop(context.self().entry(), CatalogueKeys.CURRENT, entries, MAX_WATCHERS);
         if (watching && !wasWatching) {
             read();
         }
     }
 
-    /** Begins a new round; whatever belongs to an earlier one is ignored when it comes. */
+    /** Starts a new round with a read of the key. */
     private void read() {
         long thisRound = ++round;
-        context.after(SILENCE, () -> {
+        context.after(CALL_TIMEOUT, () -> {
             if (round == thisRound) {
                 read();
             }
         });
         context.call(new KeyValueCall.Read(CatalogueKeys.CURRENT), answer -> {
-            boolean answered = takeRead(answer);
+            boolean succeeded = handleRead(answer);
             if (round != thisRound) {
                 return;
             }
-            if (answered) {
-                retry = SHORTEST_RETRY;
-                continueAfter(((KeyValueAnswer.Found) answer).revision());
+            if (succeeded) {
+                retryDelay = MIN_RETRY_DELAY;
+                watchOrPoll(((KeyValueAnswer.Found) answer).revision());
             } else {
-                retryLater();
+                scheduleRetry();
             }
         });
     }
 
-    private void continueAfter(long serviceRevision) {
+    private void watchOrPoll(long serviceRevision) {
         if (watching) {
             watch(serviceRevision);
             return;
         }
         long thisRound = ++round;
-        int intervals = 1 + entries.size() / ENTRIES_PER_READ_INTERVAL;
+        int intervalCount = 1 + entries.size() / ENTRIES_PER_POLL_INTERVAL;
         double jitter = 0.5 + context.random().nextDouble();
-        Duration wait = Duration.ofNanos((long) (READ_INTERVAL.toNanos() * intervals * jitter));
+        Duration wait = Duration.ofNanos((long) (POLL_INTERVAL.toNanos() * intervalCount * jitter));
         context.after(wait, () -> {
             if (round == thisRound) {
                 read();
@@ -120,61 +126,61 @@
 
     private void watch(long afterRevision) {
         long thisRound = ++round;
-        context.after(SILENCE, () -> {
+        context.after(CALL_TIMEOUT, () -> {
             if (round == thisRound) {
                 read();
             }
         });
-        context.call(new KeyValueCall.Watch(CatalogueKeys.CURRENT, afterRevision, LONGEST_WATCH), answer -> {
-            boolean answered = takeWatched(answer);
+        context.call(new KeyValueCall.Watch(CatalogueKeys.CURRENT, afterRevision, WATCH_WAIT), answer -> {
+            boolean succeeded = handleWatch(answer);
             if (round != thisRound) {
                 return;
             }
-            if (answered) {
+            if (succeeded) {
                 read();
             } else {
-                retryLater();
+                scheduleRetry();
             }
         });
     }
 
-    private boolean takeRead(KeyValueAnswer answer) {
-        if (!(answer instanceof KeyValueAnswer.Found answered)) {
+    private boolean handleRead(KeyValueAnswer answer) {
+        if (!(answer instanceof KeyValueAnswer.Found found)) {
             return false;
         }
-        serviceAnswered.accept(!answered.items().isEmpty());
-        answered.items().forEach(this::takeItem);
+        serviceListener.accept(!found.items().isEmpty());
+        found.items().forEach(this::handleItem);
         return true;
     }
 
-    private boolean takeWatched(KeyValueAnswer answer) {
-        if (!(answer instanceof KeyValueAnswer.Found answered)) {
+    private boolean handleWatch(KeyValueAnswer answer) {
+        if (!(answer instanceof KeyValueAnswer.Found found)) {
             return false;
         }
-        answered.items().stream()
+        found.items().stream()
                 .filter(item -> item.key().equals(CatalogueKeys.CURRENT) && !item.deleted())
-                .forEach(this::takeItem);
+                .forEach(this::handleItem);
         return true;
     }
 
-    private void takeItem(Item item) {
+    private void handleItem(Item item) {
         try {
-            found.accept(StoredCatalogue.decode(item.value()));
+            catalogueListener.accept(StoredCatalogue.decode(item.value()));
         } catch (YuccagwException e) {
-            // A value that isn't ours or is damaged: the catalogue in force stays, and the next round reads again.
-            serviceAnswered.accept(false);
+            // The value is foreign or damaged. The catalogue in force stays, and the next round reads the key again.
+            serviceListener.accept(false);
         }
     }
 
-    private void retryLater() {
+    private void scheduleRetry() {
         long thisRound = ++round;
         double jitter = 0.5 + context.random().nextDouble();
-        context.after(Duration.ofNanos((long) (retry.toNanos() * jitter)), () -> {
+        context.after(Duration.ofNanos((long) (retryDelay.toNanos() * jitter)), () -> {
             if (round == thisRound) {
                 read();
             }
         });
-        Duration doubled = retry.multipliedBy(2);
-        retry = Comparators.min(doubled, LONGEST_RETRY);
+        Duration doubled = retryDelay.multipliedBy(2);
+        retryDelay = Comparators.min(doubled, MAX_RETRY_DELAY);
     }
 }
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueHistoryRequested.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueHistoryRequested.java
@@ -5,11 +5,11 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.error.YuccagwException;
 
-/** An operator wants the list of the latest accepted edits. The reply comes exactly once. */
+/** A request of an operator for the list of the latest accepted edits. The reply is called exactly once. */
 public record CatalogueHistoryRequested(Consumer<Result> reply) implements ControlEvent {
-    /** The list, or why it can't be read. */
+    /** The list, or the reason why it can't be read. */
     public interface Result {
-        /** Latest edits, the newest last. */
+        /** The latest edits in ascending order of revision. */
         record History(ImmutableList<AcceptedEdit> edits) implements Result {}
 
         record Refused(YuccagwException error) implements Result {}
--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueUpdate.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueUpdate.java
@@ -2,14 +2,14 @@
 
 import org.yuccagw.core.port.PeerMessage;
 
-/** What entries say to each other about the catalogue. */
+/** Messages about the catalogue between entries. */
 public interface CatalogueUpdate extends PeerMessage {
-    /** A whole document. */
-    record Whole(long revision, byte[] document) implements CatalogueUpdate {}
+    /** The complete document of a revision. */
+    record FullDocument(long revision, byte[] document) implements CatalogueUpdate {}
 
-    /** The sender has {@code revision} in force and wants whatever is newer. */
-    record Ask(long revision) implements CatalogueUpdate {}
+    /** Requests any newer revision; the sender has {@code revision} in force. */
+    record Request(long revision) implements CatalogueUpdate {}
 
-    /** How the document of {@code baseRevision} becomes that of {@code revision}. */
+    /** The change from the document of {@code baseRevision} to that of {@code revision}, as a {@link DocumentDelta}. */
     record Delta(long revision, long baseRevision, byte[] change) implements CatalogueUpdate {}
 }
--- a/src/main/java/org/yuccagw/core/catalogue/Limits.java
+++ b/src/main/java/org/yuccagw/core/catalogue/Limits.java
@@ -1,16 +1,16 @@
 package org.yuccagw.core.catalogue;
 
 /**
- * What an entry of the catalogue may use, over all entry daemons together. Zero means no limit.
+ * The limits of a workspace or a service, over all entry daemons together. Zero means unlimited.
  *
- * @param concurrentRequests requests admitted at the same time
- * @param requestsPerSecond admitted requests a second
- * @param tokensPerSecond prompt and answer tokens a second
+ * @param concurrentRequests maximum number of requests admitted concurrently
+ * @param requestsPerSecond maximum rate of admitted requests
+ * @param tokensPerSecond maximum rate of prompt and answer tokens
  */
 public record Limits(int concurrentRequests, double requestsPerSecond, double tokensPerSecond) {
-    private static final Limits NONE = new Limits(0, 0, 0);
+    private static final Limits UNLIMITED = new Limits(0, 0, 0);
 
-    public static Limits none() {
-        return NONE;
+    public static Limits unlimited() {
+        return UNLIMITED;
     }
 }
--- a/src/main/java/org/yuccagw/core/catalogue/RequestClass.java
+++ b/src/main/java/org/yuccagw/core/catalogue/RequestClass.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * A class of requests: how urgent they are and what routing should weigh.
+ * A class of requests, with its urgency, its deadlines and its weights in the routing objective.
  *
- * @param name its name
- * @param priority the engine's priority; lower runs first
- * @param weight share in fair queues relative to other classes, above 0
- * @param firstTokenDeadline longest predicted wait for the first token before a request is refused early
- * @param answerDeadline longest time for the whole answer over all attempts
- * @param progressTimeout longest silence of a stream before its connection is abandoned
- * @param firstTokenWeight weight of a second of time to first token in the routing objective
- * @param recomputeWeight weight of a thousand recomputed prompt tokens in the routing objective
+ * @param name the name of the class
+ * @param priority the priority at the engine; lower values run first
+ * @param weight the weight in fair queueing relative to other classes, above 0
+ * @param firstTokenDeadline maximum predicted time to first token; a request with a longer one is refused early
+ * @param answerDeadline maximum time for the complete answer over all attempts
+ * @param progressTimeout maximum time without bytes on a stream before its connection is closed
+ * @param firstTokenWeight weight of one second of time to first token in the routing objective
+ * @param recomputeWeight weight of 1,000 recomputed prompt tokens in the routing objective
  */
 public record RequestClass(
         String name,
--- a/src/main/java/org/yuccagw/core/catalogue/Service.java
+++ b/src/main/java/org/yuccagw/core/catalogue/Service.java
@@ -8,15 +8,15 @@
 /**
  * A service of the catalogue: a pool of endpoints under one name.
  *
- * @param name callers' name: the model of a completions request, or the first path segment of a plain call
- * @param owner who answers for it
+ * @param name the name that callers use: the model of a completions request, or the first path segment of a plain call
+ * @param owner the person responsible for the service
  * @param className the request class of its calls
- * @param limits over all entry daemons together
+ * @param limits limits over all entry daemons together
  * @param pool the platform's name of the pool of endpoints
- * @param checksFencing whether the endpoints of the pool refuse an order with an old fencing number
- * @param model present for a model service
- * @param nonIdempotentOperations operations that must run at most once; for a model service the path is the one that
- *     callers use, for a plain service the path behind the service's name
+ * @param checksFencing whether the endpoints of the pool refuse orders with an outdated fencing number
+ * @param model settings of a model service; empty for a plain service
+ * @param nonIdempotentOperations operations that must run at most once; the path of an operation is the path that
+ *     callers use for a model service, and the path after the service's name for a plain service
  */
 public record Service(
         ServiceName name,
@@ -31,33 +31,33 @@
         nonIdempotentOperations = List.copyOf(nonIdempotentOperations);
     }
 
-    /** Whether a call with this method and path must run at most once. */
+    /** Returns whether a call with this method and path must run at most once. */
     public boolean isNonIdempotent(String method, String path) {
-        return nonIdempotentOperations.stream().anyMatch(operation -> operation.covers(method, path));
+        return nonIdempotentOperations.stream().anyMatch(operation -> operation.matches(method, path));
     }
 
     /**
-     * Operations by method and start of the path.
+     * A set of operations, defined by method and path prefix.
      *
      * @param method an HTTP method, or {@code *} for any
-     * @param pathPrefix start of the path, with a leading slash
+     * @param pathPrefix the path prefix, with a leading slash
      */
     public record Operation(String method, String pathPrefix) {
-        boolean covers(String otherMethod, String path) {
-            boolean sameMethod = method.equals("*") || method.equalsIgnoreCase(otherMethod);
-            return sameMethod && path.startsWith(pathPrefix);
+        boolean matches(String otherMethod, String path) {
+            boolean methodMatches = method.equals("*") || method.equalsIgnoreCase(otherMethod);
+            return methodMatches && path.startsWith(pathPrefix);
         }
     }
 
     /**
-     * What a model service adds.
+     * Additional settings of a model service.
      *
-     * @param version the weight version that new requests use
-     * @param adapter name of the adapter, empty for none
-     * @param swapsAtOnce most replicas of the pool that load weights at the same time
-     * @param replicaFloor replicas that must stay able to serve during swaps
-     * @param blockTokens tokens of one cache block
-     * @param bytesPerToken bytes that the cache of one token takes when it is moved
+     * @param version the weight version for new requests
+     * @param adapter the name of the adapter, or an empty string for none
+     * @param swapsAtOnce maximum number of replicas of the pool that load weights concurrently
+     * @param replicaFloor minimum number of replicas that must remain able to serve during swaps
+     * @param blockTokens size of a cache block in tokens
+     * @param bytesPerToken size of the cache of one token in bytes, as transferred between engines and stores
      */
     public record ModelSettings(
             WeightVersion version,
--- a/src/main/java/org/yuccagw/core/catalogue/StoredCatalogue.java
+++ b/src/main/java/org/yuccagw/core/catalogue/StoredCatalogue.java
@@ -11,14 +11,18 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * What the key-value service holds of the catalogue: the document and the latest accepted edits, in one value, so that
- * one compare-and-swap writes both and one read tells whether an edit with a given id was accepted.
+ * The value of the catalogue in the key-value service: the document and the latest accepted edits. They share one
+ * value, so that one compare-and-swap writes both and one read determines whether an edit with a given id was accepted.
  *
- * <p>Form: a line for each edit, fields parted by tabs, the newest last; an empty line; the document.
+ * <p>Format: one line per edit with tab-separated fields (revision, edit id, operator, Unix time in milliseconds), the
+ * newest last; an empty line; the document.
  */
 record StoredCatalogue(ImmutableList<AcceptedEdit> edits, byte[] document) {
-    /** At 10,000 edits a day these cover the last 18 minutes; a lost answer is resolved within seconds. */
-    static final int EDITS_KEPT = 128;
+    /**
+     * The number of edits retained. At 10,000 edits a day they cover the last 18 minutes; the outcome of an edit whose
+     * answer was lost is determined within seconds.
+     */
+    static final int MAX_EDITS = 128;
 
     private static final CharMatcher SEPARATORS = CharMatcher.anyOf("\t\n\r");
 
@@ -26,30 +30,33 @@
         return new StoredCatalogue(ImmutableList.of(), new byte[0]);
     }
 
+    /** Returns the revision of the latest edit, or 0 if there is none. */
     long revision() {
         return edits.isEmpty() ? 0 : edits.get(edits.size() - 1).revision();
     }
 
-    Optional<AcceptedEdit> edit(String editId) {
-        String kept = clean(editId);
-        return edits.stream().filter(edit -> edit.editId().equals(kept)).findFirst();
+    /** Returns the edit with this id if it is among the latest edits. */
+    Optional<AcceptedEdit> findEdit(String editId) {
+        String storedId = replaceSeparators(editId);
+        return edits.stream().filter(edit -> edit.editId().equals(storedId)).findFirst();
     }
 
-    /** The next stored value after this one. */
+    /** Returns the value that replaces this one after an edit. */
     StoredCatalogue successor(String editId, String operator, long wallMillis, byte[] newDocument) {
-        AcceptedEdit edit = new AcceptedEdit(revision() + 1, clean(editId), clean(operator), wallMillis);
-        int from = Math.max(0, edits.size() + 1 - EDITS_KEPT);
-        ImmutableList<AcceptedEdit> kept = ImmutableList.<AcceptedEdit>builder()
+        AcceptedEdit edit =
+                new AcceptedEdit(revision() + 1, replaceSeparators(editId), replaceSeparators(operator), wallMillis);
+        int from = Math.max(0, edits.size() + 1 - MAX_EDITS);
+        ImmutableList<AcceptedEdit> latest = ImmutableList.<AcceptedEdit>builder()
                 .addAll(edits.subList(from, edits.size()))
                 .add(edit)
                 .build();
-        return new StoredCatalogue(kept, newDocument);
+        return new StoredCatalogue(latest, newDocument);
     }
 
     byte[] encode() {
-        StringBuilder head = new StringBuilder();
+        StringBuilder header = new StringBuilder();
         for (AcceptedEdit edit : edits) {
-            head.append(edit.revision())
+            header.append(edit.revision())
                     .append('\t')
                     .append(edit.editId())
                     .append('\t')
@@ -58,12 +65,17 @@
                     .append(edit.wallMillis())
                     .append('\n');
         }
-        byte[] lines = head.append('\n').toString().getBytes(StandardCharsets.UTF_8);
+        byte[] lines = header.append('\n').toString().getBytes(StandardCharsets.UTF_8);
         byte[] value = Arrays.copyOf(lines, lines.length + document.length);
         System.arraycopy(document, 0, value, lines.length, document.length);
         return value;
     }
 
+    /**
+     * Decodes a stored value; the document itself is not validated.
+     *
+     * @throws YuccagwException of kind CATALOGUE_INVALID
+     */
     static StoredCatalogue decode(byte[] value) throws YuccagwException {
         ImmutableList.Builder<AcceptedEdit> edits = ImmutableList.builder();
         int start = 0;
@@ -96,7 +108,7 @@
         throw ErrorKind.CATALOGUE_INVALID.raise("the stored value has an unreadable edit: " + line);
     }
 
-    private static String clean(String text) {
+    private static String replaceSeparators(String text) {
         return SEPARATORS.replaceFrom(text, ' ');
     }
 }
--- a/src/main/java/org/yuccagw/core/catalogue/Workspace.java
+++ b/src/main/java/org/yuccagw/core/catalogue/Workspace.java
@@ -6,13 +6,14 @@
 /**
  * A workspace of the catalogue.
  *
- * @param id its name
- * @param owner who answers for it, such as a mail address
- * @param className the request class used where a service names none
- * @param limits over all entry daemons together
- * @param weight share in fair queues relative to other workspaces, above 0
- * @param keyHashes lower-case hexadecimal SHA-256 of each bearer key that callers of this workspace may send
- * @param cacheSecret keys the workspace's cache blocks, so that no other workspace can name them
+ * @param id the id of the workspace
+ * @param owner the person responsible for the workspace, such as a mail address
+ * @param className the request class for services that define none
+ * @param limits limits over all entry daemons together
+ * @param weight the weight in fair queueing relative to other workspaces, above 0
+ * @param keyHashes lower-case hexadecimal SHA-256 hashes of the bearer keys that callers of this workspace may use
+ * @param cacheSecret secret that keys the names of the workspace's cache blocks, so that no other workspace can compute
+ *     them
  */
 public record Workspace(
         WorkspaceId id,
--- a/src/main/java/org/yuccagw/core/catalogue/package-info.java
+++ b/src/main/java/org/yuccagw/core/catalogue/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' catalogue: what it holds, how it is edited, and how it reaches every entry. */
+/** The operators' catalogue: its contents, its edits and its distribution to all entries. */
 package org.yuccagw.core.catalogue;
--- a/src/main/java/org/yuccagw/core/claim/ClaimClient.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimClient.java
@@ -161,7 +161,7 @@
 
     private static ClaimDecision unavailable(String reason) {
         return new ClaimDecision.Refused(
-                ErrorKind.CLAIM_UNAVAILABLE.raise(reason).comeBackAfter(COME_BACK));
+                ErrorKind.CLAIM_UNAVAILABLE.raise(reason).withRetryAfter(COME_BACK));
     }
 
     void ended(ClaimEnded ended) {
--- a/src/main/java/org/yuccagw/core/claim/ClaimComponent.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimComponent.java
@@ -44,7 +44,7 @@
     private final ClaimGuards guards;
     private final Map<ShardNumber, ClaimShard> owned = new HashMap<>();
     private final Map<EntryId, EntryStatus> members = new HashMap<>();
-    private SystemLimits limits = SystemLimits.usual();
+    private SystemLimits limits = SystemLimits.defaults();
     private ControlContext context;
     private ClaimClient client;
     private long membersSinceNanos;
--- a/src/main/java/org/yuccagw/core/duty/EngineState.java
+++ b/src/main/java/org/yuccagw/core/duty/EngineState.java
@@ -5,7 +5,7 @@
 /**
  * What an engine says of itself.
  *
- * @param startedMillis Unix time of its start, in milliseconds; {@code EndpointIncarnation.UNTOLD} if it doesn't tell
+ * @param startedMillis Unix time of its start, in milliseconds; {@code EndpointIncarnation.UNKNOWN_START} if it doesn't tell
  * @param loading whether it carries out an order
  * @param orders how many orders it has accepted since its start; an order that expects another number is refused
  * @param weights version by model
--- a/src/main/java/org/yuccagw/core/error/ErrorKind.java
+++ b/src/main/java/org/yuccagw/core/error/ErrorKind.java
@@ -1,17 +1,17 @@
 package org.yuccagw.core.error;
 
 /**
- * The closed list of errors that a caller, an operator or a log can see, and the one table from kind to answer.
+ * The closed set of errors that callers, operators and logs can see, with the error answer of each kind.
  *
- * <p>Each row says four things: the HTTP status, whether the request ran, who may send it again, and the message
- * template. {@link Ran#NOT_RUN} is a promise: no byte of the request reached an endpoint, or the endpoint itself
- * refused it before running. Code that can't prove that uses a kind with {@link Ran#MAY_HAVE_RUN}.
+ * <p>Each kind defines the HTTP status, whether the request ran, where the request may be retried, and the message
+ * template. {@link Ran#NOT_RUN} is a guarantee: no byte of the request reached an endpoint, or the endpoint itself
+ * refused the request before running it. Code that can't prove this uses a kind with {@link Ran#MAY_HAVE_RUN}.
  *
- * <p>Example: {@code ErrorKind.UNKNOWN_MODEL.raise("gtp-4")} gives status 404, not run, and the message
+ * <p>Example: {@code ErrorKind.UNKNOWN_MODEL.raise("gtp-4")} creates an error with status 404, not run, and the message
  * {@code no service of the catalogue is named 'gtp-4'}.
  */
 public enum ErrorKind {
-    // Requests that can't be understood.
+    // Malformed or unroutable requests
     MALFORMED_BODY(400, Ran.NOT_RUN, Retry.NEVER, "the body isn't valid JSON: %s"),
     MALFORMED_UTF8(400, Ran.NOT_RUN, Retry.NEVER, "the body isn't valid UTF-8 at byte %s"),
     WRONG_FIELD(400, Ran.NOT_RUN, Retry.NEVER, "field '%s': %s"),
@@ -26,13 +26,13 @@
     UNKNOWN_PATH(404, Ran.NOT_RUN, Retry.NEVER, "nothing is served at '%s'"),
     MALFORMED_HEAD(400, Ran.NOT_RUN, Retry.NEVER, "the head of the request %s"),
     UNKNOWN_ROUTE(404, Ran.NOT_RUN, Retry.NEVER, "no route leads to this host and path"),
-    // Who asks.
+    // Authentication, authorization and unknown names
     MISSING_KEY(401, Ran.NOT_RUN, Retry.NEVER, "send the header Authorization: Bearer KEY"),
     WRONG_KEY(401, Ran.NOT_RUN, Retry.NEVER, "the bearer key belongs to no workspace"),
     FORBIDDEN(403, Ran.NOT_RUN, Retry.NEVER, "%s"),
     UNKNOWN_WORKSPACE(404, Ran.NOT_RUN, Retry.NEVER, "the catalogue has no workspace '%s'"),
     UNKNOWN_MODEL(404, Ran.NOT_RUN, Retry.NEVER, "no service of the catalogue is named '%s'"),
-    // At most once.
+    // At-most-once execution
     KEY_REUSED(422, Ran.NOT_RUN, Retry.NEVER, "the idempotency key was used with another body"),
     ALREADY_RUNNING(409, Ran.MAY_HAVE_RUN, Retry.CALLER, "the request with this idempotency key is still running"),
     OUTCOME_UNKNOWN(
@@ -41,7 +41,7 @@
             Retry.NEVER,
             "the request with this idempotency key may have run and its answer is lost; it won't run again"),
     CLAIM_UNAVAILABLE(503, Ran.NOT_RUN, Retry.CALLER, "the claim for this request can't be recorded now: %s"),
-    // Limits and overload.
+    // Limits, overload and availability
     WORKSPACE_LIMIT(429, Ran.NOT_RUN, Retry.CALLER, "workspace '%s' is at its limit of %s"),
     OVERLOADED(503, Ran.NOT_RUN, Retry.CALLER, "the predicted wait of %s ms passes the deadline of the class"),
     QUARANTINED(422, Ran.NOT_RUN, Retry.NEVER, "this prompt ended %s endpoints and is refused for %s s"),
@@ -49,7 +49,7 @@
     NO_ENDPOINT(503, Ran.NOT_RUN, Retry.CALLER, "no endpoint of service '%s' can take the request"),
     NOT_READY(503, Ran.NOT_RUN, Retry.OTHER_ENTRY, "this entry %s"),
     STOPPING(503, Ran.NOT_RUN, Retry.OTHER_ENTRY, "this entry is stopping"),
-    // What happens behind the entry.
+    // Failures of endpoints and attempts
     ENDPOINT_REFUSED(502, Ran.NOT_RUN, Retry.CALLER, "endpoint '%s' refused before running: %s"),
     SUSPECT_REQUEST(503, Ran.NOT_RUN, Retry.CALLER, "this request ended %s endpoints that ran it"),
     ANSWER_CUT(502, Ran.MAY_HAVE_RUN, Retry.CALLER_IF_IDEMPOTENT, "the endpoint's answer broke off: %s"),
@@ -58,7 +58,7 @@
     STREAM_LOST(502, Ran.MAY_HAVE_RUN, Retry.CALLER_IF_IDEMPOTENT, "the answer can't be completed: %s"),
     VERSION_GONE(409, Ran.MAY_HAVE_RUN, Retry.CALLER_IF_IDEMPOTENT, "no endpoint still runs weight version '%s'"),
     DEADLINE_PASSED(504, Ran.MAY_HAVE_RUN, Retry.CALLER_IF_IDEMPOTENT, "no whole answer within %s ms"),
-    // Operators.
+    // Catalogue, settings, stored state and operators' requests
     CATALOGUE_INVALID(422, Ran.NOT_RUN, Retry.NEVER, "%s"),
     CATALOGUE_CONFLICT(409, Ran.NOT_RUN, Retry.NEVER, "the catalogue is at revision %s; both edits change: %s"),
     CATALOGUE_TOO_LARGE(413, Ran.NOT_RUN, Retry.NEVER, "the catalogue would take %s bytes of at most %s"),
@@ -73,16 +73,16 @@
     STALE_OWNER(409, Ran.NOT_RUN, Retry.OTHER_ENTRY, "this entry does not own %s now"),
     ORDER_REFUSED(409, Ran.NOT_RUN, Retry.NEVER, "endpoint '%s' refused the order: %s"),
     UNKNOWN_ITEM(404, Ran.NOT_RUN, Retry.NEVER, "there is no %s '%s'"),
-    // Cache movement; never seen by callers, only by logs and operators.
+    // Cache transfers; shown only in logs and to operators, never to callers
     BLOCK_DAMAGED(502, Ran.NOT_RUN, Retry.NEVER, "block '%s': %s"),
     BLOCK_GONE(404, Ran.NOT_RUN, Retry.NEVER, "block '%s' is not in store '%s'"),
     STORE_FULL(507, Ran.NOT_RUN, Retry.NEVER, "store '%s' is full"),
     STORE_UNAVAILABLE(503, Ran.NOT_RUN, Retry.CALLER, "store '%s' does not answer: %s"),
-    // Faults of yuccagw itself.
+    // Internal errors
     PEER_MESSAGE_INVALID(400, Ran.NOT_RUN, Retry.NEVER, "message of peer '%s': %s"),
     INTERNAL(500, Ran.MAY_HAVE_RUN, Retry.CALLER_IF_IDEMPOTENT, "internal error: %s");
 
-    /** Whether the request ran when this error is seen. */
+    /** Whether the request may have run when this error occurs. */
     public enum Ran {
         NOT_RUN("not-run"),
         MAY_HAVE_RUN("may-have-run"),
@@ -94,13 +94,13 @@
             this.text = text;
         }
 
-        /** The value of the field {@code ran} in an error answer. */
+        /** Returns the value of the field {@code ran} in an error answer. */
         public String text() {
             return text;
         }
     }
 
-    /** Who may send the request again. */
+    /** Whether and where the request may be retried. */
     public enum Retry {
         NEVER("never"),
         CALLER("caller"),
@@ -113,7 +113,7 @@
             this.text = text;
         }
 
-        /** The value of the field {@code retry} in an error answer. */
+        /** Returns the value of the field {@code retry} in an error answer. */
         public String text() {
             return text;
         }
@@ -131,6 +131,7 @@
         this.template = template;
     }
 
+    /** Returns the HTTP status. */
     public int status() {
         return status;
     }
@@ -143,31 +144,32 @@
         return retry;
     }
 
+    /** Returns the message template, a format string for {@link String#format}. */
     public String template() {
         return template;
     }
 
-    /** The code in the JSON error answer: the lower-case name, such as {@code unknown_model}. */
+    /** Returns the code in the JSON error answer: the name in lower case, such as {@code unknown_model}. */
     public String code() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 
     /**
-     * Makes the error of this kind.
+     * Creates an error of this kind; the caller throws it or passes it on.
      *
-     * @param arguments as many as the template has places
+     * @param arguments the arguments of the message template
      */
     public YuccagwException raise(Object... arguments) {
         return new YuccagwException(this, String.format(template, arguments), null);
     }
 
-    /** Makes the error of this kind with the failure that caused it. */
+    /** Creates an error of this kind with its cause. */
     public YuccagwException raiseFrom(Throwable cause, Object... arguments) {
         return new YuccagwException(this, String.format(template, arguments), cause);
     }
 
-    /** The error of this kind that another process answered with, in its words. */
-    public YuccagwException received(String message) {
+    /** Creates an error of this kind from the answer of another process, with the message of that answer. */
+    public YuccagwException fromAnswer(String message) {
         return new YuccagwException(this, message, null);
     }
 }
--- a/src/main/java/org/yuccagw/core/error/YuccagwException.java
+++ b/src/main/java/org/yuccagw/core/error/YuccagwException.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** The one checked exception of yuccagw: a kind of the closed list and the message made from its template. */
+/** The only checked exception of yuccagw: an {@link ErrorKind} and the message from the template of that kind. */
 public final class YuccagwException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -24,13 +24,13 @@
         return kind;
     }
 
-    /** When the sender should come back; present only where it was predicted. */
+    /** Returns the time after which the sender should retry; empty if none was predicted. */
     public Optional<Duration> retryAfter() {
         return Optional.ofNullable(retryAfter);
     }
 
-    /** The same error with a prediction of when to come back. */
-    public YuccagwException comeBackAfter(Duration wait) {
+    /** Returns the same error with the time after which the sender should retry. */
+    public YuccagwException withRetryAfter(Duration wait) {
         return new YuccagwException(kind, getMessage(), getCause(), wait);
     }
 }
--- a/src/main/java/org/yuccagw/core/error/package-info.java
+++ b/src/main/java/org/yuccagw/core/error/package-info.java
@@ -1,2 +1,2 @@
-/** The closed list of error kinds and the table from kind to answer. */
+/** The closed set of error kinds and their mapping to error answers. */
 package org.yuccagw.core.error;
--- a/src/main/java/org/yuccagw/core/id/EndpointId.java
+++ b/src/main/java/org/yuccagw/core/id/EndpointId.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * An endpoint: one process, a model engine replica or an instance of a plain service.
+ * The id of an endpoint, which is one process: an engine replica or a process of a plain service.
  *
  * @param value the name under which the platform lists the endpoint, such as {@code assistant-07}
  */
 public record EndpointId(String value) implements Comparable<EndpointId> {
     public EndpointId {
-        Names.requirePresent("EndpointId", value);
+        Names.requireNonBlank("EndpointId", value);
     }
 
     public static EndpointId of(String value) {
--- a/src/main/java/org/yuccagw/core/id/EndpointIncarnation.java
+++ b/src/main/java/org/yuccagw/core/id/EndpointIncarnation.java
@@ -1,31 +1,32 @@
 package org.yuccagw.core.id;
 
 /**
- * One start of an endpoint. An endpoint may start again under the id that it had; it then knows nothing of before, so
- * whatever is believed of an endpoint is believed of one incarnation.
+ * One start of an endpoint. An endpoint may restart with the same id and then has lost its former state, so all state
+ * that is known of an endpoint belongs to one incarnation.
  *
- * <p>Example: {@code engine-1} registers with start 1,000 and leaves. It starts again and registers with start 9,000:
- * a new incarnation, which is of use. A message of another entry that names start 1,000 arrives after that and is
- * about the earlier one.
+ * <p>Example: {@code engine-1} registers with start 1,000 and leaves. It restarts and registers with start 9,000, which
+ * is a new incarnation that accepts requests. A message of another entry about start 1,000 that arrives later concerns
+ * the earlier incarnation only.
  *
- * @param startedMillis Unix time of the start as the endpoint tells it, in milliseconds; {@link #UNTOLD} if it doesn't
+ * @param startedMillis Unix time of the start in milliseconds, as the endpoint reports it; {@link #UNKNOWN_START} if it
+ *     reports none
  */
 public record EndpointIncarnation(EndpointId endpoint, long startedMillis) {
-    /** Of endpoints that never tell when they started; they have a new id at each start. */
-    public static final long UNTOLD = 0;
+    /** The start of endpoints that don't report one. They have a new id at each start. */
+    public static final long UNKNOWN_START = 0;
 
     public static EndpointIncarnation of(EndpointId endpoint, long startedMillis) {
         return new EndpointIncarnation(endpoint, startedMillis);
     }
 
-    /** Whether this start came before the other one, of the same endpoint. */
+    /** Returns whether this incarnation started before another one of the same endpoint. */
     public boolean isBefore(EndpointIncarnation other) {
         return startedMillis < other.startedMillis;
     }
 
     @Override
     public String toString() {
-        return startedMillis == UNTOLD ? endpoint.value() : endpoint.value() + '@' + startedMillis;
+        return startedMillis == UNKNOWN_START ? endpoint.value() : endpoint.value() + '@' + startedMillis;
     }
 
     @Override
--- a/src/main/java/org/yuccagw/core/id/EntryId.java
+++ b/src/main/java/org/yuccagw/core/id/EntryId.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * One entry daemon; stable over restarts of the process under the same settings.
+ * The id of an entry daemon, which stays the same over restarts with the same settings.
  *
- * @param value the name from the settings of the entry, such as {@code entry-3}
+ * @param value the name in the settings of the entry, such as {@code entry-3}
  */
 public record EntryId(String value) implements Comparable<EntryId> {
     public EntryId {
-        Names.requirePresent("EntryId", value);
+        Names.requireNonBlank("EntryId", value);
     }
 
     public static EntryId of(String value) {
--- a/src/main/java/org/yuccagw/core/id/FailureDomain.java
+++ b/src/main/java/org/yuccagw/core/id/FailureDomain.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * A failure domain: VMs in it may be lost together.
+ * A failure domain, whose VMs may fail together.
  *
- * @param value the name that settings and platform use, such as {@code ulemiste}
+ * @param value the name in settings and on the platform, such as {@code ulemiste}
  */
 public record FailureDomain(String value) implements Comparable<FailureDomain> {
     public FailureDomain {
-        Names.requirePresent("FailureDomain", value);
+        Names.requireNonBlank("FailureDomain", value);
     }
 
     public static FailureDomain of(String value) {
--- a/src/main/java/org/yuccagw/core/id/IdempotencyKey.java
+++ b/src/main/java/org/yuccagw/core/id/IdempotencyKey.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * The name a caller gives one intended effect, so that a repeated request runs at most once.
+ * A caller's key for one operation, by which a repeated request runs at most once.
  *
- * @param value the header {@code Idempotency-Key}, 1 to 255 visible ASCII characters
+ * @param value the value of the header {@code Idempotency-Key}, 1 to 255 visible ASCII characters
  */
 public record IdempotencyKey(String value) implements Comparable<IdempotencyKey> {
     public IdempotencyKey {
-        Names.requirePresent("IdempotencyKey", value);
+        Names.requireNonBlank("IdempotencyKey", value);
     }
 
     public static IdempotencyKey of(String value) {
--- a/src/main/java/org/yuccagw/core/id/Names.java
+++ b/src/main/java/org/yuccagw/core/id/Names.java
@@ -1,12 +1,13 @@
 package org.yuccagw.core.id;
 
-/** The one check that every id shares: an absent or blank name is a programming error, never a valid id. */
+/** The check that all ids share. A missing or blank name is a programming error and never a valid id. */
 final class Names {
     private Names() {}
 
-    static void requirePresent(String type, String value) {
+    /** Throws an {@link IllegalArgumentException} if the value is null or blank. */
+    static void requireNonBlank(String type, String value) {
         if (value == null || value.isBlank()) {
-            throw new IllegalArgumentException(type + " needs a name that is not blank");
+            throw new IllegalArgumentException(type + " must not be blank");
         }
     }
 }
--- a/src/main/java/org/yuccagw/core/id/NetworkAddress.java
+++ b/src/main/java/org/yuccagw/core/id/NetworkAddress.java
@@ -1,17 +1,18 @@
 package org.yuccagw.core.id;
 
 /**
- * Where a process listens: an IP number and a port. No host names: VMs of the platform are reached by IP number.
+ * The IP address and port on which a process listens. Host names are not used, since the platform's VMs are reached by
+ * IP address.
  *
- * @param host IPv4 or IPv6 number, without brackets
+ * @param host an IPv4 or IPv6 address, without brackets
  * @param port 1 to 65535
  */
 public record NetworkAddress(String host, int port) implements Comparable<NetworkAddress> {
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     public NetworkAddress {
-        Names.requirePresent("NetworkAddress", host);
-        if (port < 1 || port > HIGHEST_PORT) {
+        Names.requireNonBlank("NetworkAddress", host);
+        if (port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException("a port is between 1 and 65535: " + port);
         }
     }
@@ -20,7 +21,11 @@
         return new NetworkAddress(host, port);
     }
 
-    /** Reads {@code 10.0.0.7:8080} or {@code [fd00::7]:8080}. */
+    /**
+     * Parses an address such as {@code 10.0.0.7:8080} or {@code [fd00::7]:8080}.
+     *
+     * @throws IllegalArgumentException if the text has no valid port after the last colon
+     */
     public static NetworkAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
--- a/src/main/java/org/yuccagw/core/id/Region.java
+++ b/src/main/java/org/yuccagw/core/id/Region.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * A region: failure domains that lie near each other.
+ * A region, which is a group of failure domains that are close to each other.
  *
- * @param value the name that settings and configuration use, such as {@code tallinn}
+ * @param value the name in settings and configuration, such as {@code tallinn}
  */
 public record Region(String value) implements Comparable<Region> {
     public Region {
-        Names.requirePresent("Region", value);
+        Names.requireNonBlank("Region", value);
     }
 
     public static Region of(String value) {
--- a/src/main/java/org/yuccagw/core/id/ServiceName.java
+++ b/src/main/java/org/yuccagw/core/id/ServiceName.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * A service of the catalogue: what callers name, as a model or as a path, to be routed to a pool.
+ * The name of a service. Callers name a service by model or by path, and requests are routed to its pool of endpoints.
  *
- * @param value the key of the catalogue entry
+ * @param value the key of the service in the catalogue
  */
 public record ServiceName(String value) implements Comparable<ServiceName> {
     public ServiceName {
-        Names.requirePresent("ServiceName", value);
+        Names.requireNonBlank("ServiceName", value);
     }
 
     public static ServiceName of(String value) {
--- a/src/main/java/org/yuccagw/core/id/ShardNumber.java
+++ b/src/main/java/org/yuccagw/core/id/ShardNumber.java
@@ -1,14 +1,14 @@
 package org.yuccagw.core.id;
 
 /**
- * One of the fixed number of shards over which ownership of claims, limits and orders is spread.
+ * The number of a shard. The ownership of claims, limits and orders is distributed over a fixed number of shards.
  *
- * @param value 0 up to, but not including, the shard count of the catalogue
+ * @param value from 0 (inclusive) to the number of shards in the catalogue (exclusive)
  */
 public record ShardNumber(int value) implements Comparable<ShardNumber> {
     public ShardNumber {
         if (value < 0) {
-            throw new IllegalArgumentException("a shard number is not negative: " + value);
+            throw new IllegalArgumentException("a shard number must not be negative: " + value);
         }
     }
 
--- a/src/main/java/org/yuccagw/core/id/StoreId.java
+++ b/src/main/java/org/yuccagw/core/id/StoreId.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * A cache store of the platform.
+ * The id of a cache store of the platform.
  *
  * @param value the name under which the platform lists the store
  */
 public record StoreId(String value) implements Comparable<StoreId> {
     public StoreId {
-        Names.requirePresent("StoreId", value);
+        Names.requireNonBlank("StoreId", value);
     }
 
     public static StoreId of(String value) {
--- a/src/main/java/org/yuccagw/core/id/VmId.java
+++ b/src/main/java/org/yuccagw/core/id/VmId.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * A VM as the platform lists it.
+ * The id of a VM.
  *
- * @param value the name that the platform gives the VM
+ * @param value the name under which the platform lists the VM
  */
 public record VmId(String value) implements Comparable<VmId> {
     public VmId {
-        Names.requirePresent("VmId", value);
+        Names.requireNonBlank("VmId", value);
     }
 
     public static VmId of(String value) {
--- a/src/main/java/org/yuccagw/core/id/WeightVersion.java
+++ b/src/main/java/org/yuccagw/core/id/WeightVersion.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * A version of the weights that an engine runs.
+ * A version of the weights of a model.
  *
- * @param value the version as the catalogue writes it, such as {@code 2026-11-04}
+ * @param value the version as written in the catalogue, such as {@code 2026-11-04}
  */
 public record WeightVersion(String value) implements Comparable<WeightVersion> {
     public WeightVersion {
-        Names.requirePresent("WeightVersion", value);
+        Names.requireNonBlank("WeightVersion", value);
     }
 
     public static WeightVersion of(String value) {
--- a/src/main/java/org/yuccagw/core/id/WorkspaceId.java
+++ b/src/main/java/org/yuccagw/core/id/WorkspaceId.java
@@ -1,13 +1,13 @@
 package org.yuccagw.core.id;
 
 /**
- * A workspace: the unit of isolation for prompts, cache blocks, answers and limits.
+ * The id of a workspace, the unit of isolation for prompts, cache blocks, answers and limits.
  *
- * @param value the name that the catalogue gives the workspace, such as {@code statistics-office}
+ * @param value the name of the workspace in the catalogue, such as {@code statistics-office}
  */
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
     public WorkspaceId {
-        Names.requirePresent("WorkspaceId", value);
+        Names.requireNonBlank("WorkspaceId", value);
     }
 
     public static WorkspaceId of(String value) {
--- a/src/main/java/org/yuccagw/core/id/package-info.java
+++ b/src/main/java/org/yuccagw/core/id/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Value types for everything that has a name or a number, so that no two of them are mixed up.
+ * Value types for ids and names. With distinct types the compiler rejects an id of the wrong kind.
  *
- * <p>Those that are keys of maps write out {@code equals} and {@code hashCode}. The ones that a record has by itself
- * are linked when they are first called, some milliseconds each on a small VM, and that is at the start of an entry,
- * while callers wait for it.
+ * <p>Types that are used as map keys define {@code equals} and {@code hashCode} explicitly. The implicit methods of a
+ * record are linked at their first call, which takes some milliseconds per type on a small VM. That would happen at the
+ * start of an entry, while callers wait for it.
  */
 package org.yuccagw.core.id;
--- a/src/main/java/org/yuccagw/core/placing/PlacementClient.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementClient.java
@@ -255,8 +255,8 @@
     }
 
     private void onRefused(Asked question, PlacementMessage.Refused refused) {
-        YuccagwException error = refused.kind().received(refused.message());
-        YuccagwException timed = refused.retryAfter().map(error::comeBackAfter).orElse(error);
+        YuccagwException error = refused.kind().fromAnswer(refused.message());
+        YuccagwException timed = refused.retryAfter().map(error::withRetryAfter).orElse(error);
         context.perform(Decision.of("refused")
                 .with("request", question.request.request())
                 .with("route", question.request.route().name())
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -290,7 +290,7 @@
         }
         int breaks = suspects.count(asked.fingerprint(), context.nowNanos());
         if (breaks >= SuspectRequests.LIMIT) {
-            refuse(asked, ErrorKind.SUSPECT_REQUEST.raise(breaks).comeBackAfter(SUSPECT_RETRY_AFTER), "suspect");
+            refuse(asked, ErrorKind.SUSPECT_REQUEST.raise(breaks).withRetryAfter(SUSPECT_RETRY_AFTER), "suspect");
         } else if (asked.isRepeat() && !allowance.take(context.nowNanos(), fleet.retryShares())) {
             refuse(asked, ErrorKind.RETRY_BUDGET_SPENT.raise(asked.service()), "retry budget spent");
         } else {
@@ -382,7 +382,7 @@
 
     private void refuseOverloaded(PlacementRequest asked, long waitMillis, String reason) {
         YuccagwException error = ErrorKind.OVERLOADED.raise(waitMillis);
-        refuse(asked, error.comeBackAfter(retryAfter(waitMillis)), reason);
+        refuse(asked, error.withRetryAfter(retryAfter(waitMillis)), reason);
     }
 
     /** Places or refuses the request; false if no endpoint can take it now. */
@@ -525,7 +525,7 @@
 
     private void refuse(PlacementRequest asked, YuccagwException error, String reason) {
         YuccagwException timed =
-                error.retryAfter().isPresent() ? error : error.comeBackAfter(retryAfter(SHORTEST_RETRY_AFTER_MILLIS));
+                error.retryAfter().isPresent() ? error : error.withRetryAfter(retryAfter(SHORTEST_RETRY_AFTER_MILLIS));
         context.perform(Decision.of("refused")
                 .with("request", asked.request())
                 .with("route", asked.route().name())
--- a/src/main/java/org/yuccagw/core/port/KeyValueAnswer.java
+++ b/src/main/java/org/yuccagw/core/port/KeyValueAnswer.java
@@ -3,12 +3,13 @@
 import java.util.List;
 import org.yuccagw.core.port.KeyValueCall.LeaseHandle;
 
-/** What came back for one {@link KeyValueCall}. */
+/** The result of one {@link KeyValueCall}. */
 public interface KeyValueAnswer {
     /**
-     * One key with its value and the service-wide revision of its last write.
+     * One key with its value.
      *
-     * @param deleted true in the answer to a watch when the last write was a deletion; the value is then empty
+     * @param revision the service-wide revision of the last write to the key
+     * @param deleted true in the answer to a watch if the last write deleted the key; the value is then empty
      */
     record Item(String key, byte[] value, long revision, boolean deleted) {
         public static Item of(String key, byte[] value, long revision) {
@@ -16,27 +17,34 @@
         }
     }
 
-    /** Answer to a read or a watch; {@code revision} is the service's revision when it answered. */
+    /** The answer to a read or a watch; {@code revision} is the revision of the service at the time of the answer. */
     record Found(List<Item> items, long revision) implements KeyValueAnswer {}
 
-    /** The write took effect; the key is now at {@code revision}. */
+    /** The write took effect and gave the key this revision. */
     record Written(long revision) implements KeyValueAnswer {}
 
-    /** The write did not take effect: the key is at {@code currentRevision}, {@link KeyValueCall#ABSENT} if gone. */
+    /**
+     * The write had no effect, because the key doesn't have the expected revision.
+     *
+     * @param currentRevision the revision of the key, {@link KeyValueCall#ABSENT} if the key doesn't exist
+     */
     record Conflict(long currentRevision) implements KeyValueAnswer {}
 
-    /** The service has dropped the history that the watch asked for: the keys must be read anew. */
+    /** The service has discarded the history that the watch requested; the keys must be read again. */
     record HistoryGone() implements KeyValueAnswer {}
 
+    /** The lease was granted and runs from now on. */
     record LeaseGranted(LeaseHandle lease) implements KeyValueAnswer {}
 
+    /** The lease was renewed or revoked. */
     record LeaseRenewed() implements KeyValueAnswer {}
 
+    /** The lease has expired or doesn't exist. */
     record LeaseLapsed() implements KeyValueAnswer {}
 
-    /** The service refused before doing anything, such as over its rate; the call had no effect. */
+    /** The call was refused and had no effect, for example because the rate limit of the service was exceeded. */
     record Refused(String reason) implements KeyValueAnswer {}
 
-    /** No answer came. A write may have taken effect, or may still take effect later. */
+    /** No usable answer arrived. A write may have taken effect or may still do so. */
     record Lost(String reason) implements KeyValueAnswer {}
 }
--- a/src/main/java/org/yuccagw/core/port/KeyValueCall.java
+++ b/src/main/java/org/yuccagw/core/port/KeyValueCall.java
@@ -4,23 +4,23 @@
 import java.util.Optional;
 
 /**
- * One call to the platform's key-value service. Every call counts against the rates that the platform grants, a
- * waiting {@link Watch} as one for as long as it waits.
+ * One call to the platform's key-value service. Every call counts against the rate limits of the platform; a waiting
+ * {@link Watch} counts as one call for as long as it waits.
  */
 public interface KeyValueCall {
-    /** The revision that a compare-and-swap expects of a key that doesn't exist. */
+    /** The expected revision of a key that doesn't exist. */
     long ABSENT = 0;
 
     /** Reads one key. */
     record Read(String key) implements KeyValueCall {}
 
-    /** Reads every key that starts with {@code prefix}, in the order of keys. */
+    /** Reads all keys that start with {@code prefix}, in key order. */
     record ReadPrefix(String prefix) implements KeyValueCall {}
 
     /**
-     * Writes {@code value} if the key still has {@code expectedRevision}, {@link #ABSENT} for a new key.
+     * Writes {@code value} if the key still has {@code expectedRevision}, or {@link #ABSENT} for a new key.
      *
-     * @param lease when present, the key goes when that lease lapses
+     * @param lease if present, the key is deleted when the lease expires
      */
     record CompareAndSwap(String key, long expectedRevision, byte[] value, Optional<LeaseHandle> lease)
             implements KeyValueCall {}
@@ -28,16 +28,21 @@
     /** Deletes the key if it still has {@code expectedRevision}. */
     record Delete(String key, long expectedRevision) implements KeyValueCall {}
 
-    /** Grants a lease that lapses {@code timeToLive} after the last renewal. */
+    /** Grants a lease that expires {@code timeToLive} after its last renewal. */
     record GrantLease(Duration timeToLive) implements KeyValueCall {}
 
+    /** Extends a lease by its time to live. */
     record RenewLease(LeaseHandle lease) implements KeyValueCall {}
 
+    /** Ends a lease and deletes its keys. */
     record RevokeLease(LeaseHandle lease) implements KeyValueCall {}
 
-    /** Answers once a key under {@code prefix} has a revision above {@code afterRevision}, or empty after the wait. */
-    record Watch(String prefix, long afterRevision, Duration longestWait) implements KeyValueCall {}
+    /**
+     * Waits until a key under {@code prefix} has a revision above {@code afterRevision}. The answer is empty if there
+     * is none within {@code maxWait}.
+     */
+    record Watch(String prefix, long afterRevision, Duration maxWait) implements KeyValueCall {}
 
-    /** The service's name of a lease. */
+    /** The id of a lease in the service. */
     record LeaseHandle(long value) {}
 }
--- a/src/main/java/org/yuccagw/core/port/package-info.java
+++ b/src/main/java/org/yuccagw/core/port/package-info.java
@@ -1,2 +1,2 @@
-/** What the core asks of the world outside: the key-value service and the other entries. */
+/** The core's interfaces to external systems: the key-value service and the other entries. */
 package org.yuccagw.core.port;
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
@@ -60,7 +60,7 @@
     private final Map<Long, Waiting> waiting = new HashMap<>();
     private final Map<Long, PromptFingerprint> held = new HashMap<>();
     private List<EntryId> peers = List.of();
-    private SystemLimits limits = SystemLimits.usual();
+    private SystemLimits limits = SystemLimits.defaults();
     private ControlContext context;
     private long nextPermit;
 
@@ -137,7 +137,7 @@
                 asked,
                 new Verdict.Refused(ErrorKind.QUARANTINED
                         .raise(count, Math.max(1, left.toSeconds()))
-                        .comeBackAfter(left)));
+                        .withRetryAfter(left)));
     }
 
     private void reply(QuarantineRequested asked, Verdict verdict) {
@@ -152,7 +152,7 @@
             reply(
                     wait.asked(),
                     new Verdict.Refused(
-                            ErrorKind.OVERLOADED.raise(COME_BACK.toMillis()).comeBackAfter(COME_BACK)));
+                            ErrorKind.OVERLOADED.raise(COME_BACK.toMillis()).withRetryAfter(COME_BACK)));
             return;
         }
         waiting.put(permit, new Waiting(wait.asked(), wait.asks() + 1));
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -238,7 +238,7 @@
     }
 
     private SystemLimits systemLimits() {
-        return control.snapshot().part(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.usual());
+        return control.snapshot().part(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.defaults());
     }
 
     private void tellLoad() {
--- a/src/main/java/org/yuccagw/platform/CallerHeads.java
+++ b/src/main/java/org/yuccagw/platform/CallerHeadReader.java
@@ -23,24 +23,24 @@
 import org.yuccagw.core.prompt.PromptShape;
 
 /**
- * Reads heads of callers' requests and refuses those that could mean two things.
+ * Reads the heads of callers' requests and refuses ambiguous ones.
  *
- * <p>Guards against requests hidden inside others: a body whose length is told twice or in two ways ends at one place
- * for us and at another for the endpoint, and what lies between runs as a request that nobody sent. Such a head is
- * refused and its connection closed. A doubled request id or key is refused for the same reason.
+ * <p>Guards against request smuggling: if the length of a body is given twice or in two ways, the gateway and the
+ * endpoint may disagree on where the body ends, and the bytes in between run as a request that no caller sent. Such a
+ * head is refused and its connection closed. A request id or key that occurs twice is refused for the same reason.
  */
-final class CallerHeads {
+final class CallerHeadReader {
     private static final String BEARER = "bearer ";
     private static final String CHUNKED = "chunked";
     private static final Splitter COMMA = Splitter.on(',').trimResults().omitEmptyStrings();
-    private static final CharMatcher TOKEN = CharMatcher.inRange('a', 'z')
+    private static final CharMatcher TOKEN_CHARACTERS = CharMatcher.inRange('a', 'z')
             .or(CharMatcher.inRange('A', 'Z'))
             .or(CharMatcher.inRange('0', '9'))
             .or(CharMatcher.anyOf("!#$%&'*+-.^_`|~"));
     private static final CharMatcher DIGITS = CharMatcher.inRange('0', '9');
 
-    /** Concern one connection only. */
-    private static final ImmutableSet<HttpString> OF_THE_CONNECTION = ImmutableSet.of(
+    /** Hop-by-hop headers, which apply to a single connection and are not forwarded. */
+    private static final ImmutableSet<HttpString> HOP_BY_HOP = ImmutableSet.of(
             Headers.CONNECTION,
             new HttpString("Keep-Alive"),
             new HttpString("Proxy-Connection"),
@@ -53,8 +53,8 @@
             Headers.EXPECT,
             Headers.CONTENT_LENGTH);
 
-    /** Ours to set or to keep, whatever a caller sent. */
-    private static final ImmutableSet<HttpString> OURS = names(
+    /** Headers that only the gateway may set or that it consumes itself. Values sent by callers are not forwarded. */
+    private static final ImmutableSet<HttpString> RESERVED = headerNames(
             "Authorization",
             PlatformNames.DEADLINE,
             PlatformNames.LAST_EVENT,
@@ -71,8 +71,11 @@
             PlatformNames.HOLD,
             PlatformNames.PIN);
 
-    /** Stay whatever the header Connection names: without them the endpoint would run another request. */
-    private static final ImmutableSet<HttpString> ALWAYS_FORWARDED = names(
+    /**
+     * Headers that are forwarded even if the header {@code Connection} lists them. Without them the endpoint would run
+     * a different request.
+     */
+    private static final ImmutableSet<HttpString> ALWAYS_FORWARDED = headerNames(
             PlatformNames.REQUEST_ID,
             PlatformNames.MODEL,
             PlatformNames.TOKEN_USAGE,
@@ -81,43 +84,43 @@
             "Host",
             "Content-Type");
 
-    private CallerHeads() {}
+    private CallerHeadReader() {}
 
     /**
-     * Reads a head.
+     * Reads the headers of a request.
      *
-     * @throws YuccagwException of kind MALFORMED_HEAD
+     * @throws YuccagwException of kind MALFORMED_HEAD if the head is malformed or ambiguous
      */
     static CallerHead read(HeaderMap headers) throws YuccagwException {
         checkNames(headers);
         checkFraming(headers);
         return new CallerHead(
-                RequestId.of(single(headers, PlatformNames.REQUEST_ID)
+                RequestId.of(singleValue(headers, PlatformNames.REQUEST_ID)
                         .filter(id -> !id.isBlank())
                         .orElseThrow(() -> ErrorKind.MALFORMED_HEAD.raise("has no request id"))),
-                single(headers, "Host").orElse(""),
-                single(headers, "Authorization").flatMap(CallerHeads::bearerKey),
-                single(headers, PlatformNames.DEADLINE)
-                        .flatMap(CallerHeads::number)
+                singleValue(headers, "Host").orElse(""),
+                singleValue(headers, "Authorization").flatMap(CallerHeadReader::parseBearerKey),
+                singleValue(headers, PlatformNames.DEADLINE)
+                        .flatMap(CallerHeadReader::parseDigits)
                         .map(Duration::ofMillis),
                 readPrompt(headers),
-                single(headers, PlatformNames.LAST_EVENT)
-                        .flatMap(CallerHeads::number)
+                singleValue(headers, PlatformNames.LAST_EVENT)
+                        .flatMap(CallerHeadReader::parseDigits)
                         .orElse(ForwardRequest.FROM_START),
-                forwarded(headers));
+                forwardedHeaders(headers));
     }
 
     private static void checkNames(HeaderMap headers) throws YuccagwException {
         for (HttpString name : headers.getHeaderNames()) {
-            if (name.length() == 0 || !TOKEN.matchesAllOf(name.toString())) {
+            if (name.length() == 0 || !TOKEN_CHARACTERS.matchesAllOf(name.toString())) {
                 throw ErrorKind.MALFORMED_HEAD.raise("has a header with a malformed name");
             }
         }
     }
 
     private static void checkFraming(HeaderMap headers) throws YuccagwException {
-        Optional<String> length = single(headers, "Content-Length");
-        Optional<String> coding = single(headers, "Transfer-Encoding");
+        Optional<String> length = singleValue(headers, "Content-Length");
+        Optional<String> coding = singleValue(headers, "Transfer-Encoding");
         if (length.isPresent() && coding.isPresent()) {
             throw ErrorKind.MALFORMED_HEAD.raise("tells the length of the body in two ways");
         }
@@ -130,7 +133,7 @@
         }
     }
 
-    private static Optional<String> single(HeaderMap headers, String name) throws YuccagwException {
+    private static Optional<String> singleValue(HeaderMap headers, String name) throws YuccagwException {
         HeaderValues values = headers.get(name);
         if (values == null || values.isEmpty()) {
             return Optional.empty();
@@ -141,46 +144,50 @@
         return Optional.of(values.getFirst());
     }
 
-    private static Optional<String> bearerKey(String authorization) {
+    private static Optional<String> parseBearerKey(String authorization) {
         return authorization.toLowerCase(Locale.ROOT).startsWith(BEARER)
                 ? Optional.of(authorization.substring(BEARER.length()).trim())
                 : Optional.empty();
     }
 
-    private static Optional<Long> number(String text) {
+    private static Optional<Long> parseDigits(String text) {
         String trimmed = text.trim();
-        boolean whole = !trimmed.isEmpty() && trimmed.length() <= 15 && DIGITS.matchesAllOf(trimmed);
-        return whole ? Optional.of(Long.parseLong(trimmed)) : Optional.empty();
+        boolean isNumber = !trimmed.isEmpty() && trimmed.length() <= 15 && DIGITS.matchesAllOf(trimmed);
+        return isNumber ? Optional.of(Long.parseLong(trimmed)) : Optional.empty();
     }
 
-    /** A prompt whose shape can't be read is forwarded all the same; it is only placed without knowledge. */
+    /**
+     * Reads the shape of the prompt. A request whose prompt shape can't be read is forwarded all the same, but placed
+     * without regard to the prompt.
+     */
     private static Optional<PromptShape> readPrompt(HeaderMap headers) throws YuccagwException {
-        Optional<String> model = single(headers, PlatformNames.MODEL);
-        Optional<String> usage = single(headers, PlatformNames.TOKEN_USAGE);
+        Optional<String> model = singleValue(headers, PlatformNames.MODEL);
+        Optional<String> usage = singleValue(headers, PlatformNames.TOKEN_USAGE);
         if (model.isEmpty() || usage.isEmpty()) {
             return Optional.empty();
         }
         List<String> counts = COMMA.splitToList(usage.get());
-        Optional<Long> promptTokens = counts.isEmpty() ? Optional.empty() : number(counts.get(0));
+        Optional<Long> promptTokens = counts.isEmpty() ? Optional.empty() : parseDigits(counts.get(0));
         if (promptTokens.isEmpty()) {
             return Optional.empty();
         }
-        long most = counts.size() < 2 ? 0 : number(counts.get(1)).orElse(0L);
-        long expected = single(headers, PlatformNames.LENGTH_HINT)
-                .flatMap(CallerHeads::number)
-                .orElse(most);
+        long maxAnswerTokens =
+                counts.size() < 2 ? 0 : parseDigits(counts.get(1)).orElse(0L);
+        long expectedAnswerTokens = singleValue(headers, PlatformNames.LENGTH_HINT)
+                .flatMap(CallerHeadReader::parseDigits)
+                .orElse(maxAnswerTokens);
         return Optional.of(new PromptShape(
                 model.get(),
                 promptTokens.get().intValue(),
-                (int) expected,
-                readParts(single(headers, PlatformNames.PROMPT_PARTS).orElse(""))));
+                (int) expectedAnswerTokens,
+                readPromptParts(singleValue(headers, PlatformNames.PROMPT_PARTS).orElse(""))));
     }
 
-    private static ImmutableList<PromptPart> readParts(String text) {
+    private static ImmutableList<PromptPart> readPromptParts(String text) {
         ImmutableList.Builder<PromptPart> parts = ImmutableList.builder();
         for (String part : COMMA.split(text)) {
             int colon = part.indexOf(':');
-            Optional<Long> tokens = colon < 1 ? Optional.empty() : number(part.substring(colon + 1));
+            Optional<Long> tokens = colon < 1 ? Optional.empty() : parseDigits(part.substring(colon + 1));
             if (tokens.isEmpty()) {
                 return ImmutableList.of();
             }
@@ -189,24 +196,24 @@
         return parts.build();
     }
 
-    private static HeaderMap forwarded(HeaderMap headers) {
-        Set<HttpString> left = new HashSet<>(OF_THE_CONNECTION);
+    private static HeaderMap forwardedHeaders(HeaderMap headers) {
+        Set<HttpString> dropped = new HashSet<>(HOP_BY_HOP);
         HeaderValues connection = headers.get(Headers.CONNECTION);
         if (connection != null) {
-            connection.forEach(value -> COMMA.split(value).forEach(name -> left.add(new HttpString(name))));
+            connection.forEach(value -> COMMA.split(value).forEach(name -> dropped.add(new HttpString(name))));
         }
-        left.removeAll(ALWAYS_FORWARDED);
-        left.addAll(OURS);
+        dropped.removeAll(ALWAYS_FORWARDED);
+        dropped.addAll(RESERVED);
         HeaderMap forwarded = new HeaderMap();
         for (HeaderValues values : headers) {
-            if (!left.contains(values.getHeaderName())) {
+            if (!dropped.contains(values.getHeaderName())) {
                 forwarded.putAll(values.getHeaderName(), values);
             }
         }
         return forwarded;
     }
 
-    private static ImmutableSet<HttpString> names(String... texts) {
+    private static ImmutableSet<HttpString> headerNames(String... texts) {
         ImmutableSet.Builder<HttpString> names = ImmutableSet.builder();
         for (String text : texts) {
             names.add(new HttpString(text));
--- a/src/main/java/org/yuccagw/platform/DeploymentReader.java
+++ b/src/main/java/org/yuccagw/platform/DeploymentReader.java
@@ -26,17 +26,17 @@
 import org.yuccagw.core.id.StoreId;
 import org.yuccagw.core.id.WorkspaceId;
 
-/** Reads the operators' configuration. Fields that this version doesn't know are passed over. */
+/** Reads the operators' configuration. Fields that are unknown to this version are ignored. */
 final class DeploymentReader {
-    private static final int USUAL_HEADER_BYTES = 16 * 1024;
-    private static final int USUAL_BODY_BYTES = 4 * 1024 * 1024;
-    private static final int USUAL_HEADER_MILLIS = 5_000;
-    private static final int USUAL_IDLE_MILLIS = 60_000;
-    private static final int USUAL_TIMEOUT_MILLIS = 30_000;
-    private static final int USUAL_TARGET_MILLIS = 500;
-    private static final int USUAL_GAP_MILLIS = 500;
-    private static final int USUAL_WATCHERS = 4;
-    private static final int MILLIS_IN_SECOND = 1_000;
+    private static final int DEFAULT_MAX_HEADER_BYTES = 16 * 1024;
+    private static final int DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
+    private static final int DEFAULT_HEADER_TIMEOUT_MILLIS = 5_000;
+    private static final int DEFAULT_IDLE_TIMEOUT_MILLIS = 60_000;
+    private static final int DEFAULT_ROUTE_TIMEOUT_MILLIS = 30_000;
+    private static final int DEFAULT_TARGET_LATENCY_MILLIS = 500;
+    private static final int DEFAULT_TARGET_GAP_MILLIS = 500;
+    private static final int DEFAULT_MAX_INFLIGHT = 4;
+    private static final int MILLIS_PER_SECOND = 1_000;
 
     private DeploymentReader() {}
 
@@ -65,11 +65,11 @@
 
     private static Route readRoute(JsonNode route) {
         ImmutableList.Builder<ServiceShare> shares = ImmutableList.builder();
-        JsonNode split = route.path("trafficSplit");
-        if (split.isEmpty()) {
+        JsonNode trafficSplit = route.path("trafficSplit");
+        if (trafficSplit.isEmpty()) {
             shares.add(new ServiceShare(ServiceName.of(route.required("service").asText()), 1));
         } else {
-            split.forEach(share -> shares.add(new ServiceShare(
+            trafficSplit.forEach(share -> shares.add(new ServiceShare(
                     ServiceName.of(share.required("service").asText()),
                     share.path("weight").asInt(1))));
         }
@@ -78,23 +78,23 @@
                 route.required("host").asText(),
                 route.required("pathPrefix").asText(),
                 readKind(route.required("kind").asText()),
-                millis(route, "timeoutMs", USUAL_TIMEOUT_MILLIS),
-                millis(route, "targetLatencyMs", USUAL_TARGET_MILLIS),
-                millis(route, "gapAimMs", USUAL_GAP_MILLIS),
+                readMillis(route, "timeoutMs", DEFAULT_ROUTE_TIMEOUT_MILLIS),
+                readMillis(route, "targetLatencyMs", DEFAULT_TARGET_LATENCY_MILLIS),
+                readMillis(route, "gapAimMs", DEFAULT_TARGET_GAP_MILLIS),
                 route.path("priority").asInt(0),
                 shares.build(),
                 Math.max(1, route.path("maxAttempts").asInt(1)),
                 route.path("noAuth").asBoolean(false),
                 route.path("sessionAffinity").asBoolean(false),
                 route.path("resumable").asBoolean(false),
-                readHomes(route));
+                readAllowedRegions(route));
     }
 
-    private static RouteKind readKind(String word) {
-        return switch (word) {
+    private static RouteKind readKind(String kind) {
+        return switch (kind) {
             case "idempotent" -> RouteKind.IDEMPOTENT;
             case "streaming" -> RouteKind.STREAM;
-            // The safe reading of a word that isn't known: never run it twice.
+            // The safe default for an unknown kind: its requests never run twice.
             default -> RouteKind.NON_IDEMPOTENT;
         };
     }
@@ -105,11 +105,11 @@
                 service.hasNonNull("engine") ? Optional.of(readEngine(service.path("engine"))) : Optional.empty(),
                 service.path("maxConnections").asInt(0),
                 service.path("healthPath").asText(""),
-                readCold(service));
+                readColdStart(service));
     }
 
-    private static ColdTraits readCold(JsonNode service) {
-        long millis = Math.round(service.path("coldStartS").asDouble(0) * MILLIS_IN_SECOND);
+    private static ColdTraits readColdStart(JsonNode service) {
+        long millis = Math.round(service.path("coldStartS").asDouble(0) * MILLIS_PER_SECOND);
         return new ColdTraits(
                 Duration.ofMillis(millis), service.path("coldPerS").asDouble(0));
     }
@@ -122,7 +122,7 @@
                 engine.path("kvCapacity").asLong(Long.MAX_VALUE / 2),
                 engine.path("tokenKvBytes").asLong(0),
                 engine.path("linkMbps").asDouble(0),
-                engine.path("maxInflight").asInt(USUAL_WATCHERS),
+                engine.path("maxInflight").asInt(DEFAULT_MAX_INFLIGHT),
                 models.build());
     }
 
@@ -133,7 +133,7 @@
                 FailureDomain.of(store.required("zone").asText()),
                 store.path("kvCapacity").asLong(0),
                 store.path("linkMbps").asDouble(0),
-                store.path("maxInflight").asInt(USUAL_WATCHERS),
+                store.path("maxInflight").asInt(DEFAULT_MAX_INFLIGHT),
                 store.path("managed").asBoolean(false),
                 store.path("first_ms").asDouble(0));
     }
@@ -149,10 +149,10 @@
                 keys.build(),
                 priority,
                 workspace.path("isolated").asBoolean(false),
-                readHomes(workspace));
+                readAllowedRegions(workspace));
     }
 
-    private static Homes readHomes(JsonNode object) {
+    private static Homes readAllowedRegions(JsonNode object) {
         List<Region> regions = new ArrayList<>();
         object.path("allowedRegions").forEach(region -> regions.add(Region.of(region.asText())));
         return Homes.in(regions);
@@ -160,13 +160,13 @@
 
     private static RequestLimits readLimits(JsonNode limits) {
         return new RequestLimits(
-                limits.path("maxHeaderBytes").asInt(USUAL_HEADER_BYTES),
-                limits.path("maxBodyBytes").asInt(USUAL_BODY_BYTES),
-                millis(limits, "headerTimeoutMs", USUAL_HEADER_MILLIS),
-                millis(limits, "idleTimeoutMs", USUAL_IDLE_MILLIS));
+                limits.path("maxHeaderBytes").asInt(DEFAULT_MAX_HEADER_BYTES),
+                limits.path("maxBodyBytes").asInt(DEFAULT_MAX_BODY_BYTES),
+                readMillis(limits, "headerTimeoutMs", DEFAULT_HEADER_TIMEOUT_MILLIS),
+                readMillis(limits, "idleTimeoutMs", DEFAULT_IDLE_TIMEOUT_MILLIS));
     }
 
-    private static Duration millis(JsonNode object, String field, int usual) {
-        return Duration.ofMillis(object.path(field).asLong(usual));
+    private static Duration readMillis(JsonNode object, String field, int defaultMillis) {
+        return Duration.ofMillis(object.path(field).asLong(defaultMillis));
     }
 }
--- /dev/null
+++ b/src/main/java/org/yuccagw/platform/EndpointHeaders.java
@@ -0,0 +1,132 @@
+package org.yuccagw.platform;
+
+import com.google.common.collect.ImmutableSet;
+import io.undertow.util.HeaderMap;
+import io.undertow.util.HeaderValues;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.stream.Collectors;
+import org.yuccagw.adapters.serving.CallerHead;
+import org.yuccagw.core.deployment.WorkspaceAccess;
+import org.yuccagw.core.forward.AnswerStart;
+import org.yuccagw.core.forward.ForwardRequest;
+import org.yuccagw.core.id.EndpointId;
+import org.yuccagw.core.id.RequestId;
+import org.yuccagw.core.placing.PlacementDecision;
+import org.yuccagw.core.stores.CachePlan;
+
+/** Writes the headers of requests to endpoints and reads the headers of their answers. */
+final class EndpointHeaders {
+    private static final int LOWEST_URGENCY = 9;
+    private static final String ABSENT_ADDRESS = "-";
+    private static final ImmutableSet<HttpString> HOP_BY_HOP = ImmutableSet.of(
+            Headers.CONNECTION,
+            new HttpString("Keep-Alive"),
+            new HttpString("Proxy-Connection"),
+            Headers.TRAILER,
+            Headers.TRANSFER_ENCODING,
+            Headers.UPGRADE);
+
+    private EndpointHeaders() {}
+
+    /** Returns the headers of one attempt: the caller's forwarded headers and those that the gateway sets. */
+    static HeaderMap requestHeaders(
+            CallerHead head,
+            Optional<WorkspaceAccess> workspace,
+            PlacementDecision.Placed placed,
+            Duration remaining,
+            long afterEvent) {
+        HeaderMap headers = new HeaderMap();
+        head.forwarded().forEach(values -> headers.putAll(values.getHeaderName(), values));
+        putHeader(headers, PlatformNames.DEADLINE, Long.toString(Math.max(1, remaining.toMillis())));
+        putHeader(headers, PlatformNames.EXPECT_ENDPOINT, placed.endpoint().id().value());
+        workspace.ifPresent(access ->
+                putHeader(headers, PlatformNames.WORKSPACE, access.id().value()));
+        if (afterEvent != ForwardRequest.FROM_START) {
+            putHeader(headers, PlatformNames.LAST_EVENT, Long.toString(afterEvent));
+        }
+        if (head.prompt().isPresent()) {
+            putHeader(
+                    headers,
+                    PlatformNames.URGENCY,
+                    Integer.toString(Math.min(LOWEST_URGENCY, Math.max(0, placed.urgency()))));
+            placed.version()
+                    .ifPresent(version -> putHeader(headers, PlatformNames.EXPECT_VERSION, Long.toString(version)));
+            placed.salt().ifPresent(salt -> putHeader(headers, PlatformNames.CACHE_SALT, salt));
+            placed.cache().ifPresent(plan -> putCachePlan(headers, plan));
+        }
+        return headers;
+    }
+
+    /**
+     * Writes one address for each part of the prompt, separated by commas, and {@code -} for a part that has none. In
+     * {@code Yuccagw-Kv-Fetch} a slash and the number of tokens to read follow each address.
+     */
+    private static void putCachePlan(HeaderMap headers, CachePlan plan) {
+        if (plan.hasFetch()) {
+            String fetches = plan.fetches().stream()
+                    .map(fetch -> fetch.map(source -> source.store() + "/" + source.tokens())
+                            .orElse(ABSENT_ADDRESS))
+                    .collect(Collectors.joining(","));
+            putHeader(headers, PlatformNames.KV_FETCH, fetches);
+            putHeader(headers, PlatformNames.KV_UNTIL, Long.toString(plan.untilMillis()));
+        }
+        if (plan.hasSave()) {
+            String saves = plan.saves().stream()
+                    .map(target -> target.map(Object::toString).orElse(ABSENT_ADDRESS))
+                    .collect(Collectors.joining(","));
+            putHeader(headers, PlatformNames.KV_SAVE, saves);
+        }
+    }
+
+    /** Reads the status and headers that determine whether and how an answer is used. */
+    static AnswerStart readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
+        String requestId = headers.getFirst(PlatformNames.REQUEST_ID);
+        String endpoint = headers.getFirst(PlatformNames.ENDPOINT_ID);
+        boolean framed = headers.contains(Headers.CONTENT_LENGTH)
+                || headers.contains(Headers.TRANSFER_ENCODING)
+                || "close".equalsIgnoreCase(headers.getFirst(Headers.CONNECTION));
+        return new AnswerStart(
+                status,
+                request.value().equals(requestId),
+                headers.contains(PlatformNames.SEAL),
+                headers.contains(PlatformNames.NOT_RUN),
+                endpoint != null && !endpoint.equals(expected.value()),
+                headers.contains(Headers.CONTENT_ENCODING),
+                framed,
+                parseLong(headers.getFirst(PlatformNames.VERSION_RUN)),
+                EndpointNoticeReader.read(status, headers));
+    }
+
+    /** Returns the endpoint's headers that are forwarded to the caller: all but the hop-by-hop headers. */
+    static HeaderMap forwardedHeaders(HeaderMap answer) {
+        HeaderMap forwarded = new HeaderMap();
+        for (HeaderValues values : answer) {
+            if (!HOP_BY_HOP.contains(values.getHeaderName())) {
+                forwarded.putAll(values.getHeaderName(), values);
+            }
+        }
+        return forwarded;
+    }
+
+    /** Returns the wait in seconds with three decimals, so that a caller refused for 200 ms doesn't wait a second. */
+    static String retryAfter(Duration wait) {
+        return String.format(java.util.Locale.ROOT, "%.3f", wait.toMillis() / 1_000.0);
+    }
+
+    private static OptionalLong parseLong(String text) {
+        try {
+            return text == null ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(text.trim()));
+        } catch (NumberFormatException ignored) {
+            // A version that is not a number counts as absent, so that no request is pinned to it.
+            return OptionalLong.empty();
+        }
+    }
+
+    private static void putHeader(HeaderMap headers, String name, String value) {
+        headers.put(new HttpString(name), value);
+    }
+}
--- a/src/main/java/org/yuccagw/platform/EndpointReader.java
+++ b/src/main/java/org/yuccagw/platform/EndpointReader.java
@@ -14,11 +14,11 @@
 import org.yuccagw.core.id.ServiceName;
 
 /**
- * Reads what endpoints say of themselves: their registration and the state of an engine.
+ * Reads the data that endpoints publish about themselves: their registrations and the state reports of engines.
  *
- * <p>Others than endpoints may write under the keys of registrations. A field that is missing or has another type, or
- * a state with another name, shows such a writer; guessing a usual value for it would send requests to an address that
- * no endpoint gave. So every field that is used must be there as agreed.
+ * <p>Other processes than endpoints may write under the keys of registrations. Such a value shows in a missing field, a
+ * field of another type or an unknown state. A default in its stead would send requests to an address that no endpoint
+ * registered, so every field that is used must be present and have the agreed type.
  */
 final class EndpointReader {
     private static final String LEAVING = "draining";
@@ -29,33 +29,39 @@
     private EndpointReader() {}
 
     /**
-     * The field {@code version} of a registration is the software's and isn't used; the weights stand under models.
+     * Reads a registration. Its field {@code version} is the version of the endpoint's software and isn't used; the
+     * versions of weights are in the field {@code models}.
      *
-     * @throws IllegalArgumentException if a field is missing or isn't as agreed
+     * @throws IllegalArgumentException if a field is missing or malformed
      */
     static ListedEndpoint readRegistration(String id, JsonNode registration) {
         return new ListedEndpoint(
-                EndpointIncarnation.of(EndpointId.of(id), readStart(registration)),
-                ServiceName.of(text(registration, "service")),
-                readAddress(text(registration, "address")),
-                FailureDomain.of(text(registration, "zone")),
-                (int) Math.min(Integer.MAX_VALUE, wholeNumber(registration, "slots")),
-                readLeaving(text(registration, "state")),
-                wholeNumber(registration, "coldLeftMs"),
+                EndpointIncarnation.of(EndpointId.of(id), readStartMillis(registration)),
+                ServiceName.of(requiredText(registration, "service")),
+                readAddress(requiredText(registration, "address")),
+                FailureDomain.of(requiredText(registration, "zone")),
+                (int) Math.min(Integer.MAX_VALUE, requiredNumber(registration, "slots")),
+                readLeaving(requiredText(registration, "state")),
+                requiredNumber(registration, "coldLeftMs"),
                 readWeights(registration));
     }
 
-    /** In a report {@code sequence} counts accepted orders; in a registration it counts heartbeats. */
+    /**
+     * Reads the state report of an engine. Here the field {@code sequence} counts accepted orders, whereas in a
+     * registration it counts heartbeats.
+     *
+     * @throws IllegalArgumentException if a field is malformed
+     */
     static EngineState readState(JsonNode report) {
         return new EngineState(
-                readStart(report),
+                readStartMillis(report),
                 report.path("busy").asBoolean(false),
                 report.path("sequence").asLong(0),
                 readWeights(report));
     }
 
-    private static long readStart(JsonNode object) {
-        return object.has(STARTED_MILLIS) ? wholeNumber(object, STARTED_MILLIS) : EndpointIncarnation.UNTOLD;
+    private static long readStartMillis(JsonNode object) {
+        return object.has(STARTED_MILLIS) ? requiredNumber(object, STARTED_MILLIS) : EndpointIncarnation.UNKNOWN_START;
     }
 
     private static boolean readLeaving(String state) {
@@ -68,7 +74,7 @@
     private static NetworkAddress readAddress(String text) {
         NetworkAddress address = NetworkAddress.parse(text);
         if (!InetAddresses.isInetAddress(address.host())) {
-            throw new IllegalArgumentException("no IP address: '" + text + "'");
+            throw new IllegalArgumentException("not an IP address: '" + text + "'");
         }
         return address;
     }
@@ -78,27 +84,27 @@
             return ImmutableMap.of();
         }
         if (!object.get(WEIGHTS).isArray()) {
-            throw new IllegalArgumentException(WEIGHTS + " isn't a list");
+            throw new IllegalArgumentException(WEIGHTS + " is not an array");
         }
         Map<String, Long> weights = new HashMap<>();
         for (JsonNode model : object.get(WEIGHTS)) {
-            weights.put(text(model, "name"), wholeNumber(model, "version"));
+            weights.put(requiredText(model, "name"), requiredNumber(model, "version"));
         }
         return ImmutableMap.copyOf(weights);
     }
 
-    private static String text(JsonNode object, String field) {
+    private static String requiredText(JsonNode object, String field) {
         JsonNode value = object.required(field);
         if (!value.isTextual()) {
-            throw new IllegalArgumentException(field + " isn't text");
+            throw new IllegalArgumentException(field + " is not a string");
         }
         return value.asText();
     }
 
-    private static long wholeNumber(JsonNode object, String field) {
+    private static long requiredNumber(JsonNode object, String field) {
         JsonNode value = object.required(field);
         if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
-            throw new IllegalArgumentException(field + " isn't a whole number");
+            throw new IllegalArgumentException(field + " is not a non-negative integer");
         }
         return value.asLong();
     }
--- a/src/main/java/org/yuccagw/platform/EngineCaller.java
+++ b/src/main/java/org/yuccagw/platform/EngineClient.java
@@ -19,50 +19,50 @@
 import org.yuccagw.core.id.EntryId;
 
 /**
- * Asks engines for their state and orders them to load weights.
+ * HTTP client of the engines: requests their state and orders them to load weights.
  *
- * <p>The time of the lease is looked at on the I/O thread as the last thing before an order leaves: a process that
- * stood still between the decision and the sending must not order beside the next holder.
+ * <p>The end of the lease is checked on the I/O thread immediately before an order is sent. A process that was
+ * suspended between the decision and the sending must not send orders concurrently with the next holder of the lease.
  */
-public final class EngineCaller implements ActionHandler {
+public final class EngineClient implements ActionHandler {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(900);
-    /** Running requests go on with the newer weights. */
-    private static final String UNDER_RUNNING_REQUESTS = "retain";
+    private static final Duration READ_TIMEOUT = Duration.ofMillis(900);
+    /** Load mode in which running requests continue with the newer weights. */
+    private static final String RETAIN_RUNNING_REQUESTS = "retain";
 
-    private final HttpCaller caller;
+    private final HttpCaller httpClient;
     private final EntryId self;
     private final LongSupplier nanoTime;
 
-    private EngineCaller(HttpCaller caller, EntryId self, LongSupplier nanoTime) {
-        this.caller = caller;
+    private EngineClient(HttpCaller httpClient, EntryId self, LongSupplier nanoTime) {
+        this.httpClient = httpClient;
         this.self = self;
         this.nanoTime = nanoTime;
     }
 
-    public static EngineCaller of(HttpCaller caller, EntryId self, LongSupplier nanoTime) {
-        return new EngineCaller(caller, self, nanoTime);
+    public static EngineClient of(HttpCaller httpClient, EntryId self, LongSupplier nanoTime) {
+        return new EngineClient(httpClient, self, nanoTime);
     }
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof EngineCall.AskState ask) {
-            askState(ask, input);
+        if (action instanceof EngineCall.AskState call) {
+            requestState(call, input);
             return true;
         }
         if (action instanceof EngineCall.OrderWeights order) {
-            order(order, input);
+            orderWeights(order, input);
             return true;
         }
         return false;
     }
 
-    private void askState(EngineCall.AskState ask, ControlInput input) {
-        HttpQuery query = to(ask, HttpQuery.get(ask.endpoint().address(), PlatformNames.REPORT_PATH));
-        caller.send(query).whenComplete((answer, failure) -> {
-            hearNotice(ask, answer, input);
+    private void requestState(EngineCall.AskState call, ControlInput input) {
+        HttpQuery request = prepareRequest(call, HttpQuery.get(call.endpoint().address(), PlatformNames.REPORT_PATH));
+        httpClient.send(request).whenComplete((answer, failure) -> {
+            offerNotice(call, answer, input);
             Optional<EngineState> state = failure == null ? readState(answer) : Optional.empty();
-            input.offer(new EngineAnswer.Told(ask.endpoint().incarnation(), state));
+            input.offer(new EngineAnswer.Told(call.endpoint().incarnation(), state));
         });
     }
 
@@ -73,49 +73,50 @@
         try {
             return Optional.of(EndpointReader.readState(JsonText.read(answer.body())));
         } catch (IOException | IllegalArgumentException ignored) {
-            // Whatever answered there is no engine; the state stays unknown, which is logged, and is asked again.
+            // The answer is not an engine's report. The state stays unknown, which is logged, and is requested again.
             return Optional.empty();
         }
     }
 
-    private void order(EngineCall.OrderWeights order, ControlInput input) {
-        caller.worker().getIoThread().execute(() -> {
+    private void orderWeights(EngineCall.OrderWeights order, ControlInput input) {
+        httpClient.worker().getIoThread().execute(() -> {
             if (nanoTime.getAsLong() - order.heldUntilNanos() >= 0) {
                 input.offer(new EngineAnswer.Ordered(order.endpoint().incarnation(), Outcome.NOT_SENT));
                 return;
             }
-            caller.send(orderQuery(order)).whenComplete((answer, failure) -> {
-                hearNotice(order, answer, input);
+            httpClient.send(orderRequest(order)).whenComplete((answer, failure) -> {
+                offerNotice(order, answer, input);
                 input.offer(new EngineAnswer.Ordered(
                         order.endpoint().incarnation(), failure == null ? outcome(answer.status()) : Outcome.UNKNOWN));
             });
         });
     }
 
-    private static void hearNotice(EngineCall call, HttpAnswer answer, ControlInput input) {
+    private static void offerNotice(EngineCall call, HttpAnswer answer, ControlInput input) {
         if (answer != null) {
-            EndpointNotices.heard(call.endpoint().incarnation(), answer).ifPresent(input::offer);
+            EndpointNoticeReader.readCallAnswer(call.endpoint().incarnation(), answer)
+                    .ifPresent(input::offer);
         }
     }
 
-    private HttpQuery orderQuery(EngineCall.OrderWeights order) {
+    private HttpQuery orderRequest(EngineCall.OrderWeights order) {
         ObjectNode body = JsonText.object()
                 .put("op", "version")
                 .put("model", order.weights().model())
                 .put("version", order.weights().version())
-                .put("mode", UNDER_RUNNING_REQUESTS)
+                .put("mode", RETAIN_RUNNING_REQUESTS)
                 .put("holder", self.value())
                 .put("fence", order.fence())
                 .put("expected", order.expectedOrders());
-        HttpQuery query =
+        HttpQuery request =
                 HttpQuery.json("POST", order.endpoint().address(), PlatformNames.ORDER_PATH, JsonText.write(body));
-        return to(order, query);
+        return prepareRequest(order, request);
     }
 
-    private static HttpQuery to(EngineCall call, HttpQuery query) {
-        return query.withHeader(
+    private static HttpQuery prepareRequest(EngineCall call, HttpQuery request) {
+        return request.withHeader(
                         PlatformNames.EXPECT_ENDPOINT, call.endpoint().id().value())
-                .withTimeouts(CONNECT_TIMEOUT, SILENCE_TIMEOUT)
+                .withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT)
                 .overFreshConnection();
     }
 
--- a/src/main/java/org/yuccagw/platform/EntryPages.java
+++ b/src/main/java/org/yuccagw/platform/EntryResources.java
@@ -7,25 +7,25 @@
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.fleet.EntryContact;
 
-/** What callers and the platform ask of an entry itself. */
-final class EntryPages {
-    private EntryPages() {}
+/** Paths and bodies of the requests that an entry answers itself: the readiness check and the directory. */
+final class EntryResources {
+    private EntryResources() {}
 
-    static boolean isReadiness(String path) {
+    static boolean isReadinessPath(String path) {
         return path.equals(PlatformNames.READY_PATH);
     }
 
-    static boolean isDirectory(String path) {
+    static boolean isDirectoryPath(String path) {
         return path.equals(PlatformNames.RESOLVE_PATH);
     }
 
-    /** The query parameter with the failure domain of a caller of the directory. */
+    /** Returns the name of the query parameter in which a caller of the directory gives its failure domain. */
     static String domainParameter() {
         return "zone";
     }
 
-    /** The directory's answer: where to connect, and for how long that may be kept. */
-    static String directory(List<EntryContact> entries, Duration timeToLive) {
+    /** Returns the body of the directory's answer: the callers' addresses of entries, and how long it may be cached. */
+    static String directoryAnswer(List<EntryContact> entries, Duration timeToLive) {
         ObjectNode answer = JsonText.object();
         ArrayNode addresses = answer.putArray("addresses");
         entries.forEach(entry -> addresses.add(entry.callers().toString()));
--- a/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
+++ b/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
@@ -22,32 +22,35 @@
 import org.yuccagw.core.placing.RetryBounds;
 
 /**
- * Reads the settings of an entry on the users' platform: our own fields strictly, and in the field {@code platform}
- * what the platform tells of the VM. There unknown fields are passed over, since the platform may add some at any time.
+ * Reads the settings of an entry on the users' platform.
+ *
+ * <p>The fields of yuccagw itself are read strictly: an unknown field is an error. The field {@code platform} holds
+ * what the platform states about the VM; unknown fields in it are ignored, since the platform may add fields at any
+ * time.
  */
 public final class GatewaySettingsReader {
-    /** The field by which such a settings file is told from others. */
-    public static final String PLATFORM = "platform";
+    /** The field that distinguishes such a settings file from others. */
+    public static final String PLATFORM_FIELD = "platform";
 
-    private static final String[] FIELDS = {PLATFORM, "log_level"};
-    private static final double USUAL_RETRY_RATIO = 0.1;
-    private static final long USUAL_RETRY_SLACK = 20;
-    private static final long USUAL_RETRY_WINDOW_SECONDS = 10;
-    private static final double USUAL_COLD_OVERAGE = 1;
-    private static final long USUAL_GRACE_SECONDS = 8;
-    private static final long USUAL_LEASE_MILLIS = 3_000;
-    private static final long USUAL_VERSION_MILLIS = 8_000;
-    private static final long USUAL_DIRECTORY_SECONDS = 2;
-    private static final long MOST_MILLIS = 3_600_000;
-    private static final int HUNDREDTHS_OF_CORE = 100;
-    private static final int HUNDREDTHS_OF_CORE_FOR_MEGABIT = 2;
+    private static final String[] FIELDS = {PLATFORM_FIELD, "log_level"};
+    private static final double DEFAULT_RETRY_BUDGET_RATIO = 0.1;
+    private static final long DEFAULT_RETRY_SLACK = 20;
+    private static final long DEFAULT_RETRY_WINDOW_SECONDS = 10;
+    private static final double DEFAULT_COLD_OVERAGE = 1;
+    private static final long DEFAULT_STOP_GRACE_SECONDS = 8;
+    private static final long DEFAULT_LEASE_MILLIS = 3_000;
+    private static final long DEFAULT_VERSION_MILLIS = 8_000;
+    private static final long MAX_DIRECTORY_TTL_SECONDS = 2;
+    private static final long MAX_DEFAULT = 3_600_000;
+    private static final int HUNDREDTHS_PER_CORE = 100;
+    private static final int HUNDREDTHS_PER_MEGABIT = 2;
 
     private GatewaySettingsReader() {}
 
     /**
      * Reads a settings file.
      *
-     * @throws YuccagwException of kind SETTINGS_INVALID, naming the file, the place and the fix
+     * @throws YuccagwException of kind SETTINGS_INVALID; the message names the file, the position and the remedy
      */
     public static GatewaySettings read(Path file) throws YuccagwException {
         try {
@@ -60,42 +63,46 @@
     }
 
     /**
-     * Whether a settings file is meant for an entry on the users' platform.
+     * Returns whether a settings file is meant for an entry on the users' platform.
      *
-     * @throws YuccagwException of kind SETTINGS_INVALID when it isn't JSON
+     * @throws YuccagwException of kind SETTINGS_INVALID if the file isn't JSON
      */
-    public static boolean looksLikeOne(byte[] document) throws YuccagwException {
-        return StrictObject.parseAny(document, ErrorKind.SETTINGS_INVALID).has(PLATFORM);
+    public static boolean isPlatformSettings(byte[] document) throws YuccagwException {
+        return StrictObject.parseAny(document, ErrorKind.SETTINGS_INVALID).has(PLATFORM_FIELD);
     }
 
-    /** Reads settings from the bytes of a file; errors name no file. */
+    /**
+     * Reads settings from the contents of a file.
+     *
+     * @throws YuccagwException of kind SETTINGS_INVALID; the message doesn't name the file
+     */
     public static GatewaySettings parse(byte[] document) throws YuccagwException {
         StrictObject root = StrictObject.parse(document, ErrorKind.SETTINGS_INVALID, FIELDS);
-        StrictObject told = root.lenient(PLATFORM);
-        StrictObject listens = told.lenient("listenAddrs");
-        StrictObject bounds = told.lenient("bounds");
-        String ip = told.text("ip");
-        int peerPort = told.wholeNumbers("portRange").get(0).intValue();
+        StrictObject platform = root.lenient(PLATFORM_FIELD);
+        StrictObject listenAddresses = platform.lenient("listenAddrs");
+        StrictObject bounds = platform.lenient("bounds");
+        String ip = platform.text("ip");
+        int peerPort = platform.wholeNumbers("portRange").get(0).intValue();
         return new GatewaySettings(
-                EntryId.of(told.text("nodeName")),
-                FailureDomain.of(told.text("zone")),
-                readRegions(told),
-                address(listens, "front"),
-                address(listens, "ready"),
-                address(listens, "directory"),
+                EntryId.of(platform.text("nodeName")),
+                FailureDomain.of(platform.text("zone")),
+                readRegions(platform),
+                readAddress(listenAddresses, "front"),
+                readAddress(listenAddresses, "ready"),
+                readAddress(listenAddresses, "directory"),
                 NetworkAddress.of(ip, peerPort),
-                address(told.lenient(PLATFORM), "address"),
-                seeds(told, peerPort),
+                readAddress(platform.lenient(PLATFORM_FIELD), "address"),
+                readSeeds(platform, peerPort),
                 readBounds(bounds),
-                readCapacity(told),
+                readCapacity(platform),
                 root.optionalText("log_level").orElse("info"));
     }
 
-    private static Regions readRegions(StrictObject told) throws YuccagwException {
-        if (!told.has("zones")) {
+    private static Regions readRegions(StrictObject platform) throws YuccagwException {
+        if (!platform.has("zones")) {
             return Regions.UNKNOWN;
         }
-        StrictObject zones = told.lenient("zones");
+        StrictObject zones = platform.lenient("zones");
         ImmutableMap.Builder<FailureDomain, Region> regions = ImmutableMap.builder();
         for (String name : zones.fieldNames()) {
             regions.put(FailureDomain.of(name), Region.of(zones.text(name)));
@@ -104,60 +111,64 @@
     }
 
     /**
-     * The smaller one of what the processor and the network can carry. A lead of 60 entries needs some 5 hundredths of
-     * a core and 2.5 megabits a second, so a megabit counts as two hundredths.
+     * Returns the capacity of the VM in hundredths of a processor core: the minimum of the capacity of its processor
+     * and that of its network link. A lead of 60 entries needs about 5 hundredths of a core and 2.5 Mbit/s, so 1 Mbit/s
+     * counts as two hundredths.
      */
-    private static int readCapacity(StrictObject told) throws YuccagwException {
-        if (!told.has("limits")) {
+    private static int readCapacity(StrictObject platform) throws YuccagwException {
+        if (!platform.has("limits")) {
             return EntryIdentity.USUAL_CAPACITY;
         }
-        StrictObject limits = told.lenient("limits");
-        double share = limits.has("cpuShare") ? limits.decimal("cpuShare") : 1;
-        double speed = limits.has("cores") ? limits.decimal("cores") : 1;
-        double hundredths = share * speed * HUNDREDTHS_OF_CORE;
+        StrictObject limits = platform.lenient("limits");
+        double cpuShare = limits.has("cpuShare") ? limits.decimal("cpuShare") : 1;
+        double cores = limits.has("cores") ? limits.decimal("cores") : 1;
+        double hundredths = cpuShare * cores * HUNDREDTHS_PER_CORE;
         double megabits = limits.has("linkMbps") ? limits.decimal("linkMbps") : hundredths;
-        return (int) Math.round(Math.min(hundredths, megabits * HUNDREDTHS_OF_CORE_FOR_MEGABIT));
+        return (int) Math.round(Math.min(hundredths, megabits * HUNDREDTHS_PER_MEGABIT));
     }
 
     private static GatewaySettings.Bounds readBounds(StrictObject bounds) throws YuccagwException {
-        boolean strict = bounds.has("strictRevoke") && bounds.flag("strictRevoke");
+        boolean strictRevocation = bounds.has("strictRevoke") && bounds.flag("strictRevoke");
         return new GatewaySettings.Bounds(
                 new RetryBounds(
-                        bounds.has("retryBudgetRatio") ? bounds.decimal("retryBudgetRatio") : USUAL_RETRY_RATIO,
-                        optional(bounds, "retrySlack", USUAL_RETRY_SLACK),
-                        Duration.ofSeconds(optional(bounds, "budgetWindowS", USUAL_RETRY_WINDOW_SECONDS))),
+                        bounds.has("retryBudgetRatio")
+                                ? bounds.decimal("retryBudgetRatio")
+                                : DEFAULT_RETRY_BUDGET_RATIO,
+                        numberOrDefault(bounds, "retrySlack", DEFAULT_RETRY_SLACK),
+                        Duration.ofSeconds(numberOrDefault(bounds, "budgetWindowS", DEFAULT_RETRY_WINDOW_SECONDS))),
                 new ColdBounds(
-                        bounds.has("coldOverage") ? bounds.decimal("coldOverage") : USUAL_COLD_OVERAGE,
+                        bounds.has("coldOverage") ? bounds.decimal("coldOverage") : DEFAULT_COLD_OVERAGE,
                         bounds.has("coldSlack") ? bounds.decimal("coldSlack") : 0),
-                Duration.ofSeconds(optional(bounds, "graceS", USUAL_GRACE_SECONDS)),
-                Duration.ofMillis(optional(bounds, "leaseMs", USUAL_LEASE_MILLIS)),
-                Duration.ofMillis(optional(bounds, "versionMs", USUAL_VERSION_MILLIS)),
-                Duration.ofSeconds(
-                        Math.min(USUAL_DIRECTORY_SECONDS, optional(bounds, "ttl_max_s", USUAL_DIRECTORY_SECONDS))),
-                strict
-                        ? Optional.of(Duration.ofMillis(optional(bounds, "revokeMs", USUAL_LEASE_MILLIS)))
+                Duration.ofSeconds(numberOrDefault(bounds, "graceS", DEFAULT_STOP_GRACE_SECONDS)),
+                Duration.ofMillis(numberOrDefault(bounds, "leaseMs", DEFAULT_LEASE_MILLIS)),
+                Duration.ofMillis(numberOrDefault(bounds, "versionMs", DEFAULT_VERSION_MILLIS)),
+                Duration.ofSeconds(Math.min(
+                        MAX_DIRECTORY_TTL_SECONDS, numberOrDefault(bounds, "ttl_max_s", MAX_DIRECTORY_TTL_SECONDS))),
+                strictRevocation
+                        ? Optional.of(Duration.ofMillis(numberOrDefault(bounds, "revokeMs", DEFAULT_LEASE_MILLIS)))
                         : Optional.empty());
     }
 
-    private static long optional(StrictObject object, String field, long usual) throws YuccagwException {
-        return object.has(field) ? (long) object.decimal(field) : Math.min(usual, MOST_MILLIS);
+    private static long numberOrDefault(StrictObject object, String field, long defaultValue) throws YuccagwException {
+        return object.has(field) ? (long) object.decimal(field) : Math.min(defaultValue, MAX_DEFAULT);
     }
 
-    private static List<NetworkAddress> seeds(StrictObject told, int peerPort) throws YuccagwException {
+    private static List<NetworkAddress> readSeeds(StrictObject platform, int peerPort) throws YuccagwException {
         List<NetworkAddress> seeds = new ArrayList<>();
-        if (told.has("seedNodes")) {
-            for (String seed : told.texts("seedNodes")) {
-                seeds.add(NetworkAddress.of(parse(told, "seedNodes", seed).host(), peerPort));
+        if (platform.has("seedNodes")) {
+            for (String seed : platform.texts("seedNodes")) {
+                seeds.add(NetworkAddress.of(
+                        parseAddress(platform, "seedNodes", seed).host(), peerPort));
             }
         }
         return seeds;
     }
 
-    private static NetworkAddress address(StrictObject object, String field) throws YuccagwException {
-        return parse(object, field, object.text(field));
+    private static NetworkAddress readAddress(StrictObject object, String field) throws YuccagwException {
+        return parseAddress(object, field, object.text(field));
     }
 
-    private static NetworkAddress parse(StrictObject object, String field, String text) throws YuccagwException {
+    private static NetworkAddress parseAddress(StrictObject object, String field, String text) throws YuccagwException {
         try {
             return NetworkAddress.parse(text);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/org/yuccagw/platform/KeyValueClient.java
+++ b/src/main/java/org/yuccagw/platform/KeyValueClient.java
@@ -22,138 +22,146 @@
 import org.yuccagw.core.port.KeyValueCall.LeaseHandle;
 
 /**
- * The key-value service over HTTP. Each call is answered exactly once and never throws.
+ * HTTP client of the key-value service. Each call is answered exactly once and never throws.
  *
- * <p>What an answer promises: {@code Refused} only if no byte of the call can have reached the service, or the service
- * itself said that it did nothing (429 and 503). Everything else that isn't a clear answer is {@code Lost}: a write
- * may have taken effect. Nothing is sent twice here; the parts of the control core know what a repetition means.
+ * <p>An answer is {@code Refused} only if no byte of the call can have reached the service, or if the service stated
+ * that it did nothing (413, 429 and 503). Every other unsuccessful or unreadable answer is {@code Lost}: a write may
+ * have taken effect. The client never retries; the components of the control core decide whether a retry is safe.
  *
- * <p>Calls are counted, and those beyond {@link #CALLS_PER_SECOND} in a second are refused here: one entry that runs
- * wild must not use up the rate that all entries share.
+ * <p>Calls are counted, and calls beyond {@link #MAX_CALLS_PER_SECOND} are refused locally, so that one faulty entry
+ * can't use up the rate that all entries share.
  */
 public final class KeyValueClient {
-    /** The service gives about two thousand a second to all entries together; at rest one makes a few. */
-    public static final int CALLS_PER_SECOND = 200;
+    /** The service grants about 2,000 calls a second to all entries together; an idle entry makes a few. */
+    public static final int MAX_CALLS_PER_SECOND = 200;
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
 
-    /** The service answers within 4 ms, or some hundred milliseconds while it is slow. */
-    private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1500);
+    /** The service answers within 4 ms, or within some hundred milliseconds while it is slow. */
+    private static final Duration READ_TIMEOUT = Duration.ofMillis(1500);
 
-    private static final Duration WATCH_MARGIN = Duration.ofMillis(700);
+    private static final Duration WATCH_TIMEOUT_MARGIN = Duration.ofMillis(700);
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
-    private static final int HISTORY_GONE = 410;
-    private static final int CONDITION_FAILED = 412;
-    private static final int TOO_LARGE = 413;
-    private static final int OVER_RATE = 429;
-    private static final int UNAVAILABLE = 503;
-    private final HttpCaller caller;
+    private static final int GONE = 410;
+    private static final int PRECONDITION_FAILED = 412;
+    private static final int CONTENT_TOO_LARGE = 413;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private final HttpCaller httpClient;
     private final NetworkAddress address;
     private final CircuitBreaker breaker = new CircuitBreaker();
-    private final CallBudget budget = CallBudget.of(CALLS_PER_SECOND);
-    private final LongAdder sent = new LongAdder();
-    private final LongAdder refusedHere = new LongAdder();
+    private final CallTokenBucket tokenBucket = CallTokenBucket.of(MAX_CALLS_PER_SECOND);
+    private final LongAdder sentCalls = new LongAdder();
+    private final LongAdder refusedCalls = new LongAdder();
 
-    private KeyValueClient(HttpCaller caller, NetworkAddress address) {
-        this.caller = caller;
+    private KeyValueClient(HttpCaller httpClient, NetworkAddress address) {
+        this.httpClient = httpClient;
         this.address = address;
     }
 
-    public static KeyValueClient of(HttpCaller caller, NetworkAddress address) {
-        return new KeyValueClient(caller, address);
+    public static KeyValueClient of(HttpCaller httpClient, NetworkAddress address) {
+        return new KeyValueClient(httpClient, address);
     }
 
-    /** Sends the call; the answer comes on an I/O thread, or at once on this one if the call is refused here. */
+    /**
+     * Sends a call.
+     *
+     * @param answer called exactly once: on an I/O thread, or on the calling thread if the call is refused locally
+     */
     public void submit(KeyValueCall call, Consumer<KeyValueAnswer> answer) {
         if (call instanceof KeyValueCall.ReadPrefix read) {
             readPages(read, "", List.of(), 0, answer);
         } else {
-            send(call, KeyValueRequests.query(address, call), answer);
+            send(call, KeyValueRequests.encodeCall(address, call), answer);
         }
     }
 
-    /** Reads page after page. They are no snapshot: the first page's revision is the one from which to watch. */
+    /**
+     * Reads a list page by page. The pages are not a consistent snapshot, so the result has the revision of the first
+     * page; a watch that starts from there misses no change.
+     */
     private void readPages(
             KeyValueCall.ReadPrefix read,
             String afterKey,
-            List<Item> before,
+            List<Item> previousItems,
             long firstRevision,
             Consumer<KeyValueAnswer> answer) {
-        send(read, KeyValueRequests.page(address, read.prefix(), afterKey), page -> {
+        send(read, KeyValueRequests.encodePage(address, read.prefix(), afterKey), page -> {
             if (!(page instanceof Page found)) {
                 answer.accept(page);
                 return;
             }
-            List<Item> items = new ArrayList<>(before);
+            List<Item> items = new ArrayList<>(previousItems);
             items.addAll(found.items());
             long revision = afterKey.isEmpty() ? found.revision() : firstRevision;
             if (found.truncated() && !found.items().isEmpty()) {
-                String last = items.get(items.size() - 1).key();
-                readPages(read, last, items, revision, answer);
+                String lastKey = items.get(items.size() - 1).key();
+                readPages(read, lastKey, items, revision, answer);
             } else {
                 answer.accept(new KeyValueAnswer.Found(items, revision));
             }
         });
     }
 
-    /** One page of a list. */
+    /** One page of a list; it never leaves this class. */
     private record Page(List<Item> items, long revision, boolean truncated) implements KeyValueAnswer {}
 
-    private void send(KeyValueCall call, HttpQuery query, Consumer<KeyValueAnswer> answer) {
-        if (!breaker.permits(System.nanoTime())) {
-            refusedHere.increment();
+    private void send(KeyValueCall call, HttpQuery request, Consumer<KeyValueAnswer> answer) {
+        if (!breaker.permitsCall(System.nanoTime())) {
+            refusedCalls.increment();
             answer.accept(new KeyValueAnswer.Refused("the key-value service at " + address + " is not reachable"));
             return;
         }
-        if (!budget.take(System.nanoTime())) {
-            refusedHere.increment();
-            answer.accept(new KeyValueAnswer.Refused("over this entry's own budget of " + CALLS_PER_SECOND
+        if (!tokenBucket.tryTake(System.nanoTime())) {
+            refusedCalls.increment();
+            answer.accept(new KeyValueAnswer.Refused("over this entry's own budget of " + MAX_CALLS_PER_SECOND
                     + " calls a second to the key-value service"));
             return;
         }
-        sent.increment();
-        Duration silence =
-                call instanceof KeyValueCall.Watch watch ? watch.longestWait().plus(WATCH_MARGIN) : SILENCE_TIMEOUT;
+        sentCalls.increment();
+        Duration readTimeout =
+                call instanceof KeyValueCall.Watch watch ? watch.maxWait().plus(WATCH_TIMEOUT_MARGIN) : READ_TIMEOUT;
         try {
-            caller.stream(
-                    query.withTimeouts(CONNECT_TIMEOUT, silence),
-                    caller.worker().getIoThread(ThreadLocalRandom.current().nextInt()),
+            httpClient.stream(
+                    request.withTimeouts(CONNECT_TIMEOUT, readTimeout),
+                    httpClient.worker().getIoThread(ThreadLocalRandom.current().nextInt()),
                     new CallListener(call, answer));
         } catch (RuntimeException e) {
             answer.accept(new KeyValueAnswer.Refused("the call could not be sent: " + e));
         }
     }
 
-    /** Calls that were sent since the start. */
+    /** Returns the number of calls sent since the start. */
     public long callsSent() {
-        return sent.sum();
+        return sentCalls.sum();
     }
 
-    /** Calls that the breaker or the budget kept back since the start. */
-    public long callsRefusedHere() {
-        return refusedHere.sum();
+    /** Returns the number of calls that the circuit breaker or the token bucket has refused since the start. */
+    public long callsRefusedLocally() {
+        return refusedCalls.sum();
     }
 
-    /** Whether the service counts as down at present. */
+    /** Returns whether the service counts as down at present, which is while the circuit breaker is open. */
     public boolean isDown() {
         return breaker.isOpen();
     }
 
-    private static KeyValueAnswer read(KeyValueCall call, int status, byte[] body) throws IOException {
+    private static KeyValueAnswer readAnswer(KeyValueCall call, int status, byte[] body) throws IOException {
         return switch (status) {
-            case OVER_RATE -> new KeyValueAnswer.Refused("the key-value service is over its rate");
-            case UNAVAILABLE -> new KeyValueAnswer.Refused("the key-value service says that it did nothing");
-            case TOO_LARGE -> new KeyValueAnswer.Refused("the key-value service says that the value is too large");
-            case HISTORY_GONE -> new KeyValueAnswer.HistoryGone();
-            case NOT_FOUND -> readAbsent(call, body);
-            case CONDITION_FAILED -> new KeyValueAnswer.Conflict(currentRevision(call, JsonText.read(body)));
-            case OK -> readDone(call, JsonText.read(body));
+            case TOO_MANY_REQUESTS -> new KeyValueAnswer.Refused("the key-value service is over its rate");
+            case SERVICE_UNAVAILABLE -> new KeyValueAnswer.Refused("the key-value service says that it did nothing");
+            case CONTENT_TOO_LARGE ->
+                new KeyValueAnswer.Refused("the key-value service says that the value is too large");
+            case GONE -> new KeyValueAnswer.HistoryGone();
+            case NOT_FOUND -> readNotFound(call, body);
+            case PRECONDITION_FAILED -> new KeyValueAnswer.Conflict(currentRevision(call, JsonText.read(body)));
+            case OK -> readSuccess(call, JsonText.read(body));
             default -> new KeyValueAnswer.Lost("the key-value service answered with status " + status);
         };
     }
 
-    private static KeyValueAnswer readAbsent(KeyValueCall call, byte[] body) throws IOException {
+    private static KeyValueAnswer readNotFound(KeyValueCall call, byte[] body) throws IOException {
         if (call instanceof KeyValueCall.Read) {
             JsonNode answer = body.length == 0 ? JsonText.object() : JsonText.read(body);
             return new KeyValueAnswer.Found(
@@ -162,17 +170,17 @@
         return new KeyValueAnswer.LeaseLapsed();
     }
 
-    private static KeyValueAnswer readDone(KeyValueCall call, JsonNode answer) throws IOException {
+    private static KeyValueAnswer readSuccess(KeyValueCall call, JsonNode answer) throws IOException {
         if (call instanceof KeyValueCall.GrantLease) {
-            return new KeyValueAnswer.LeaseGranted(new LeaseHandle(number(answer, PlatformNames.LEASE)));
+            return new KeyValueAnswer.LeaseGranted(new LeaseHandle(requiredLong(answer, PlatformNames.LEASE)));
         }
         if (call instanceof KeyValueCall.RenewLease || call instanceof KeyValueCall.RevokeLease) {
             return new KeyValueAnswer.LeaseRenewed();
         }
         if (call instanceof KeyValueCall.CompareAndSwap || call instanceof KeyValueCall.Delete) {
-            return new KeyValueAnswer.Written(number(answer, PlatformNames.REVISION));
+            return new KeyValueAnswer.Written(requiredLong(answer, PlatformNames.REVISION));
         }
-        long storeRevision = number(answer, PlatformNames.STORE_REVISION);
+        long storeRevision = requiredLong(answer, PlatformNames.STORE_REVISION);
         if (call instanceof KeyValueCall.Read) {
             return new KeyValueAnswer.Found(List.of(readItem(answer)), storeRevision);
         }
@@ -183,7 +191,7 @@
         return new Page(readItems(answer.path(PlatformNames.ITEMS)), storeRevision, truncated);
     }
 
-    /** The revision of the call's key among the items that the refusal of a condition names. */
+    /** Returns the current revision of the call's key, from the items in the answer to a failed condition. */
     private static long currentRevision(KeyValueCall call, JsonNode answer) throws IOException {
         String key = call instanceof KeyValueCall.CompareAndSwap swap ? swap.key() : ((KeyValueCall.Delete) call).key();
         for (Item item : readItems(answer.path(PlatformNames.ITEMS))) {
@@ -212,8 +220,8 @@
         return new Item(item.path(PlatformNames.KEY).asText(), bytes, revision, deleted);
     }
 
-    /** A field that is missing must not read as 0: revision 0 means that the key is absent. */
-    private static long number(JsonNode object, String field) throws IOException {
+    /** Returns a mandatory number. A missing field must not read as 0: revision 0 means that the key is absent. */
+    private static long requiredLong(JsonNode object, String field) throws IOException {
         JsonNode value = object.path(field);
         if (!value.isIntegralNumber()) {
             throw new IOException("the answer has no number '" + field + "'");
@@ -221,6 +229,7 @@
         return value.asLong();
     }
 
+    /** Collects the answer to one call and completes the call once. */
     private final class CallListener implements HttpStreamListener {
         private final KeyValueCall call;
         private final Consumer<KeyValueAnswer> answer;
@@ -233,8 +242,8 @@
         }
 
         @Override
-        public void onHead(int answeredStatus, HeaderMap headers) {
-            status = answeredStatus;
+        public void onHead(int responseStatus, HeaderMap headers) {
+            status = responseStatus;
         }
 
         @Override
@@ -248,21 +257,21 @@
         public void onEnd() {
             KeyValueAnswer read;
             try {
-                read = read(call, status, body.toByteArray());
+                read = readAnswer(call, status, body.toByteArray());
             } catch (IOException e) {
                 read = new KeyValueAnswer.Lost("the key-value service's answer can't be read: " + e.getMessage());
             }
-            if (read instanceof KeyValueAnswer.Lost || status == UNAVAILABLE) {
-                breaker.failed(System.nanoTime());
+            if (read instanceof KeyValueAnswer.Lost || status == SERVICE_UNAVAILABLE) {
+                breaker.recordFailure(System.nanoTime());
             } else {
-                breaker.succeeded();
+                breaker.recordSuccess();
             }
             answer.accept(read);
         }
 
         @Override
         public void onFailure(Phase phase, boolean silent, IOException cause) {
-            breaker.failed(System.nanoTime());
+            breaker.recordFailure(System.nanoTime());
             if (phase == Phase.CONNECT) {
                 answer.accept(new KeyValueAnswer.Refused(cause.getMessage()));
             } else {
--- a/src/main/java/org/yuccagw/platform/KeyValueRequests.java
+++ b/src/main/java/org/yuccagw/platform/KeyValueRequests.java
@@ -10,17 +10,22 @@
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.port.KeyValueCall;
 
-/** Calls of the key-value service as HTTP requests. */
+/** Encodes calls to the key-value service as HTTP requests. */
 final class KeyValueRequests {
     private KeyValueRequests() {}
 
-    /** One page of the keys under a prefix, those after {@code afterKey}, empty for the first page. */
-    static HttpQuery page(NetworkAddress address, String prefix, String afterKey) {
+    /**
+     * Returns the request for one page of the keys under a prefix.
+     *
+     * @param afterKey the last key of the previous page; empty for the first page
+     */
+    static HttpQuery encodePage(NetworkAddress address, String prefix, String afterKey) {
         String after = afterKey.isEmpty() ? "" : "&after=" + escape(afterKey);
         return HttpQuery.get(address, PlatformNames.RANGE_PATH + "?pathPrefix=" + escape(prefix) + after);
     }
 
-    static HttpQuery query(NetworkAddress address, KeyValueCall call) {
+    /** Returns the request for any call but {@code ReadPrefix}, which is read in pages. */
+    static HttpQuery encodeCall(NetworkAddress address, KeyValueCall call) {
         if (call instanceof KeyValueCall.Read read) {
             return HttpQuery.get(address, PlatformNames.KEY_PATH + "?key=" + escape(read.key()));
         }
@@ -29,10 +34,10 @@
                     address,
                     PlatformNames.WATCH_PATH + "?pathPrefix=" + escape(watch.prefix()) + "&after="
                             + watch.afterRevision() + "&waitMs="
-                            + watch.longestWait().toMillis());
+                            + watch.maxWait().toMillis());
         }
         if (call instanceof KeyValueCall.CompareAndSwap swap) {
-            return transaction(address, swap);
+            return compareAndSwap(address, swap);
         }
         if (call instanceof KeyValueCall.Delete delete) {
             ObjectNode body = conditions(delete.key(), delete.expectedRevision());
@@ -54,10 +59,10 @@
                     address,
                     PlatformNames.REVOKE_PATH + revoke.lease().value());
         }
-        throw new IllegalArgumentException("no such call: " + call);
+        throw new IllegalArgumentException("unsupported call: " + call);
     }
 
-    private static HttpQuery transaction(NetworkAddress address, KeyValueCall.CompareAndSwap swap) {
+    private static HttpQuery compareAndSwap(NetworkAddress address, KeyValueCall.CompareAndSwap swap) {
         ObjectNode body = conditions(swap.key(), swap.expectedRevision());
         ArrayNode puts = body.putArray("puts");
         ObjectNode put = puts.addObject();
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformDialect.java
@@ -14,7 +14,7 @@
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.placing.PlacementDecision;
 
-/** How callers and endpoints of the platform spell requests and answers. */
+/** Reads and writes the headers and bodies by which the platform's callers and endpoints communicate with an entry. */
 public final class PlatformDialect implements Dialect {
     private PlatformDialect() {}
 
@@ -24,7 +24,7 @@
 
     @Override
     public CallerHead readHead(HeaderMap headers) throws YuccagwException {
-        return CallerHeads.read(headers);
+        return CallerHeadReader.read(headers);
     }
 
     @Override
@@ -32,43 +32,43 @@
             CallerHead head,
             Optional<WorkspaceAccess> workspace,
             PlacementDecision.Placed placed,
-            Duration left,
+            Duration remaining,
             long afterEvent) {
-        return EndpointHeads.request(head, workspace, placed, left, afterEvent);
+        return EndpointHeaders.requestHeaders(head, workspace, placed, remaining, afterEvent);
     }
 
     @Override
     public AnswerStart readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
-        return EndpointHeads.answer(status, headers, request, expected);
+        return EndpointHeaders.readAnswer(status, headers, request, expected);
     }
 
     @Override
     public HeaderMap answerHeaders(HeaderMap endpointHeaders) {
-        return EndpointHeads.forwarded(endpointHeaders);
+        return EndpointHeaders.forwardedHeaders(endpointHeaders);
     }
 
     @Override
     public String retryAfter(Duration wait) {
-        return EndpointHeads.retryAfter(wait);
+        return EndpointHeaders.retryAfter(wait);
     }
 
     @Override
     public boolean isReadiness(String path) {
-        return EntryPages.isReadiness(path);
+        return EntryResources.isReadinessPath(path);
     }
 
     @Override
     public boolean isDirectory(String path) {
-        return EntryPages.isDirectory(path);
+        return EntryResources.isDirectoryPath(path);
     }
 
     @Override
     public String domainParameter() {
-        return EntryPages.domainParameter();
+        return EntryResources.domainParameter();
     }
 
     @Override
     public String directory(List<EntryContact> entries, Duration timeToLive) {
-        return EntryPages.directory(entries, timeToLive);
+        return EntryResources.directoryAnswer(entries, timeToLive);
     }
 }
--- a/src/main/java/org/yuccagw/platform/PlatformNames.java
+++ b/src/main/java/org/yuccagw/platform/PlatformNames.java
@@ -1,14 +1,14 @@
 package org.yuccagw.platform;
 
-/** Names on the wire of the platform. Where a name says little, its comment says what it holds. */
+/** Names in the platform's protocols. A comment gives the content of a name that is not self-explanatory. */
 final class PlatformNames {
-    // ---- Headers of requests.
+    // ---- Request headers
     static final String REQUEST_ID = "Yuccagw-Request-Id";
     static final String DEADLINE = "Yuccagw-Deadline-Ms";
     static final String MODEL = "Yuccagw-Model";
-    /** Prompt tokens and most tokens of the answer, with a comma between them. */
+    /** The number of prompt tokens and the maximum number of answer tokens, separated by a comma. */
     static final String TOKEN_USAGE = "Yuccagw-Token-Usage";
-    /** Parts of the prompt; not hashes of a prefix. */
+    /** The parts of the prompt with their token counts. Despite the name, the values are not hashes of prefixes. */
     static final String PROMPT_PARTS = "Yuccagw-Prefix-Hash";
 
     static final String LENGTH_HINT = "Yuccagw-Length-Hint";
@@ -17,7 +17,7 @@
     static final String EXPECT_ENDPOINT = "Yuccagw-Expect-Instance";
     static final String EXPECT_VERSION = "Yuccagw-Expect-Version";
     static final String CACHE_SALT = "Yuccagw-Cache-Salt";
-    /** 0 is the most urgent, 9 the least. */
+    /** The urgency of a request, from 0 (most urgent) to 9 (least urgent). */
     static final String URGENCY = "Yuccagw-Request-Priority";
 
     static final String KV_FETCH = "Yuccagw-Kv-Fetch";
@@ -28,22 +28,22 @@
     static final String HOLD = "Yuccagw-Hold";
     static final String PIN = "Yuccagw-Pin-Ms";
 
-    // ---- Headers of answers.
-    /** Proves that an answer is an endpoint's own and whole. */
+    // ---- Response headers
+    /** Marks an answer as complete and produced by an endpoint itself. */
     static final String SEAL = "Yuccagw-Response-Seal";
 
     static final String NOT_RUN = "Yuccagw-Not-Executed";
     static final String ENDPOINT_ID = "Yuccagw-Instance-Id";
     static final String VERSION_RUN = "Yuccagw-Weight-Versions";
-    /** Requests a second from all entries together; a decimal number. */
+    /** The endpoint's rate limit in requests per second from all entries together; a decimal number. */
     static final String RATE_LIMIT = "Server-Limit";
-    /** 1 of an endpoint that takes no new work. */
+    /** 1 if the endpoint is leaving and accepts no new requests. */
     static final String LEAVING = "Server-Leaving";
 
-    /** Seconds, maybe with a fraction. */
+    /** Seconds, possibly with a fraction. */
     static final String RETRY_AFTER = "Retry-After";
 
-    // ---- Calls.
+    // ---- Paths
     static final String READY_PATH = "/readyz";
     static final String RESOLVE_PATH = "/resolve";
     static final String REPORT_PATH = "/report";
@@ -56,21 +56,21 @@
     static final String RENEW_PATH = "/kv-keep/";
     static final String REVOKE_PATH = "/kv-lease-end/";
 
-    // ---- Keys.
+    // ---- Keys in the key-value service
     static final String CONFIGURATION_KEY = "op/config";
     static final String WEIGHTS_KEYS = "op/version/";
-    /** Followed by the name of a failure domain; what lies there says nothing more. */
+    /** Prefix of keys that end with the name of an evacuated failure domain; the value is not used. */
     static final String EVACUATION_KEYS = "op/evacuate/";
 
     static final String ENDPOINT_KEYS = "servers/";
     static final String ENTRY_KEYS = "yuccagw/entry/";
     static final String DUTY_KEYS = "yuccagw/duty/";
 
-    // ---- Fields of the key-value service.
+    // ---- JSON fields of the key-value service
     static final String KEY = "key";
     static final String VALUE = "value";
     static final String REVISION = "revision";
-    /** The revision of the whole service, not of an item. */
+    /** The revision of the whole service, as opposed to that of an item. */
     static final String STORE_REVISION = "storeRevision";
 
     static final String LEASE = "lease";
--- a/src/main/java/org/yuccagw/platform/PlatformRecords.java
+++ b/src/main/java/org/yuccagw/platform/PlatformRecords.java
@@ -18,9 +18,15 @@
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
 
-/** The keys of the platform's key-value service, those of operators and endpoints and our own. */
+/**
+ * Encodes and decodes the records in the platform's key-value service: those of operators, of endpoints and of the
+ * entries themselves.
+ */
 public final class PlatformRecords implements KeyValueRecordCodec {
-    /** One watch over all keys costs a third of three watches, and our own keys change rarely. */
+    /**
+     * The empty prefix. One watch over all keys costs a third of three watches, and the keys that entries write change
+     * rarely.
+     */
     private static final String ALL_KEYS = "";
 
     private PlatformRecords() {}
@@ -37,20 +43,21 @@
     @Override
     public Optional<KeyValueRecord> decode(String key, byte[] value) throws YuccagwException {
         try {
-            return read(key, value);
+            return readRecord(key, value);
         } catch (IOException | IllegalArgumentException e) {
             throw ErrorKind.STATE_UNREADABLE.raiseFrom(e, key, e.getMessage());
         }
     }
 
-    private static Optional<KeyValueRecord> read(String key, byte[] value) throws IOException {
+    private static Optional<KeyValueRecord> readRecord(String key, byte[] value) throws IOException {
         if (key.equals(PlatformNames.CONFIGURATION_KEY)) {
             return Optional.of(new KeyValueRecord.Configured(DeploymentReader.read(JsonText.read(value))));
         }
         if (key.startsWith(PlatformNames.WEIGHTS_KEYS)) {
-            JsonNode named = JsonText.read(value);
+            JsonNode weights = JsonText.read(value);
             return Optional.of(new KeyValueRecord.WeightsNamed(new ModelWeights(
-                    named.required("model").asText(), named.required("version").asLong())));
+                    weights.required("model").asText(),
+                    weights.required("version").asLong())));
         }
         if (key.startsWith(PlatformNames.EVACUATION_KEYS)) {
             return Optional.of(new KeyValueRecord.DomainEvacuated(evacuatedDomain(key)));
@@ -61,14 +68,14 @@
                     new KeyValueRecord.EndpointListed(EndpointReader.readRegistration(id, JsonText.read(value))));
         }
         if (key.startsWith(PlatformNames.ENTRY_KEYS)) {
-            return Optional.of(new KeyValueRecord.EntryListed(readContact(JsonText.read(value))));
+            return Optional.of(new KeyValueRecord.EntryListed(readEntryContact(JsonText.read(value))));
         }
         if (key.startsWith(PlatformNames.DUTY_KEYS)) {
-            JsonNode held = JsonText.read(value);
+            JsonNode duty = JsonText.read(value);
             return Optional.of(new KeyValueRecord.DutyHeld(
                     key.substring(PlatformNames.DUTY_KEYS.length()),
-                    EntryId.of(held.required("holder").asText()),
-                    held.required("incarnation").asLong()));
+                    EntryId.of(duty.required("holder").asText()),
+                    duty.required("incarnation").asLong()));
         }
         return Optional.empty();
     }
@@ -120,7 +127,7 @@
         return new Entry(key, JsonText.write(value).getBytes(StandardCharsets.UTF_8));
     }
 
-    private static EntryContact readContact(JsonNode value) {
+    private static EntryContact readEntryContact(JsonNode value) {
         return new EntryContact(
                 EntryId.of(value.required("entry").asText()),
                 value.required("incarnation").asLong(),
