--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreClient.java
@@ -22,53 +22,53 @@
 import org.yuccagw.core.stores.StoreAnswer.Change;
 import org.yuccagw.core.stores.StoreCall;
 
-/** Asks cache stores for their events and lists, and frees parts there. */
-public final class StoreCaller implements ActionHandler {
+/** HTTP client of the cache stores: reads their events and contents, and frees parts of prompts in them. */
+public final class StoreClient implements ActionHandler {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration ANSWER_MARGIN = Duration.ofMillis(600);
-    private static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
-    private final HttpCaller caller;
+    private static final Duration READ_TIMEOUT_MARGIN = Duration.ofMillis(600);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(2);
+    private final HttpCaller httpClient;
 
-    private StoreCaller(HttpCaller caller) {
-        this.caller = caller;
+    private StoreClient(HttpCaller httpClient) {
+        this.httpClient = httpClient;
     }
 
-    public static StoreCaller of(HttpCaller caller) {
-        return new StoreCaller(caller);
+    public static StoreClient of(HttpCaller httpClient) {
+        return new StoreClient(httpClient);
     }
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
-        if (action instanceof StoreCall.AskChanges ask) {
-            HttpQuery query = HttpQuery.get(ask.store().address(), "/kv-events?since=" + ask.since())
-                    .withHeader("Wait-Ms", Long.toString(ask.longestWait().toMillis()))
-                    .withTimeouts(CONNECT_TIMEOUT, ask.longestWait().plus(ANSWER_MARGIN));
-            send(ask, query, input);
+        if (action instanceof StoreCall.AskChanges call) {
+            HttpQuery request = HttpQuery.get(call.store().address(), "/kv-events?since=" + call.since())
+                    .withHeader("Wait-Ms", Long.toString(call.longestWait().toMillis()))
+                    .withTimeouts(CONNECT_TIMEOUT, call.longestWait().plus(READ_TIMEOUT_MARGIN));
+            send(call, request, input);
             return true;
         }
-        if (action instanceof StoreCall.AskList ask) {
-            send(ask, listOf(ask.store()), input);
+        if (action instanceof StoreCall.AskList call) {
+            send(call, listRequest(call.store()), input);
             return true;
         }
-        if (action instanceof StoreCall.Inspect inspect) {
-            inspect(inspect, input);
+        if (action instanceof StoreCall.Inspect call) {
+            inspect(call, input);
             return true;
         }
-        if (action instanceof StoreCall.FreeParts free) {
-            free(free, input);
+        if (action instanceof StoreCall.FreeParts call) {
+            freeParts(call, input);
             return true;
         }
         return false;
     }
 
-    private static HttpQuery listOf(CacheStore store) {
-        return HttpQuery.get(store.address(), "/kv-list").withTimeouts(CONNECT_TIMEOUT, LIST_TIMEOUT);
+    private static HttpQuery listRequest(CacheStore store) {
+        return HttpQuery.get(store.address(), "/kv-list").withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
     }
 
-    private void inspect(StoreCall.Inspect inspect, ControlInput input) {
-        caller.send(listOf(inspect.store())).whenComplete((answer, failure) -> {
+    private void inspect(StoreCall.Inspect call, ControlInput input) {
+        httpClient.send(listRequest(call.store())).whenComplete((answer, failure) -> {
             Optional<StoreAnswer.Contents> contents = failure == null ? readContents(answer) : Optional.empty();
-            input.offer(new StoreAnswer.Inspected(inspect.store().id(), contents));
+            input.offer(new StoreAnswer.Inspected(call.store().id(), contents));
         });
     }
 
@@ -80,43 +80,43 @@
             JsonNode body = JsonText.read(answer.body());
             return Optional.of(new StoreAnswer.Contents(
                     body.required("bootEpoch").asLong(),
-                    readHeld(body.path("held")),
-                    readPartial(body.path("partial"))));
+                    readStoredParts(body.path("held")),
+                    readPartialParts(body.path("partial"))));
         } catch (IOException | IllegalArgumentException unreadable) {
-            // As good as no answer; whoever asked logs that and asks again.
+            // Treated like a missing answer, which the caller logs before it retries.
             return Optional.empty();
         }
     }
 
-    private void free(StoreCall.FreeParts free, ControlInput input) {
-        ObjectNode body = JsonText.object().put("bootEpoch", free.epoch());
+    private void freeParts(StoreCall.FreeParts call, ControlInput input) {
+        ObjectNode body = JsonText.object().put("bootEpoch", call.epoch());
         ArrayNode parts = body.putArray("parts");
-        free.parts().forEach(name -> parts.addArray().add(name.salt()).add(name.part()));
-        HttpQuery query = HttpQuery.json("POST", free.store().address(), "/kv-free", JsonText.write(body))
-                .withTimeouts(CONNECT_TIMEOUT, LIST_TIMEOUT);
-        caller.send(query).whenComplete((answer, failure) -> {
-            boolean done = failure == null && answer.isSuccess();
+        call.parts().forEach(name -> parts.addArray().add(name.salt()).add(name.part()));
+        HttpQuery request = HttpQuery.json("POST", call.store().address(), "/kv-free", JsonText.write(body))
+                .withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
+        httpClient.send(request).whenComplete((answer, failure) -> {
+            boolean succeeded = failure == null && answer.isSuccess();
             String detail = failure == null ? "status " + answer.status() : failure.toString();
-            input.offer(new StoreAnswer.Freed(free.store().id(), done, detail));
+            input.offer(new StoreAnswer.Freed(call.store().id(), succeeded, detail));
         });
     }
 
-    private void send(StoreCall call, HttpQuery query, ControlInput input) {
+    private void send(StoreCall call, HttpQuery request, ControlInput input) {
         StoreId store = call.store().id();
-        caller.send(query).whenComplete((answer, failure) -> {
+        httpClient.send(request).whenComplete((answer, failure) -> {
             if (failure != null) {
                 input.offer(new StoreAnswer.Silent(store, failure.toString()));
                 return;
             }
-            EndpointNotice notice = EndpointNotices.read(answer.status(), answer.headers());
+            EndpointNotice notice = EndpointNoticeReader.read(answer.status(), answer.headers());
             if (notice.saysSomething()) {
                 input.offer(new StoreAnswer.Noticed(store, notice));
             }
-            input.offer(read(call, answer));
+            input.offer(readAnswer(call, answer));
         });
     }
 
-    private static StoreAnswer read(StoreCall call, HttpAnswer answer) {
+    private static StoreAnswer readAnswer(StoreCall call, HttpAnswer answer) {
         StoreId store = call.store().id();
         if (!answer.isSuccess()) {
             return new StoreAnswer.Silent(store, "status " + answer.status());
@@ -126,7 +126,7 @@
             long epoch = body.required("bootEpoch").asLong();
             long next = body.required("nextToken").asLong();
             return call instanceof StoreCall.AskList
-                    ? new StoreAnswer.Listed(store, epoch, next, readHeld(body.path("held")))
+                    ? new StoreAnswer.Listed(store, epoch, next, readStoredParts(body.path("held")))
                     : new StoreAnswer.Changes(
                             store,
                             epoch,
@@ -139,7 +139,7 @@
         }
     }
 
-    /** An event is [number, + or -, salt, part, tokens stored now, model]. */
+    /** Reads events, each of which is an array: [number, + or -, salt, part, stored tokens, model]. */
     private static ImmutableList<Change> readChanges(JsonNode events) {
         ImmutableList.Builder<Change> changes = ImmutableList.builder();
         for (JsonNode event : events) {
@@ -153,8 +153,8 @@
         return changes.build();
     }
 
-    /** A held part is [salt, part, tokens, model]. */
-    private static ImmutableList<Change> readHeld(JsonNode held) {
+    /** Reads stored parts, each of which is an array: [salt, part, tokens, model]. */
+    private static ImmutableList<Change> readStoredParts(JsonNode held) {
         ImmutableList.Builder<Change> changes = ImmutableList.builder();
         for (JsonNode part : held) {
             changes.add(new Change(
@@ -167,8 +167,8 @@
         return changes.build();
     }
 
-    /** A partial part is [salt, part, tokens complete, tokens reserved]. */
-    private static ImmutableList<PartName> readPartial(JsonNode partial) {
+    /** Reads incomplete parts, each of which is an array: [salt, part, complete tokens, reserved tokens]. */
+    private static ImmutableList<PartName> readPartialParts(JsonNode partial) {
         ImmutableList.Builder<PartName> names = ImmutableList.builder();
         for (JsonNode part : partial) {
             names.add(new PartName(part.path(0).asText(), part.path(1).asText()));
--- a/src/main/java/org/yuccagw/platform/package-info.java
+++ b/src/main/java/org/yuccagw/platform/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The one place that knows how the users' platform spells things: headers, calls, keys, fields and words. It decodes
- * them once into types of the core and encodes on the way out. It decides nothing and keeps nothing.
+ * The adapter for the users' platform and the only package that contains the platform's names: headers, calls, keys,
+ * fields and terms. It decodes incoming data into types of the core and encodes outgoing data. It makes no
+ * decisions about requests and stores no state of the core.
  */
 package org.yuccagw.platform;
--- a/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
@@ -49,7 +49,7 @@
     private final EntryIdentity identity;
     private final Traces traces;
     private final AdminServer server;
-    private volatile Catalogue catalogue = Catalogue.none();
+    private volatile Catalogue catalogue = Catalogue.empty();
     private volatile boolean ready = true;
 
     private AdminFixture(EntrySettings settings) {
@@ -104,7 +104,7 @@
     }
 
     public void forgetCatalogue() {
-        catalogue = Catalogue.none();
+        catalogue = Catalogue.empty();
     }
 
     public static String hash(String key) {
--- a/src/test/java/org/yuccagw/adapters/peer/ControlCodecsTest.java
+++ b/src/test/java/org/yuccagw/adapters/peer/ControlCodecsTest.java
@@ -43,8 +43,8 @@
     @Test
     public void documentsOfTheCatalogueKeepTheirBytes() throws YuccagwException {
         byte[] document = {0, -1, 7};
-        CatalogueUpdate.Whole whole =
-                (CatalogueUpdate.Whole) codec.decode(codec.encode(SELF, new CatalogueUpdate.Whole(3, document)))
+        CatalogueUpdate.FullDocument whole = (CatalogueUpdate.FullDocument)
+                codec.decode(codec.encode(SELF, new CatalogueUpdate.FullDocument(3, document)))
                         .message();
         assertEquals(whole.revision(), 3);
         assertEquals(whole.document(), document);
@@ -77,7 +77,7 @@
         return new Object[][] {
             {probe()},
             {new Gossip(Gossip.Kind.TABLE, 0, Optional.empty(), ImmutableList.of())},
-            {new CatalogueUpdate.Ask(17)},
+            {new CatalogueUpdate.Request(17)},
             {new EndpointSightings(ImmutableList.of(new EndpointSightings.Leaving(EndpointId.of("assistant-3"), 8)))},
             {new ShardOwned(ShardNumber.of(3), 99)},
             {new ShardReleased(ShardNumber.of(0), 99)},
--- a/src/test/java/org/yuccagw/architecture/LayersTest.java
+++ b/src/test/java/org/yuccagw/architecture/LayersTest.java
@@ -15,14 +15,14 @@
     private JavaClasses classes;
 
     @BeforeClass
-    public void readTheClasses() {
+    public void importClasses() {
         classes = new ClassFileImporter()
                 .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                 .importPackages("org.yuccagw");
     }
 
     @Test
-    public void dependenceGoesOneWay() {
+    public void layersDependInOneDirectionOnly() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("org.yuccagw..")
                 .withOptionalLayers(true)
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void theCoreHasNoInputOrOutput() {
+    public void theCoreDoesNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAPackage(CORE)
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void theCoreHasNoThreads() {
+    public void theCoreUsesNoThreads() {
         noClasses()
                 .that()
                 .resideInAPackage(CORE)
@@ -100,7 +100,7 @@
     }
 
     @Test
-    public void theCoreHasNoClockOfItsOwn() {
+    public void theCoreReadsNoSystemClock() {
         noClasses()
                 .that()
                 .resideInAPackage(CORE)
@@ -117,7 +117,7 @@
     }
 
     @Test
-    public void theCoreHasNoRandomSourceOfItsOwn() {
+    public void theCoreCreatesNoRandomNumberGenerator() {
         noClasses()
                 .that()
                 .resideInAPackage(CORE)
--- a/src/test/java/org/yuccagw/core/admission/AdmissionTest.java
+++ b/src/test/java/org/yuccagw/core/admission/AdmissionTest.java
@@ -61,10 +61,10 @@
                 new RequestClass("interactive", 0, 1, DEADLINE, Duration.ofMinutes(1), Duration.ofSeconds(10), 1, 1);
         Map<WorkspaceId, Workspace> workspaces = Map.of(
                 LIMITED, workspace(LIMITED, limits),
-                LARGE, workspace(LARGE, Limits.none()),
-                SMALL, workspace(SMALL, Limits.none()));
+                LARGE, workspace(LARGE, Limits.unlimited()),
+                SMALL, workspace(SMALL, Limits.unlimited()));
         return Catalogue.of(
-                1, SystemLimits.usual(), Map.of("interactive", interactive), workspaces, Map.of(), List.of());
+                1, SystemLimits.defaults(), Map.of("interactive", interactive), workspaces, Map.of(), List.of());
     }
 
     private static Workspace workspace(WorkspaceId id, Limits limits) {
--- a/src/test/java/org/yuccagw/core/catalogue/CatalogueTest.java
+++ b/src/test/java/org/yuccagw/core/catalogue/CatalogueTest.java
@@ -22,41 +22,41 @@
 import org.yuccagw.core.port.KeyValueCall;
 
 public class CatalogueTest {
-    private static final Duration SECONDS = Duration.ofSeconds(5);
-    private static final Duration LONG = Duration.ofMinutes(2);
+    private static final Duration SHORT_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration LONG_TIMEOUT = Duration.ofMinutes(2);
     private static final Catalogue BASE = SampleCatalogues.ofWorkspaces(3);
 
     private ControlBench bench;
-    private List<BenchNode> nodes;
+    private List<BenchNode> entries;
 
     @BeforeMethod
     public void startFourEntriesWithACatalogue() {
         bench = ControlBench.of(11);
-        nodes = new ArrayList<>();
+        entries = new ArrayList<>();
         for (int index = 0; index < 4; index++) {
-            nodes.add(start(index));
+            entries.add(startEntry(index));
         }
         bench.runFor(Duration.ofSeconds(10));
-        assertEquals(edit(nodes.get(0), 0, BASE, "first"), new Result.Accepted(1));
-        assertTrue(bench.runUntil(() -> allAt(1), SECONDS));
+        assertEquals(applyEdit(entries.get(0), 0, BASE, "first"), new Result.Accepted(1));
+        assertTrue(bench.runUntil(() -> allAtRevision(1), SHORT_TIMEOUT));
         bench.runFor(Duration.ofSeconds(1));
     }
 
     @Test
-    public void anAcceptedEditIsInForceEverywhereWithinSeconds() {
-        assertEquals(edit(nodes.get(1), 1, limit(5), "second"), new Result.Accepted(2));
-        assertTrue(bench.runUntil(() -> allAt(2), SECONDS));
-        nodes.forEach(node -> assertEquals(limitOf(node), 5));
+    public void anAcceptedEditComesIntoForceOnAllEntriesWithinSeconds() {
+        assertEquals(applyEdit(entries.get(1), 1, catalogueWithLimit(5), "second"), new Result.Accepted(2));
+        assertTrue(bench.runUntil(() -> allAtRevision(2), SHORT_TIMEOUT));
+        entries.forEach(entry -> assertEquals(limitOf(entry), 5));
     }
 
-    // Two operators change the same limit at the same time through two entries. One sees "accepted"; the other must
-    // not overwrite it silently, and must be told which field both changed.
+    // Two operators change the same limit concurrently through two entries. If the second edit silently overwrote the
+    // accepted one, the first operator's change would be lost. The conflict must name the field that both changed.
     @Test
-    public void twoRacingEditsEndInOneAcceptanceAndOneConflictThatNamesTheField() {
+    public void twoConcurrentEditsEndInOneAcceptanceAndOneConflictThatNamesTheField() {
         List<Result> results = new ArrayList<>();
-        nodes.get(0).offer(asked(1, limit(5), "left", results));
-        nodes.get(1).offer(asked(1, limit(7), "right", results));
-        assertTrue(bench.runUntil(() -> results.size() == 2, LONG));
+        entries.get(0).offer(editRequest(1, catalogueWithLimit(5), "left", results));
+        entries.get(1).offer(editRequest(1, catalogueWithLimit(7), "right", results));
+        assertTrue(bench.runUntil(() -> results.size() == 2, LONG_TIMEOUT));
         List<Result> refused =
                 results.stream().filter(Result.Refused.class::isInstance).toList();
         assertEquals(refused.size(), 1);
@@ -69,197 +69,200 @@
                 conflict.error().getMessage());
     }
 
-    // An operator's edit takes effect, but the service's answer is lost on the way back. The operator must not be told
-    // that it failed, and it must not be applied twice.
+    // An edit takes effect, but the answer of the service is lost. The edit must not be reported as failed, and it must
+    // not be applied twice.
     @Test
-    public void anEditWhoseAnswerWasLostIsFoundAcceptedByItsId() {
-        bench.keyValue().loseAnswersOf(CatalogueTest::isEdit);
+    public void anEditWhoseAnswerIsLostIsRecognizedAsAcceptedByItsId() {
+        bench.keyValue().loseAnswersOf(CatalogueTest::isCatalogueWrite);
         List<Result> results = new ArrayList<>();
-        nodes.get(0).offer(asked(1, limit(5), "lost", results));
+        entries.get(0).offer(editRequest(1, catalogueWithLimit(5), "lost", results));
         bench.runFor(Duration.ofSeconds(1));
         bench.keyValue().loseAnswersOf(call -> false);
-        assertTrue(bench.runUntil(() -> results.size() == 1, LONG));
+        assertTrue(bench.runUntil(() -> results.size() == 1, LONG_TIMEOUT));
         assertEquals(results.get(0), new Result.Accepted(2));
-        assertEquals(edit(nodes.get(3), 1, limit(5), "lost"), new Result.Accepted(2));
+        assertEquals(applyEdit(entries.get(3), 1, catalogueWithLimit(5), "lost"), new Result.Accepted(2));
     }
 
-    // As before, but the service stays silent. The outcome is open, and the answer must say just that; the same edit
-    // sent again later resolves it, though another edit was accepted in between.
+    // The answer of the service is lost and the service stays silent, so the outcome of the edit is open and must be
+    // reported as such. A later retry with the same id determines it, even if another edit was accepted in between.
     @Test
-    public void anEditThatStaysUnansweredIsUnconfirmedAndResolvedWhenSentAgain() {
-        bench.keyValue().loseAnswersOf(CatalogueTest::isEdit);
-        Result open = edit(nodes.get(0), 1, limit(5), "open");
-        assertEquals(((Result.Refused) open).error().kind(), ErrorKind.EDIT_UNCONFIRMED);
+    public void anUnansweredEditIsUnconfirmedAndResolvedByARetry() {
+        bench.keyValue().loseAnswersOf(CatalogueTest::isCatalogueWrite);
+        Result unconfirmed = applyEdit(entries.get(0), 1, catalogueWithLimit(5), "open");
+        assertEquals(((Result.Refused) unconfirmed).error().kind(), ErrorKind.EDIT_UNCONFIRMED);
         bench.keyValue().loseAnswersOf(call -> false);
         bench.runFor(Duration.ofSeconds(30));
-        assertEquals(edit(nodes.get(2), 2, limit(6), "next"), new Result.Accepted(3));
-        assertEquals(edit(nodes.get(1), 1, limit(5), "open"), new Result.Accepted(2));
-        assertTrue(bench.runUntil(() -> allAt(3), SECONDS));
-        nodes.forEach(node -> assertEquals(limitOf(node), 6));
+        assertEquals(applyEdit(entries.get(2), 2, catalogueWithLimit(6), "next"), new Result.Accepted(3));
+        assertEquals(applyEdit(entries.get(1), 1, catalogueWithLimit(5), "open"), new Result.Accepted(2));
+        assertTrue(bench.runUntil(() -> allAtRevision(3), SHORT_TIMEOUT));
+        entries.forEach(entry -> assertEquals(limitOf(entry), 6));
     }
 
     @Test
     public void withTheServiceDownAnEditIsRefusedAndNothingChanges() {
         bench.keyValue().setDown(true);
-        Result refused = edit(nodes.get(0), 1, limit(5), "down");
+        Result refused = applyEdit(entries.get(0), 1, catalogueWithLimit(5), "down");
         assertEquals(((Result.Refused) refused).error().kind(), ErrorKind.STATE_UNAVAILABLE);
         bench.runFor(Duration.ofHours(1));
-        assertTrue(allAt(1));
-        assertTrue(nodes.stream().allMatch(CatalogueTest::isReady));
+        assertTrue(allAtRevision(1));
+        assertTrue(entries.stream().allMatch(CatalogueTest::isReady));
     }
 
-    // The service is down, and an entry's VM is replaced. Its callers would be refused although its peers have the
-    // catalogue in force: it must take it from them.
+    // An entry's VM is replaced while the service is down. Unless the entry gets the catalogue from its peers, it
+    // refuses all callers although the catalogue is in force elsewhere.
     @Test
-    public void anEntryThatRestartsWithTheServiceDownTakesTheCatalogueFromAPeer() {
+    public void anEntryThatRestartsWithTheServiceDownGetsTheCatalogueFromAPeer() {
         bench.keyValue().setDown(true);
-        nodes.get(2).kill();
-        nodes.set(2, start(2));
-        assertTrue(bench.runUntil(() -> allAt(1) && isReady(nodes.get(2)), Duration.ofSeconds(10)));
+        entries.get(2).kill();
+        entries.set(2, startEntry(2));
+        assertTrue(bench.runUntil(() -> allAtRevision(1) && isReady(entries.get(2)), Duration.ofSeconds(10)));
     }
 
-    // The service is down and every entry restarts. Nobody knows the catalogue any more. The entries must say so and
-    // take no work, rather than start with an empty catalogue, and recover alone when the service is back.
+    // All entries restart while the service is down, so none has the catalogue. They must report this and accept no
+    // requests instead of starting with an empty catalogue, and recover without intervention once the service is up.
     @Test
-    public void whenAllRestartWithTheServiceDownNothingIsInvented() {
+    public void whenAllEntriesRestartWithTheServiceDownNoneStartsWithAnEmptyCatalogue() {
         bench.keyValue().setDown(true);
-        nodes.forEach(BenchNode::kill);
+        entries.forEach(BenchNode::kill);
         for (int index = 0; index < 4; index++) {
-            nodes.set(index, start(index));
+            entries.set(index, startEntry(index));
         }
-        bench.runFor(LONG);
-        for (BenchNode node : nodes) {
-            DirectorySnapshot directory = node.state(DirectorySnapshot.class).orElseThrow();
+        bench.runFor(LONG_TIMEOUT);
+        for (BenchNode entry : entries) {
+            DirectorySnapshot directory = entry.state(DirectorySnapshot.class).orElseThrow();
             assertFalse(directory.ready());
             assertEquals(
                     directory.reason(),
                     "has no catalogue: neither the key-value service nor another entry gave one yet");
-            assertEquals(revisionOf(node), 0);
+            assertEquals(revisionOf(entry), 0);
         }
         bench.keyValue().setDown(false);
-        assertTrue(bench.runUntil(() -> allAt(1) && nodes.stream().allMatch(CatalogueTest::isReady), LONG));
+        assertTrue(bench.runUntil(
+                () -> allAtRevision(1) && entries.stream().allMatch(CatalogueTest::isReady), LONG_TIMEOUT));
     }
 
     @Test
-    public void withASlowServiceEditsAreStillAcceptedAndSpread() {
+    public void withASlowServiceEditsAreStillAcceptedAndDistributed() {
         bench.keyValue().setLatency(Duration.ofSeconds(2));
-        bench.runFor(LONG);
-        assertEquals(edit(nodes.get(0), 1, limit(5), "slow"), new Result.Accepted(2));
-        assertTrue(bench.runUntil(() -> allAt(2), SECONDS));
+        bench.runFor(LONG_TIMEOUT);
+        assertEquals(applyEdit(entries.get(0), 1, catalogueWithLimit(5), "slow"), new Result.Accepted(2));
+        assertTrue(bench.runUntil(() -> allAtRevision(2), SHORT_TIMEOUT));
     }
 
-    // The watches are silent for good, without any error, and the entry that accepted an edit can't reach its peers.
-    // The others would keep the old catalogue for ever if they trusted the watch.
+    // All watches hang without an error, and the entry that accepted an edit can't reach its peers. Entries that relied
+    // on the watch alone would keep the old catalogue indefinitely.
     @Test
-    public void aSilentWatchDoesNotHideAnEditForLong() {
+    public void aHungWatchDelaysAnEditForABoundedTime() {
         bench.keyValue().setWatchesSilent(true);
         bench.runFor(Duration.ofMinutes(1));
-        bench.cutFromAll(nodes.get(0));
-        assertEquals(edit(nodes.get(0), 1, limit(5), "unseen"), new Result.Accepted(2));
-        assertTrue(bench.runUntil(() -> allAt(2), Duration.ofSeconds(30)));
+        bench.cutFromAll(entries.get(0));
+        assertEquals(applyEdit(entries.get(0), 1, catalogueWithLimit(5), "unseen"), new Result.Accepted(2));
+        assertTrue(bench.runUntil(() -> allAtRevision(2), Duration.ofSeconds(30)));
     }
 
-    // A switch dies and one entry loses its peers and the service, but not its callers. Whatever operators change, it
-    // would go on with the old catalogue; so it stops taking work once it can't confirm it any more.
+    // A network failure separates an entry from its peers and the service, but not from its callers. It would serve an
+    // outdated catalogue after any edit, so it must stop accepting requests once it can't confirm its catalogue.
     @Test
-    public void anEntryCutOffFromEverybodyTakesNoWorkAfterTheFreshnessLimit() {
-        BenchNode alone = nodes.get(3);
-        bench.cutFromAll(alone);
-        bench.keyValue().cutOff(alone.entry());
+    public void anIsolatedEntryAcceptsNoRequestsAfterTheFreshnessLimit() {
+        BenchNode isolated = entries.get(3);
+        bench.cutFromAll(isolated);
+        bench.keyValue().cutOff(isolated.entry());
         Duration limit = BASE.system().freshnessLimit();
-        assertTrue(bench.runUntil(() -> !isReady(alone), limit.plus(SECONDS)));
-        assertEquals(edit(nodes.get(0), 1, limit(5), "meanwhile"), new Result.Accepted(2));
-        bench.runFor(LONG);
-        assertEquals(revisionOf(alone), 1);
-        assertFalse(isReady(alone));
+        assertTrue(bench.runUntil(() -> !isReady(isolated), limit.plus(SHORT_TIMEOUT)));
+        assertEquals(applyEdit(entries.get(0), 1, catalogueWithLimit(5), "meanwhile"), new Result.Accepted(2));
+        bench.runFor(LONG_TIMEOUT);
+        assertEquals(revisionOf(isolated), 1);
+        assertFalse(isReady(isolated));
         bench.healNetwork();
-        bench.keyValue().reach(alone.entry());
-        assertTrue(bench.runUntil(() -> allAt(2) && isReady(alone), Duration.ofSeconds(20)));
+        bench.keyValue().reach(isolated.entry());
+        assertTrue(bench.runUntil(() -> allAtRevision(2) && isReady(isolated), Duration.ofSeconds(20)));
     }
 
-    // An old message was on its way for long, or a confused peer sends what it had: the accepted change must not go
-    // back, not even for a moment.
+    // A delayed message, or a faulty peer, delivers an older document. An accepted change must never be reverted, not
+    // even temporarily.
     @Test
     public void anOlderDocumentNeverComesIntoForce() {
-        assertEquals(edit(nodes.get(0), 1, limit(5), "newer"), new Result.Accepted(2));
-        assertTrue(bench.runUntil(() -> allAt(2), SECONDS));
-        byte[] old = CatalogueJson.create().encode(BASE);
-        nodes.get(1).offer(new PeerReceived(nodes.get(0).entry(), new CatalogueUpdate.Whole(1, old)));
-        nodes.get(1).offer(new PeerReceived(nodes.get(0).entry(), new CatalogueUpdate.Delta(1, 2, new byte[12])));
-        assertEquals(limitOf(nodes.get(1)), 5);
+        assertEquals(applyEdit(entries.get(0), 1, catalogueWithLimit(5), "newer"), new Result.Accepted(2));
+        assertTrue(bench.runUntil(() -> allAtRevision(2), SHORT_TIMEOUT));
+        byte[] oldDocument = CatalogueJson.create().encode(BASE);
+        entries.get(1)
+                .offer(new PeerReceived(entries.get(0).entry(), new CatalogueUpdate.FullDocument(1, oldDocument)));
+        entries.get(1).offer(new PeerReceived(entries.get(0).entry(), new CatalogueUpdate.Delta(1, 2, new byte[12])));
+        assertEquals(limitOf(entries.get(1)), 5);
     }
 
     @Test
-    public void aDeltaOnAnotherBaseMakesTheReceiverAskForTheWhole() {
-        BenchNode behind = nodes.get(3);
-        bench.cutFromAll(behind);
-        bench.keyValue().cutOff(behind.entry());
+    public void aDeltaForAnotherBaseMakesTheReceiverRequestTheFullDocument() {
+        BenchNode outdated = entries.get(3);
+        bench.cutFromAll(outdated);
+        bench.keyValue().cutOff(outdated.entry());
         for (int revision = 1; revision < 5; revision++) {
             assertEquals(
-                    edit(nodes.get(0), revision, limit(revision), "edit " + revision),
+                    applyEdit(entries.get(0), revision, catalogueWithLimit(revision), "edit " + revision),
                     new Result.Accepted(revision + 1));
         }
         bench.healNetwork();
-        assertTrue(bench.runUntil(() -> revisionOf(behind) == 5, Duration.ofSeconds(20)));
+        assertTrue(bench.runUntil(() -> revisionOf(outdated) == 5, Duration.ofSeconds(20)));
     }
 
     @Test
-    public void anEarlierRevisionIsReadFromTheHistoryAndRolledBackToAsANewOne() {
-        assertEquals(edit(nodes.get(0), 1, limit(5), "change"), new Result.Accepted(2));
+    public void anEarlierRevisionIsReadFromTheHistoryAndRestoredAsANewRevision() {
+        assertEquals(applyEdit(entries.get(0), 1, catalogueWithLimit(5), "change"), new Result.Accepted(2));
         List<CatalogueRevisionRequested.Result> found = new ArrayList<>();
-        nodes.get(2).offer(new CatalogueRevisionRequested(1, found::add));
-        assertTrue(bench.runUntil(() -> !found.isEmpty(), SECONDS));
+        entries.get(2).offer(new CatalogueRevisionRequested(1, found::add));
+        assertTrue(bench.runUntil(() -> !found.isEmpty(), SHORT_TIMEOUT));
         Catalogue first = ((CatalogueRevisionRequested.Result.Found) found.get(0)).catalogue();
-        assertEquals(edit(nodes.get(2), 2, first, "back"), new Result.Accepted(3));
-        assertTrue(bench.runUntil(() -> allAt(3), SECONDS));
-        assertEquals(limitOf(nodes.get(0)), 10);
+        assertEquals(applyEdit(entries.get(2), 2, first, "back"), new Result.Accepted(3));
+        assertTrue(bench.runUntil(() -> allAtRevision(3), SHORT_TIMEOUT));
+        assertEquals(limitOf(entries.get(0)), 10);
         List<CatalogueHistoryRequested.Result> history = new ArrayList<>();
-        nodes.get(1).offer(new CatalogueHistoryRequested(history::add));
-        assertTrue(bench.runUntil(() -> !history.isEmpty(), SECONDS));
+        entries.get(1).offer(new CatalogueHistoryRequested(history::add));
+        assertTrue(bench.runUntil(() -> !history.isEmpty(), SHORT_TIMEOUT));
         List<String> edits = ((CatalogueHistoryRequested.Result.History) history.get(0))
                 .edits().stream().map(AcceptedEdit::editId).toList();
         assertEquals(edits, List.of("first", "change", "back"));
     }
 
     @Test
-    public void aCatalogueThatTheServiceCannotHoldIsRefused() {
-        Result refused = edit(nodes.get(0), 1, SampleCatalogues.ofWorkspaces(5000), "large");
+    public void aCatalogueOverTheValueLimitOfTheServiceIsRefused() {
+        Result refused = applyEdit(entries.get(0), 1, SampleCatalogues.ofWorkspaces(5000), "large");
         assertEquals(((Result.Refused) refused).error().kind(), ErrorKind.CATALOGUE_TOO_LARGE);
     }
 
-    private BenchNode start(int index) {
+    private BenchNode startEntry(int index) {
         return bench.start("entry-" + index, ControlComponents.all());
     }
 
-    private Result edit(BenchNode node, long base, Catalogue wanted, String editId) {
+    private Result applyEdit(BenchNode entry, long baseRevision, Catalogue newCatalogue, String editId) {
         List<Result> results = new ArrayList<>();
-        node.offer(asked(base, wanted, editId, results));
-        assertTrue(bench.runUntil(() -> !results.isEmpty(), LONG));
+        entry.offer(editRequest(baseRevision, newCatalogue, editId, results));
+        assertTrue(bench.runUntil(() -> !results.isEmpty(), LONG_TIMEOUT));
         return results.get(0);
     }
 
-    private static CatalogueEditRequested asked(long base, Catalogue wanted, String editId, List<Result> results) {
-        return new CatalogueEditRequested(base, wanted, editId, "mari", results::add);
+    private static CatalogueEditRequested editRequest(
+            long baseRevision, Catalogue newCatalogue, String editId, List<Result> results) {
+        return new CatalogueEditRequested(baseRevision, newCatalogue, editId, "mari", results::add);
     }
 
-    private static boolean isEdit(KeyValueCall call) {
+    private static boolean isCatalogueWrite(KeyValueCall call) {
         return call instanceof KeyValueCall.CompareAndSwap swap && swap.key().equals(CatalogueKeys.CURRENT);
     }
 
-    private static Catalogue limit(int concurrentRequests) {
+    private static Catalogue catalogueWithLimit(int concurrentRequests) {
         return SampleCatalogues.withLimit(BASE, "workspace-0", concurrentRequests);
     }
 
-    private boolean allAt(long revision) {
-        return nodes.stream().allMatch(node -> revisionOf(node) == revision);
+    private boolean allAtRevision(long revision) {
+        return entries.stream().allMatch(entry -> revisionOf(entry) == revision);
     }
 
-    private static long revisionOf(BenchNode node) {
-        return node.state(Catalogue.class).orElseThrow().revision();
+    private static long revisionOf(BenchNode entry) {
+        return entry.state(Catalogue.class).orElseThrow().revision();
     }
 
-    private static int limitOf(BenchNode node) {
-        Catalogue catalogue = node.state(Catalogue.class).orElseThrow();
+    private static int limitOf(BenchNode entry) {
+        Catalogue catalogue = entry.state(Catalogue.class).orElseThrow();
         return catalogue
                 .workspace(WorkspaceId.of("workspace-0"))
                 .orElseThrow()
@@ -267,7 +270,7 @@
                 .concurrentRequests();
     }
 
-    private static boolean isReady(BenchNode node) {
-        return node.state(DirectorySnapshot.class).orElseThrow().ready();
+    private static boolean isReady(BenchNode entry) {
+        return entry.state(DirectorySnapshot.class).orElseThrow().ready();
     }
 }
--- a/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
+++ b/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
@@ -182,7 +182,7 @@
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
         machine.onVerdict(new QuarantineRequested.Verdict.Refused(
-                ErrorKind.OVERLOADED.raise(1_000).comeBackAfter(Duration.ofSeconds(1))));
+                ErrorKind.OVERLOADED.raise(1_000).withRetryAfter(Duration.ofSeconds(1))));
         assertFalse(machine.isOver());
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 4);
         machine.onVerdict(new QuarantineRequested.Verdict.Alone(9));
--- a/src/test/java/org/yuccagw/core/routing/CacheCore.java
+++ b/src/test/java/org/yuccagw/core/routing/CacheCore.java
@@ -113,14 +113,14 @@
                 SERVICE,
                 "owner@example.org",
                 CLASS,
-                Limits.none(),
+                Limits.unlimited(),
                 "pool",
                 true,
                 Optional.of(
                         new Service.ModelSettings(WeightVersion.of(version), "", 1, 1, BLOCK_TOKENS, BYTES_PER_TOKEN)),
                 List.of());
         handle(new CatalogueChanged(Catalogue.of(
-                1, SystemLimits.usual(), Map.of(CLASS, notebook), Map.of(), Map.of(SERVICE, service), List.of())));
+                1, SystemLimits.defaults(), Map.of(CLASS, notebook), Map.of(), Map.of(SERVICE, service), List.of())));
     }
 
     public void endpoints(int count, String version) {
--- a/src/test/java/org/yuccagw/platform/CallerHeadsTest.java
+++ b/src/test/java/org/yuccagw/platform/CallerHeadReaderTest.java
@@ -16,10 +16,10 @@
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.prompt.PromptPart;
 
-public class CallerHeadsTest {
+public class CallerHeadReaderTest {
     @Test
-    public void aHeadIsReadIntoItsTypes() throws YuccagwException {
-        CallerHead head = CallerHeads.read(headers(
+    public void aHeadIsDecoded() throws YuccagwException {
+        CallerHead head = CallerHeadReader.read(headers(
                 "Yuccagw-Deadline-Ms", "5000",
                 "Authorization", "Bearer key-1",
                 "Last-Event-Id", "12",
@@ -35,12 +35,13 @@
         assertEquals(head.prompt().orElseThrow().sharedTokens(), 1210);
     }
 
-    // Two lengths end the body at two places: what lies between them would run at the endpoint as a request that
-    // nobody sent, with the rights of whoever comes next on that connection.
+    // Request smuggling: with two lengths, the gateway and the endpoint may disagree on the end of the body. The bytes
+    // in
+    // between would run as a request that no caller sent, with the rights of the next caller on that connection.
     @Test(dataProvider = "ambiguousHeads")
-    public void aHeadThatCouldMeanTwoThingsIsRefused(String[] fields) {
-        YuccagwException refused = expectThrows(YuccagwException.class, () -> CallerHeads.read(headers(fields)));
-        assertEquals(refused.kind(), ErrorKind.MALFORMED_HEAD);
+    public void anAmbiguousHeadIsRefused(String[] fields) {
+        YuccagwException error = expectThrows(YuccagwException.class, () -> CallerHeadReader.read(headers(fields)));
+        assertEquals(error.kind(), ErrorKind.MALFORMED_HEAD);
     }
 
     @DataProvider
@@ -59,8 +60,8 @@
     }
 
     @Test
-    public void whatOnlyTheSystemMaySetIsNotTakenFromCallers() throws YuccagwException {
-        HeaderMap forwarded = CallerHeads.read(headers(
+    public void headersReservedForTheGatewayAreNotForwardedFromCallers() throws YuccagwException {
+        HeaderMap forwarded = CallerHeadReader.read(headers(
                         "Authorization", "Bearer key-1",
                         "Yuccagw-Tenant", "somebody",
                         "Yuccagw-Cache-Salt", "theirs",
@@ -79,11 +80,12 @@
         assertEquals(forwarded.getFirst("Yuccagw-Request-Id"), "r1");
     }
 
-    // A caller names the headers of its prompt in Connection, which would strip them on the way: the endpoint would run
-    // another request than the one that was sent.
+    // A caller lists the headers of its prompt in the header Connection. If they were dropped as hop-by-hop headers,
+    // the
+    // endpoint would run a different request.
     @Test
-    public void aConnectionHeaderCannotStripWhatMakesTheRequest() throws YuccagwException {
-        HeaderMap forwarded = CallerHeads.read(headers(
+    public void aConnectionHeaderCannotRemoveHeadersThatDefineTheRequest() throws YuccagwException {
+        HeaderMap forwarded = CallerHeadReader.read(headers(
                         "Connection", "keep-alive, X-Hop, Yuccagw-Model, Yuccagw-Request-Id",
                         "Yuccagw-Model", "m",
                         "X-Hop", "goes"))
--- a/src/test/java/org/yuccagw/platform/EndpointHeadsTest.java
+++ b/src/test/java/org/yuccagw/platform/EndpointHeadersTest.java
@@ -11,7 +11,7 @@
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.notice.RateLimit;
 
-public class EndpointHeadsTest {
+public class EndpointHeadersTest {
     @DataProvider
     public Object[][] limits() {
         return new Object[][] {
@@ -25,13 +25,13 @@
     }
 
     @Test(dataProvider = "limits")
-    public void theRateLimitOfAnEndpointIsADecimalNumberInItsAnswers(String text, Optional<RateLimit> limit) {
+    public void theRateLimitOfAnEndpointIsReadAsADecimalNumber(String text, Optional<RateLimit> limit) {
         HeaderMap headers = new HeaderMap();
         if (text != null) {
             headers.put(new HttpString("Server-Limit"), text);
         }
         assertEquals(
-                EndpointHeads.answer(200, headers, RequestId.of("r"), EndpointId.of("e"))
+                EndpointHeaders.readAnswer(200, headers, RequestId.of("r"), EndpointId.of("e"))
                         .notice()
                         .rateLimit(),
                 limit);
--- a/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
+++ b/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
@@ -21,7 +21,7 @@
 import org.yuccagw.core.placing.ColdBounds;
 
 public class GatewaySettingsReaderTest {
-    private static final String TOLD = """
+    private static final String PLATFORM_JSON = """
             {"nodeName": "edge-1", "zone": "ulemiste", "ip": "10.1.0.19", "portRange": [7580, 7595],
              "seedNodes": ["10.1.0.19:8745", "10.2.0.13:8745"], "somethingNew": {"a": [1, 2]},
              "listenAddrs": {"front": "10.1.0.19:8749", "ready": "10.1.0.19:8741", "directory": "10.1.0.19:8747"},
@@ -29,8 +29,8 @@
              "platform": {"address": "10.200.1.7:8744", "form": "kv"}}""";
 
     @Test
-    public void whatThePlatformTellsIsReadAndWhatIsNewIsPassedOver() throws YuccagwException {
-        GatewaySettings settings = GatewaySettingsReader.parse(rendered(TOLD));
+    public void fieldsOfThePlatformAreReadAndUnknownOnesAreIgnored() throws YuccagwException {
+        GatewaySettings settings = GatewaySettingsReader.parse(renderSettings(PLATFORM_JSON));
         assertEquals(settings.callers(), NetworkAddress.of("10.1.0.19", 8749));
         assertEquals(settings.peer(), NetworkAddress.of("10.1.0.19", 7580));
         assertEquals(
@@ -41,52 +41,65 @@
 
     @Test
     public void regionsOfFailureDomainsAreRead() throws YuccagwException {
-        String told = TOLD.replace("\"bounds\":", "\"zones\": {\"a\": \"north\", \"b\": \"south\"}, \"bounds\":");
-        Regions regions = GatewaySettingsReader.parse(rendered(told)).regions();
+        String platformJson =
+                PLATFORM_JSON.replace("\"bounds\":", "\"zones\": {\"a\": \"north\", \"b\": \"south\"}, \"bounds\":");
+        Regions regions =
+                GatewaySettingsReader.parse(renderSettings(platformJson)).regions();
         assertEquals(regions.of(FailureDomain.of("b")), Optional.of(Region.of("south")));
         assertEquals(regions.of(FailureDomain.of("c")), Optional.empty());
     }
 
     @Test
     public void boundsOnColdEndpointsAreRead() throws YuccagwException {
-        String told = TOLD.replace("\"bounds\": {", "\"bounds\": {\"coldOverage\": 1.5, \"coldSlack\": 5, ");
-        assertEquals(GatewaySettingsReader.parse(rendered(told)).bounds().cold(), new ColdBounds(1.5, 5));
+        String platformJson =
+                PLATFORM_JSON.replace("\"bounds\": {", "\"bounds\": {\"coldOverage\": 1.5, \"coldSlack\": 5, ");
+        assertEquals(
+                GatewaySettingsReader.parse(renderSettings(platformJson))
+                        .bounds()
+                        .cold(),
+                new ColdBounds(1.5, 5));
     }
 
     @Test
-    public void whatAVmCanCarryIsTheSmallerOneOfItsProcessorAndItsNetwork() throws YuccagwException {
+    public void theCapacityOfAVmIsTheMinimumOfItsProcessorAndItsNetwork() throws YuccagwException {
         assertEquals(capacityOf("{\"cpuShare\": 0.75, \"cores\": 2, \"linkMbps\": 1000.0}"), 150);
         assertEquals(capacityOf("{\"cpuShare\": 0.75, \"cores\": 2, \"linkMbps\": 14.0}"), 28);
         assertEquals(capacityOf("{\"memoryMb\": 430}"), EntryIdentity.USUAL_CAPACITY);
-        assertEquals(GatewaySettingsReader.parse(rendered(TOLD)).capacity(), EntryIdentity.USUAL_CAPACITY);
+        assertEquals(
+                GatewaySettingsReader.parse(renderSettings(PLATFORM_JSON)).capacity(), EntryIdentity.USUAL_CAPACITY);
     }
 
     private static int capacityOf(String limits) throws YuccagwException {
-        String told = TOLD.replace("\"bounds\":", "\"limits\": " + limits + ", \"bounds\":");
-        return GatewaySettingsReader.parse(rendered(told)).capacity();
+        String platformJson = PLATFORM_JSON.replace("\"bounds\":", "\"limits\": " + limits + ", \"bounds\":");
+        return GatewaySettingsReader.parse(renderSettings(platformJson)).capacity();
     }
 
     @Test
-    public void aDeploymentWithoutSomeBoundsGetsUsualOnes() throws YuccagwException {
-        String fewer = TOLD.replaceAll("\"bounds\": \\{[^}]*}", "\"bounds\": {}");
-        assertEquals(GatewaySettingsReader.parse(rendered(fewer)).bounds().stopGrace(), Duration.ofSeconds(8));
+    public void missingBoundsGetDefaults() throws YuccagwException {
+        String withoutBounds = PLATFORM_JSON.replaceAll("\"bounds\": \\{[^}]*}", "\"bounds\": {}");
+        assertEquals(
+                GatewaySettingsReader.parse(renderSettings(withoutBounds))
+                        .bounds()
+                        .stopGrace(),
+                Duration.ofSeconds(8));
     }
 
     @Test
-    public void aWrongFieldIsToldWithItsPlaceAndTheFix() {
-        YuccagwException wrong = expectThrows(
+    public void aMalformedFieldIsReportedWithItsPositionAndTheRemedy() {
+        YuccagwException error = expectThrows(
                 YuccagwException.class,
-                () -> GatewaySettingsReader.parse(rendered(TOLD.replace("\"10.1.0.19:8749\"", "\"here\""))));
-        assertTrue(wrong.getMessage().contains("platform.listenAddrs.front"), wrong.getMessage());
-        assertTrue(wrong.getMessage().contains("line "), wrong.getMessage());
-        assertTrue(wrong.getMessage().contains("10.0.0.7:8080"), wrong.getMessage());
+                () -> GatewaySettingsReader.parse(
+                        renderSettings(PLATFORM_JSON.replace("\"10.1.0.19:8749\"", "\"here\""))));
+        assertTrue(error.getMessage().contains("platform.listenAddrs.front"), error.getMessage());
+        assertTrue(error.getMessage().contains("line "), error.getMessage());
+        assertTrue(error.getMessage().contains("10.0.0.7:8080"), error.getMessage());
     }
 
-    /** The template as the platform fills it in. */
-    private static byte[] rendered(String told) {
+    /** Returns the settings template of the deployment with the field that the platform fills in. */
+    private static byte[] renderSettings(String platformJson) {
         try {
             String template = Files.readString(Path.of("deploy", "settings.json"));
-            return template.replace("{{.|json}}", told).getBytes(StandardCharsets.UTF_8);
+            return template.replace("{{.|json}}", platformJson).getBytes(StandardCharsets.UTF_8);
         } catch (java.io.IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
--- a/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
+++ b/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
@@ -23,28 +23,29 @@
 import org.yuccagw.standins.keyvalue.WriteFaults;
 
 public class KeyValueClientTest {
-    private static final long LONG_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
 
     private KeyValueStandIn service;
-    private HttpCaller caller;
+    private HttpCaller httpClient;
     private KeyValueClient client;
 
     @BeforeMethod
     public void startServiceAndClient() throws IOException {
         service = KeyValueStandIn.start(KeyValueSettings.usual());
-        caller = HttpCaller.start(1);
-        client = KeyValueClient.of(caller, service.address());
+        httpClient = HttpCaller.start(1);
+        client = KeyValueClient.of(httpClient, service.address());
     }
 
     @AfterMethod(alwaysRun = true)
     public void stopBoth() {
-        caller.stop();
+        httpClient.stop();
         service.stop();
     }
 
     @Test
-    public void aWriteIsReadBackWithTheRevisionItWasGiven() throws Exception {
-        KeyValueAnswer.Written written = (KeyValueAnswer.Written) call(swap("a/b c", KeyValueCall.ABSENT, "õun"));
+    public void aWrittenValueIsReadWithTheRevisionOfTheWrite() throws Exception {
+        KeyValueAnswer.Written written =
+                (KeyValueAnswer.Written) call(compareAndSwap("a/b c", KeyValueCall.ABSENT, "õun"));
         KeyValueAnswer.Found found = (KeyValueAnswer.Found) call(new KeyValueCall.Read("a/b c"));
         assertEquals(found.items().size(), 1);
         assertEquals(found.items().get(0).revision(), written.revision());
@@ -52,14 +53,17 @@
     }
 
     @Test
-    public void aSwapOnAnotherRevisionIsAConflictThatNamesTheCurrentOne() throws Exception {
-        KeyValueAnswer.Written written = (KeyValueAnswer.Written) call(swap("key", KeyValueCall.ABSENT, "one"));
-        assertEquals(call(swap("key", KeyValueCall.ABSENT, "two")), new KeyValueAnswer.Conflict(written.revision()));
+    public void aCompareAndSwapOfAnotherRevisionIsAConflictWithTheCurrentRevision() throws Exception {
+        KeyValueAnswer.Written written =
+                (KeyValueAnswer.Written) call(compareAndSwap("key", KeyValueCall.ABSENT, "one"));
+        assertEquals(
+                call(compareAndSwap("key", KeyValueCall.ABSENT, "two")),
+                new KeyValueAnswer.Conflict(written.revision()));
         assertEquals(call(new KeyValueCall.Delete("none", 7)), new KeyValueAnswer.Conflict(KeyValueCall.ABSENT));
     }
 
     @Test
-    public void aKeyGoesWithItsLease() throws Exception {
+    public void aKeyIsDeletedWithItsLease() throws Exception {
         KeyValueAnswer.LeaseGranted granted =
                 (KeyValueAnswer.LeaseGranted) call(new KeyValueCall.GrantLease(Duration.ofMinutes(1)));
         call(new KeyValueCall.CompareAndSwap(
@@ -72,37 +76,40 @@
     }
 
     @Test
-    public void aWatchAnswersOnceSomethingIsNewer() throws Exception {
+    public void aWatchAnswersOnceAKeyHasANewerRevision() throws Exception {
         CompletableFuture<KeyValueAnswer> watched = new CompletableFuture<>();
         client.submit(new KeyValueCall.Watch("w/", 0, Duration.ofSeconds(30)), watched::complete);
-        call(swap("w/one", KeyValueCall.ABSENT, "x"));
-        KeyValueAnswer.Found found = (KeyValueAnswer.Found) watched.get(LONG_SECONDS, TimeUnit.SECONDS);
+        call(compareAndSwap("w/one", KeyValueCall.ABSENT, "x"));
+        KeyValueAnswer.Found found = (KeyValueAnswer.Found) watched.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(found.items().get(0).key(), "w/one");
     }
 
-    // The service carries out a write, and the connection breaks before the answer. Whoever takes that for a refusal
-    // writes again, or tells an operator that the edit failed though it is in force.
+    // The service performs a write, and the connection breaks before the answer. If that counted as a refusal, the
+    // write
+    // would be repeated, or an edit that is in force would be reported to its operator as failed.
     @Test
     public void aWriteWhoseAnswerIsLostIsNeverReportedAsRefused() throws Exception {
         service.order(WriteFaults.dropAnswers("lost", 1));
-        assertTrue(call(swap("lost", KeyValueCall.ABSENT, "x")) instanceof KeyValueAnswer.Lost);
+        assertTrue(call(compareAndSwap("lost", KeyValueCall.ABSENT, "x")) instanceof KeyValueAnswer.Lost);
         KeyValueAnswer.Found found = (KeyValueAnswer.Found) call(new KeyValueCall.Read("lost"));
         assertEquals(found.items().size(), 1);
     }
 
     @Test
-    public void aWatchFromBeforeTheKeptHistoryIsToldSo() throws Exception {
-        KeyValueAnswer.Written first = (KeyValueAnswer.Written) call(swap("h/1", KeyValueCall.ABSENT, "x"));
-        call(swap("h/2", KeyValueCall.ABSENT, "x"));
+    public void aWatchFromBeforeTheRetainedHistoryIsAnsweredWithHistoryGone() throws Exception {
+        KeyValueAnswer.Written first = (KeyValueAnswer.Written) call(compareAndSwap("h/1", KeyValueCall.ABSENT, "x"));
+        call(compareAndSwap("h/2", KeyValueCall.ABSENT, "x"));
         service.compact();
         assertEquals(
                 call(new KeyValueCall.Watch("h/", first.revision(), Duration.ofMillis(20))),
                 new KeyValueAnswer.HistoryGone());
     }
 
-    // A service with many endpoints answers a list in pages. Whoever takes the first page for all drops the others.
+    // The service returns long lists in pages. If the first page counted as the complete list, all other endpoints
+    // would
+    // be dropped.
     @Test
-    public void aListOfManyPagesIsReadToItsEnd() throws Exception {
+    public void allPagesOfAListAreRead() throws Exception {
         for (int index = 0; index < 1_200; index++) {
             service.put(String.format("many/%04d", index), new byte[] {1});
         }
@@ -110,45 +117,45 @@
         assertEquals(found.items().size(), 1_200);
     }
 
-    // The service is gone. Each call would wait for its timeout, and a thousand entries would knock at its door the
-    // moment that it tries to come back.
+    // The service is down. Without a circuit breaker each call would wait for its timeout, and a thousand entries would
+    // overload the service as soon as it restarts.
     @Test
-    public void whileTheServiceIsGoneFewCallsAreSentAndItIsFoundAgain() throws Exception {
+    public void whileTheServiceIsDownFewCallsAreSentAndItsRecoveryIsDetected() throws Exception {
         service.order(new ServiceFaults(true, false, 0));
         for (int attempt = 0; attempt < 50; attempt++) {
             KeyValueAnswer answer = call(new KeyValueCall.Read("key"));
             assertTrue(answer instanceof KeyValueAnswer.Refused || answer instanceof KeyValueAnswer.Lost);
         }
         assertTrue(client.isDown());
-        assertTrue(client.callsRefusedHere() > client.callsSent(), client.callsSent() + " were sent");
+        assertTrue(client.callsRefusedLocally() > client.callsSent(), client.callsSent() + " were sent");
         service.order(ServiceFaults.none());
         Awaitility.await()
-                .atMost(Duration.ofSeconds(LONG_SECONDS))
+                .atMost(Duration.ofSeconds(TIMEOUT_SECONDS))
                 .until(() -> call(new KeyValueCall.Read("key")) instanceof KeyValueAnswer.Found);
         assertFalse(client.isDown());
     }
 
     @Test
-    public void callsOverTheEntrysOwnBudgetAreRefusedHere() throws Exception {
-        int asked = 3 * KeyValueClient.CALLS_PER_SECOND;
-        CompletableFuture<?>[] answers = new CompletableFuture<?>[asked];
-        for (int index = 0; index < asked; index++) {
+    public void callsOverTheEntrysRateLimitAreRefusedLocally() throws Exception {
+        int callCount = 3 * KeyValueClient.MAX_CALLS_PER_SECOND;
+        CompletableFuture<?>[] answers = new CompletableFuture<?>[callCount];
+        for (int index = 0; index < callCount; index++) {
             CompletableFuture<KeyValueAnswer> answer = new CompletableFuture<>();
             client.submit(new KeyValueCall.Read("key"), answer::complete);
             answers[index] = answer;
         }
-        CompletableFuture.allOf(answers).get(LONG_SECONDS, TimeUnit.SECONDS);
-        assertTrue(client.callsRefusedHere() > 0);
-        assertEquals(client.callsSent() + client.callsRefusedHere(), asked);
+        CompletableFuture.allOf(answers).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(client.callsRefusedLocally() > 0);
+        assertEquals(client.callsSent() + client.callsRefusedLocally(), callCount);
     }
 
     private KeyValueAnswer call(KeyValueCall call) throws Exception {
         CompletableFuture<KeyValueAnswer> answer = new CompletableFuture<>();
         client.submit(call, answer::complete);
-        return answer.get(LONG_SECONDS, TimeUnit.SECONDS);
+        return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private static KeyValueCall swap(String key, long revision, String value) {
+    private static KeyValueCall compareAndSwap(String key, long revision, String value) {
         return new KeyValueCall.CompareAndSwap(key, revision, value.getBytes(StandardCharsets.UTF_8), Optional.empty());
     }
 }
--- a/src/test/java/org/yuccagw/platform/StoreCallerTest.java
+++ b/src/test/java/org/yuccagw/platform/StoreClientTest.java
@@ -32,50 +32,50 @@
 import org.yuccagw.standins.http.StandInJson;
 import org.yuccagw.standins.http.StandInServer;
 
-/** The calls to a managed cache store over a real socket, against a store that holds a few parts. */
-public class StoreCallerTest {
-    private static final long LONG_SECONDS = 60;
+/** Tests the client of managed cache stores over a socket, against a stand-in that stores a few parts. */
+public class StoreClientTest {
+    private static final long TIMEOUT_SECONDS = 60;
     private static final int CONFLICT = 409;
 
     private final LinkedBlockingQueue<ControlEvent> answers = new LinkedBlockingQueue<>();
-    private final Map<PartName, Integer> held = new LinkedHashMap<>();
-    private final Map<PartName, Integer> partial = new LinkedHashMap<>();
+    private final Map<PartName, Integer> storedParts = new LinkedHashMap<>();
+    private final Map<PartName, Integer> incompleteParts = new LinkedHashMap<>();
     private long epoch;
     private StandInServer server;
-    private HttpCaller caller;
-    private StoreCaller calls;
+    private HttpCaller httpClient;
+    private StoreClient client;
     private CacheStore store;
 
     @BeforeMethod
     public void startTheStore() throws IOException {
         answers.clear();
-        held.clear();
-        partial.clear();
+        storedParts.clear();
+        incompleteParts.clear();
         epoch = 7;
-        held.put(new PartName("s.1", "aa"), 800);
-        held.put(new PartName("s.2", "bb"), 410);
-        partial.put(new PartName("s.1", "cc"), 128);
+        storedParts.put(new PartName("s.1", "aa"), 800);
+        storedParts.put(new PartName("s.2", "bb"), 410);
+        incompleteParts.put(new PartName("s.1", "cc"), 128);
         server = StandInServer.create("store")
-                .on("GET", "/kv-events", this::tellEvents)
-                .on("GET", "/kv-list", call -> call.reply(list()))
-                .on("POST", "/kv-free", this::free)
+                .on("GET", "/kv-events", this::replyWithEvents)
+                .on("GET", "/kv-list", call -> call.reply(listBody()))
+                .on("POST", "/kv-free", this::freeParts)
                 .listen(0);
-        caller = HttpCaller.start(1);
-        calls = StoreCaller.of(caller);
+        httpClient = HttpCaller.start(1);
+        client = StoreClient.of(httpClient);
         store = new CacheStore(
                 StoreId.of("store"), server.address(), FailureDomain.of("a"), 10_000, 1_000, 12, true, 1);
     }
 
     @AfterMethod(alwaysRun = true)
     public void stopAll() {
-        caller.stop();
+        httpClient.stop();
         server.stop();
     }
 
     @Test
-    public void eventsTellPartsEpochAndClock() throws Exception {
+    public void eventsContainPartsEpochAndClock() throws Exception {
         StoreAnswer.Changes changes =
-                (StoreAnswer.Changes) ask(new StoreCall.AskChanges(store, 118, Duration.ofMillis(200)));
+                (StoreAnswer.Changes) perform(new StoreCall.AskChanges(store, 118, Duration.ofMillis(200)));
         assertEquals(changes.epoch(), 7);
         assertEquals(changes.next(), 120);
         assertEquals(changes.clockMillis(), 55_000);
@@ -86,8 +86,8 @@
     }
 
     @Test
-    public void whatFillsAStoreIsItsWholeAndItsPartialParts() throws Exception {
-        StoreAnswer.Inspected inspected = (StoreAnswer.Inspected) ask(new StoreCall.Inspect(store));
+    public void theContentsOfAStoreAreItsCompleteAndItsPartialParts() throws Exception {
+        StoreAnswer.Inspected inspected = (StoreAnswer.Inspected) perform(new StoreCall.Inspect(store));
         assertEquals(
                 inspected.contents().orElseThrow(),
                 new StoreAnswer.Contents(
@@ -99,40 +99,41 @@
     }
 
     @Test
-    public void partsThatAreNamedAreFreedAndNoOthers() throws Exception {
-        ImmutableList<PartName> useless = ImmutableList.of(new PartName("s.1", "aa"), new PartName("s.1", "cc"));
-        assertTrue(((StoreAnswer.Freed) ask(new StoreCall.FreeParts(store, 7, useless))).done());
-        assertEquals(held.keySet(), Set.of(new PartName("s.2", "bb")));
-        assertTrue(partial.isEmpty());
+    public void onlyTheNamedPartsAreFreed() throws Exception {
+        ImmutableList<PartName> unusedParts = ImmutableList.of(new PartName("s.1", "aa"), new PartName("s.1", "cc"));
+        assertTrue(((StoreAnswer.Freed) perform(new StoreCall.FreeParts(store, 7, unusedParts))).done());
+        assertEquals(storedParts.keySet(), Set.of(new PartName("s.2", "bb")));
+        assertTrue(incompleteParts.isEmpty());
     }
 
-    // The store restarts between the look at it and the call that frees. What lies there now was saved since, and an
-    // engine may be reading it.
+    // The store restarts between the inspection and the call that frees parts. Its present contents were saved after
+    // the
+    // restart, and an engine may be reading them.
     @Test
-    public void nothingIsFreedInAStoreThatHasRestarted() throws Exception {
+    public void noPartIsFreedInAStoreThatHasRestarted() throws Exception {
         epoch = 8;
-        ImmutableList<PartName> useless = ImmutableList.of(new PartName("s.1", "aa"));
-        assertFalse(((StoreAnswer.Freed) ask(new StoreCall.FreeParts(store, 7, useless))).done());
-        assertEquals(held.size(), 2);
+        ImmutableList<PartName> unusedParts = ImmutableList.of(new PartName("s.1", "aa"));
+        assertFalse(((StoreAnswer.Freed) perform(new StoreCall.FreeParts(store, 7, unusedParts))).done());
+        assertEquals(storedParts.size(), 2);
     }
 
     @Test
-    public void aStoreThatIsAwayIsToldAsSuch() throws Exception {
+    public void anUnreachableStoreIsReportedAsSuch() throws Exception {
         server.order(new ServiceFaults(true, false, 0));
-        assertTrue(((StoreAnswer.Inspected) ask(new StoreCall.Inspect(store)))
+        assertTrue(((StoreAnswer.Inspected) perform(new StoreCall.Inspect(store)))
                 .contents()
                 .isEmpty());
-        assertFalse(((StoreAnswer.Freed) ask(new StoreCall.FreeParts(store, 7, ImmutableList.of()))).done());
+        assertFalse(((StoreAnswer.Freed) perform(new StoreCall.FreeParts(store, 7, ImmutableList.of()))).done());
     }
 
-    private ControlEvent ask(StoreCall call) throws InterruptedException {
-        assertTrue(calls.perform(call, answers::add));
-        return answers.poll(LONG_SECONDS, TimeUnit.SECONDS);
+    private ControlEvent perform(StoreCall call) throws InterruptedException {
+        assertTrue(client.perform(call, answers::add));
+        return answers.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    // ---- The store.
+    // ---- Stand-in for the store
 
-    private void tellEvents(StandInCall call) {
+    private void replyWithEvents(StandInCall call) {
         assertEquals(call.parameter("since").orElseThrow(), "118");
         assertEquals(call.header("Wait-Ms"), "200");
         ObjectNode body = StandInJson.object();
@@ -143,28 +144,36 @@
         call.reply(body);
     }
 
-    private ObjectNode list() {
+    private ObjectNode listBody() {
         ObjectNode body = StandInJson.object();
         body.put("bootEpoch", epoch).put("nextToken", 120);
-        ArrayNode whole = body.putArray("held");
-        held.forEach((name, tokens) ->
-                whole.addArray().add(name.salt()).add(name.part()).add(tokens).add("model"));
-        ArrayNode broken = body.putArray("partial");
-        partial.forEach((name, tokens) ->
-                broken.addArray().add(name.salt()).add(name.part()).add(tokens).add(2 * tokens));
+        ArrayNode completeParts = body.putArray("held");
+        storedParts.forEach((name, tokens) -> completeParts
+                .addArray()
+                .add(name.salt())
+                .add(name.part())
+                .add(tokens)
+                .add("model"));
+        ArrayNode partialParts = body.putArray("partial");
+        incompleteParts.forEach((name, tokens) -> partialParts
+                .addArray()
+                .add(name.salt())
+                .add(name.part())
+                .add(tokens)
+                .add(2 * tokens));
         return body;
     }
 
-    private void free(StandInCall call) {
-        JsonNode asked = call.json();
-        if (asked.path("bootEpoch").asLong() != epoch) {
+    private void freeParts(StandInCall call) {
+        JsonNode request = call.json();
+        if (request.path("bootEpoch").asLong() != epoch) {
             call.replyError(CONFLICT, "restarted", "another epoch");
             return;
         }
-        for (JsonNode part : asked.path("parts")) {
+        for (JsonNode part : request.path("parts")) {
             PartName name = new PartName(part.path(0).asText(), part.path(1).asText());
-            held.remove(name);
-            partial.remove(name);
+            storedParts.remove(name);
+            incompleteParts.remove(name);
         }
         call.reply(StandInJson.object());
     }
