--- a/src/main/java/org/yuccagw/core/catalogue/CatalogueComponent.java
+++ b/src/main/java/org/yuccagw/core/catalogue/CatalogueComponent.java
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public Optional<String> reasonAgainst(long nowNanos) {
+    public Optional<String> reasonNotReady(long nowNanos) {
         if (current.revision() == 0) {
             return Optional.of(
                     serviceHasNoCatalogue
--- a/src/main/java/org/yuccagw/platform/EndpointHeaders.java
+++ b/src/main/java/org/yuccagw/platform/EndpointHeaders.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.yuccagw.adapters.serving.CallerHead;
 import org.yuccagw.core.deployment.WorkspaceAccess;
-import org.yuccagw.core.forward.AnswerStart;
+import org.yuccagw.core.forward.EndpointAnswerHead;
 import org.yuccagw.core.forward.ForwardRequest;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
@@ -40,7 +40,7 @@
             Duration remaining,
             long afterEvent) {
         HeaderMap headers = new HeaderMap();
-        head.forwarded().forEach(values -> headers.putAll(values.getHeaderName(), values));
+        head.forwardedHeaders().forEach(values -> headers.putAll(values.getHeaderName(), values));
         putHeader(headers, PlatformNames.DEADLINE, Long.toString(Math.max(1, remaining.toMillis())));
         putHeader(headers, PlatformNames.EXPECT_ENDPOINT, placed.endpoint().id().value());
         workspace.ifPresent(access ->
@@ -83,13 +83,13 @@
     }
 
     /** Reads the status and headers that determine whether and how an answer is used. */
-    static AnswerStart readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
+    static EndpointAnswerHead readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
         String requestId = headers.getFirst(PlatformNames.REQUEST_ID);
         String endpoint = headers.getFirst(PlatformNames.ENDPOINT_ID);
         boolean framed = headers.contains(Headers.CONTENT_LENGTH)
                 || headers.contains(Headers.TRANSFER_ENCODING)
                 || "close".equalsIgnoreCase(headers.getFirst(Headers.CONNECTION));
-        return new AnswerStart(
+        return new EndpointAnswerHead(
                 status,
                 request.value().equals(requestId),
                 headers.contains(PlatformNames.SEAL),
--- a/src/main/java/org/yuccagw/platform/EndpointNoticeReader.java
+++ b/src/main/java/org/yuccagw/platform/EndpointNoticeReader.java
@@ -6,7 +6,7 @@
 import io.undertow.util.HeaderValues;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
 import org.yuccagw.core.notice.NoticeReceived;
@@ -37,7 +37,7 @@
         return new EndpointNotice(
                 limit.isPresent() ? RateLimit.of(limit.getAsDouble()) : Optional.empty(),
                 TRUE.equals(trimmedValue(headers, PlatformNames.LEAVING)),
-                retryAfter.isPresent() ? EndpointNotice.backOff(retryAfter.getAsDouble()) : Optional.empty(),
+                retryAfter.isPresent() ? EndpointNotice.backOffOfSeconds(retryAfter.getAsDouble()) : Optional.empty(),
                 unknownHeaders(headers));
     }
 
@@ -45,12 +45,12 @@
      * Returns the notice in the answer to an internal call. Empty if the answer contains none, or if an endpoint other
      * than the called one answered.
      */
-    static Optional<NoticeReceived> readCallAnswer(EndpointIncarnation endpoint, HttpAnswer answer) {
+    static Optional<NoticeReceived> readCallAnswer(EndpointIncarnation endpoint, HttpResponse answer) {
         String answeringId = trimmedValue(answer.headers(), PlatformNames.ENDPOINT_ID);
         boolean fromOtherEndpoint = !answeringId.isEmpty()
                 && !answeringId.equals(endpoint.endpoint().value());
         EndpointNotice notice = read(answer.status(), answer.headers());
-        boolean hasNotice = !fromOtherEndpoint && notice.saysSomething();
+        boolean hasNotice = !fromOtherEndpoint && notice.hasContent();
         return hasNotice ? Optional.of(new NoticeReceived(endpoint, notice, false)) : Optional.empty();
     }
 
--- a/src/main/java/org/yuccagw/platform/EngineClient.java
+++ b/src/main/java/org/yuccagw/platform/EngineClient.java
@@ -5,9 +5,9 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.LongSupplier;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
@@ -30,17 +30,17 @@
     /** Load mode in which running requests continue with the newer weights. */
     private static final String RETAIN_RUNNING_REQUESTS = "retain";
 
-    private final HttpCaller httpClient;
+    private final HttpClient httpClient;
     private final EntryId self;
     private final LongSupplier nanoTime;
 
-    private EngineClient(HttpCaller httpClient, EntryId self, LongSupplier nanoTime) {
+    private EngineClient(HttpClient httpClient, EntryId self, LongSupplier nanoTime) {
         this.httpClient = httpClient;
         this.self = self;
         this.nanoTime = nanoTime;
     }
 
-    public static EngineClient of(HttpCaller httpClient, EntryId self, LongSupplier nanoTime) {
+    public static EngineClient of(HttpClient httpClient, EntryId self, LongSupplier nanoTime) {
         return new EngineClient(httpClient, self, nanoTime);
     }
 
@@ -58,7 +58,8 @@
     }
 
     private void requestState(EngineCall.AskState call, ControlInput input) {
-        HttpQuery request = prepareRequest(call, HttpQuery.get(call.endpoint().address(), PlatformNames.REPORT_PATH));
+        HttpRequest request =
+                prepareRequest(call, HttpRequest.get(call.endpoint().address(), PlatformNames.REPORT_PATH));
         httpClient.send(request).whenComplete((answer, failure) -> {
             offerNotice(call, answer, input);
             Optional<EngineState> state = failure == null ? readState(answer) : Optional.empty();
@@ -66,7 +67,7 @@
         });
     }
 
-    private static Optional<EngineState> readState(HttpAnswer answer) {
+    private static Optional<EngineState> readState(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return Optional.empty();
         }
@@ -92,14 +93,14 @@
         });
     }
 
-    private static void offerNotice(EngineCall call, HttpAnswer answer, ControlInput input) {
+    private static void offerNotice(EngineCall call, HttpResponse answer, ControlInput input) {
         if (answer != null) {
             EndpointNoticeReader.readCallAnswer(call.endpoint().incarnation(), answer)
                     .ifPresent(input::offer);
         }
     }
 
-    private HttpQuery orderRequest(EngineCall.OrderWeights order) {
+    private HttpRequest orderRequest(EngineCall.OrderWeights order) {
         ObjectNode body = JsonText.object()
                 .put("op", "version")
                 .put("model", order.weights().model())
@@ -108,16 +109,16 @@
                 .put("holder", self.value())
                 .put("fence", order.fence())
                 .put("expected", order.expectedOrders());
-        HttpQuery request =
-                HttpQuery.json("POST", order.endpoint().address(), PlatformNames.ORDER_PATH, JsonText.write(body));
+        HttpRequest request =
+                HttpRequest.json("POST", order.endpoint().address(), PlatformNames.ORDER_PATH, JsonText.write(body));
         return prepareRequest(order, request);
     }
 
-    private static HttpQuery prepareRequest(EngineCall call, HttpQuery request) {
+    private static HttpRequest prepareRequest(EngineCall call, HttpRequest request) {
         return request.withHeader(
                         PlatformNames.EXPECT_ENDPOINT, call.endpoint().id().value())
                 .withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT)
-                .overFreshConnection();
+                .withNewConnection();
     }
 
     private static Outcome outcome(int status) {
--- a/src/main/java/org/yuccagw/platform/EntryResources.java
+++ b/src/main/java/org/yuccagw/platform/EntryResources.java
@@ -25,7 +25,7 @@
     }
 
     /** Returns the body of the directory's answer: the callers' addresses of entries, and how long it may be cached. */
-    static String directoryAnswer(List<EntryContact> entries, Duration timeToLive) {
+    static String directoryBody(List<EntryContact> entries, Duration timeToLive) {
         ObjectNode answer = JsonText.object();
         ArrayNode addresses = answer.putArray("addresses");
         entries.forEach(entry -> addresses.add(entry.callers().toString()));
--- a/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
+++ b/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
@@ -68,7 +68,8 @@
      * @throws YuccagwException of kind SETTINGS_INVALID if the file isn't JSON
      */
     public static boolean isPlatformSettings(byte[] document) throws YuccagwException {
-        return StrictObject.parseAny(document, ErrorKind.SETTINGS_INVALID).has(PLATFORM_FIELD);
+        return StrictObject.parseWithAnyFields(document, ErrorKind.SETTINGS_INVALID)
+                .has(PLATFORM_FIELD);
     }
 
     /**
@@ -78,9 +79,9 @@
      */
     public static GatewaySettings parse(byte[] document) throws YuccagwException {
         StrictObject root = StrictObject.parse(document, ErrorKind.SETTINGS_INVALID, FIELDS);
-        StrictObject platform = root.lenient(PLATFORM_FIELD);
-        StrictObject listenAddresses = platform.lenient("listenAddrs");
-        StrictObject bounds = platform.lenient("bounds");
+        StrictObject platform = root.objectWithAnyFields(PLATFORM_FIELD);
+        StrictObject listenAddresses = platform.objectWithAnyFields("listenAddrs");
+        StrictObject bounds = platform.objectWithAnyFields("bounds");
         String ip = platform.text("ip");
         int peerPort = platform.wholeNumbers("portRange").get(0).intValue();
         return new GatewaySettings(
@@ -91,7 +92,7 @@
                 readAddress(listenAddresses, "ready"),
                 readAddress(listenAddresses, "directory"),
                 NetworkAddress.of(ip, peerPort),
-                readAddress(platform.lenient(PLATFORM_FIELD), "address"),
+                readAddress(platform.objectWithAnyFields(PLATFORM_FIELD), "address"),
                 readSeeds(platform, peerPort),
                 readBounds(bounds),
                 readCapacity(platform),
@@ -102,7 +103,7 @@
         if (!platform.has("zones")) {
             return Regions.UNKNOWN;
         }
-        StrictObject zones = platform.lenient("zones");
+        StrictObject zones = platform.objectWithAnyFields("zones");
         ImmutableMap.Builder<FailureDomain, Region> regions = ImmutableMap.builder();
         for (String name : zones.fieldNames()) {
             regions.put(FailureDomain.of(name), Region.of(zones.text(name)));
@@ -119,7 +120,7 @@
         if (!platform.has("limits")) {
             return EntryIdentity.USUAL_CAPACITY;
         }
-        StrictObject limits = platform.lenient("limits");
+        StrictObject limits = platform.objectWithAnyFields("limits");
         double cpuShare = limits.has("cpuShare") ? limits.decimal("cpuShare") : 1;
         double cores = limits.has("cores") ? limits.decimal("cores") : 1;
         double hundredths = cpuShare * cores * HUNDREDTHS_PER_CORE;
--- a/src/main/java/org/yuccagw/platform/KeyValueClient.java
+++ b/src/main/java/org/yuccagw/platform/KeyValueClient.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.port.KeyValueAnswer;
@@ -48,19 +48,19 @@
     private static final int CONTENT_TOO_LARGE = 413;
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
-    private final HttpCaller httpClient;
+    private final HttpClient httpClient;
     private final NetworkAddress address;
     private final CircuitBreaker breaker = new CircuitBreaker();
     private final CallTokenBucket tokenBucket = CallTokenBucket.of(MAX_CALLS_PER_SECOND);
     private final LongAdder sentCalls = new LongAdder();
     private final LongAdder refusedCalls = new LongAdder();
 
-    private KeyValueClient(HttpCaller httpClient, NetworkAddress address) {
+    private KeyValueClient(HttpClient httpClient, NetworkAddress address) {
         this.httpClient = httpClient;
         this.address = address;
     }
 
-    public static KeyValueClient of(HttpCaller httpClient, NetworkAddress address) {
+    public static KeyValueClient of(HttpClient httpClient, NetworkAddress address) {
         return new KeyValueClient(httpClient, address);
     }
 
@@ -107,7 +107,7 @@
     /** One page of a list; it never leaves this class. */
     private record Page(List<Item> items, long revision, boolean truncated) implements KeyValueAnswer {}
 
-    private void send(KeyValueCall call, HttpQuery request, Consumer<KeyValueAnswer> answer) {
+    private void send(KeyValueCall call, HttpRequest request, Consumer<KeyValueAnswer> answer) {
         if (!breaker.permitsCall(System.nanoTime())) {
             refusedCalls.increment();
             answer.accept(new KeyValueAnswer.Refused("the key-value service at " + address + " is not reachable"));
@@ -230,7 +230,7 @@
     }
 
     /** Collects the answer to one call and completes the call once. */
-    private final class CallListener implements HttpStreamListener {
+    private final class CallListener implements HttpResponseListener {
         private final KeyValueCall call;
         private final Consumer<KeyValueAnswer> answer;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformWireProtocol.java
@@ -5,25 +5,25 @@
 import java.util.List;
 import java.util.Optional;
 import org.yuccagw.adapters.serving.CallerHead;
-import org.yuccagw.adapters.serving.Dialect;
+import org.yuccagw.adapters.serving.WireProtocol;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
-import org.yuccagw.core.forward.AnswerStart;
+import org.yuccagw.core.forward.EndpointAnswerHead;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.placing.PlacementDecision;
 
 /** Reads and writes the headers and bodies by which the platform's callers and endpoints communicate with an entry. */
-public final class PlatformDialect implements Dialect {
-    private PlatformDialect() {}
+public final class PlatformWireProtocol implements WireProtocol {
+    private PlatformWireProtocol() {}
 
-    public static PlatformDialect create() {
-        return new PlatformDialect();
+    public static PlatformWireProtocol create() {
+        return new PlatformWireProtocol();
     }
 
     @Override
-    public CallerHead readHead(HeaderMap headers) throws YuccagwException {
+    public CallerHead readCallerHead(HeaderMap headers) throws YuccagwException {
         return CallerHeadReader.read(headers);
     }
 
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public AnswerStart readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
+    public EndpointAnswerHead readAnswerStart(int status, HeaderMap headers, RequestId request, EndpointId expected) {
         return EndpointHeaders.readAnswer(status, headers, request, expected);
     }
 
@@ -48,17 +48,17 @@
     }
 
     @Override
-    public String retryAfter(Duration wait) {
+    public String formatRetryAfter(Duration wait) {
         return EndpointHeaders.retryAfter(wait);
     }
 
     @Override
-    public boolean isReadiness(String path) {
+    public boolean isReadinessPath(String path) {
         return EntryResources.isReadinessPath(path);
     }
 
     @Override
-    public boolean isDirectory(String path) {
+    public boolean isDirectoryPath(String path) {
         return EntryResources.isDirectoryPath(path);
     }
 
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public String directory(List<EntryContact> entries, Duration timeToLive) {
-        return EntryResources.directoryAnswer(entries, timeToLive);
+    public String directoryBody(List<EntryContact> entries, Duration timeToLive) {
+        return EntryResources.directoryBody(entries, timeToLive);
     }
 }
--- a/src/main/java/org/yuccagw/platform/StoreClient.java
+++ b/src/main/java/org/yuccagw/platform/StoreClient.java
@@ -7,9 +7,9 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.Optional;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
@@ -27,20 +27,20 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration READ_TIMEOUT_MARGIN = Duration.ofMillis(600);
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(2);
-    private final HttpCaller httpClient;
+    private final HttpClient httpClient;
 
-    private StoreClient(HttpCaller httpClient) {
+    private StoreClient(HttpClient httpClient) {
         this.httpClient = httpClient;
     }
 
-    public static StoreClient of(HttpCaller httpClient) {
+    public static StoreClient of(HttpClient httpClient) {
         return new StoreClient(httpClient);
     }
 
     @Override
     public boolean perform(ControlAction action, ControlInput input) {
         if (action instanceof StoreCall.AskChanges call) {
-            HttpQuery request = HttpQuery.get(call.store().address(), "/kv-events?since=" + call.since())
+            HttpRequest request = HttpRequest.get(call.store().address(), "/kv-events?since=" + call.since())
                     .withHeader("Wait-Ms", Long.toString(call.longestWait().toMillis()))
                     .withTimeouts(CONNECT_TIMEOUT, call.longestWait().plus(READ_TIMEOUT_MARGIN));
             send(call, request, input);
@@ -61,8 +61,8 @@
         return false;
     }
 
-    private static HttpQuery listRequest(CacheStore store) {
-        return HttpQuery.get(store.address(), "/kv-list").withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
+    private static HttpRequest listRequest(CacheStore store) {
+        return HttpRequest.get(store.address(), "/kv-list").withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
     }
 
     private void inspect(StoreCall.Inspect call, ControlInput input) {
@@ -72,7 +72,7 @@
         });
     }
 
-    private static Optional<StoreAnswer.Contents> readContents(HttpAnswer answer) {
+    private static Optional<StoreAnswer.Contents> readContents(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return Optional.empty();
         }
@@ -92,7 +92,7 @@
         ObjectNode body = JsonText.object().put("bootEpoch", call.epoch());
         ArrayNode parts = body.putArray("parts");
         call.parts().forEach(name -> parts.addArray().add(name.salt()).add(name.part()));
-        HttpQuery request = HttpQuery.json("POST", call.store().address(), "/kv-free", JsonText.write(body))
+        HttpRequest request = HttpRequest.json("POST", call.store().address(), "/kv-free", JsonText.write(body))
                 .withTimeouts(CONNECT_TIMEOUT, READ_TIMEOUT);
         httpClient.send(request).whenComplete((answer, failure) -> {
             boolean succeeded = failure == null && answer.isSuccess();
@@ -101,7 +101,7 @@
         });
     }
 
-    private void send(StoreCall call, HttpQuery request, ControlInput input) {
+    private void send(StoreCall call, HttpRequest request, ControlInput input) {
         StoreId store = call.store().id();
         httpClient.send(request).whenComplete((answer, failure) -> {
             if (failure != null) {
@@ -109,14 +109,14 @@
                 return;
             }
             EndpointNotice notice = EndpointNoticeReader.read(answer.status(), answer.headers());
-            if (notice.saysSomething()) {
+            if (notice.hasContent()) {
                 input.offer(new StoreAnswer.Noticed(store, notice));
             }
             input.offer(readAnswer(call, answer));
         });
     }
 
-    private static StoreAnswer readAnswer(StoreCall call, HttpAnswer answer) {
+    private static StoreAnswer readAnswer(StoreCall call, HttpResponse answer) {
         StoreId store = call.store().id();
         if (!answer.isSuccess()) {
             return new StoreAnswer.Silent(store, "status " + answer.status());
--- a/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
+++ b/src/test/java/org/yuccagw/core/routing/RouteComponentTest.java
@@ -21,7 +21,7 @@
 import org.yuccagw.core.id.ServiceName;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.core.routing.RouteRequested.Answer;
-import org.yuccagw.core.routing.RouteRequested.Question;
+import org.yuccagw.core.routing.RouteRequested.Query;
 
 public class RouteComponentTest {
     @DataProvider
@@ -30,86 +30,92 @@
     }
 
     @Test(dataProvider = "policies")
-    public void everyPolicyChoosesOnlyEndpointsThatTakeNewWork(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
-        core.catalogue("v2");
-        core.endpoint(0, "v1", false);
-        core.endpoint(1, "v2", false);
-        core.endpoint(2, "v2", true);
+    public void everyPolicyChoosesOnlyEndpointsThatAcceptNewRequests(String policy) {
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
+        core.setCatalogue("v2");
+        core.setEndpoint(0, "v1", false);
+        core.setEndpoint(1, "v2", false);
+        core.setEndpoint(2, "v2", true);
         for (int i = 0; i < 20; i++) {
             assertEquals(core.route(CacheCore.prompt("p" + i, 10)).endpoint().id(), CacheCore.endpointId(2));
         }
     }
 
-    // The catalogue names new weights while every replica still runs the old ones, then while one of four runs the new
-    // ones. Users would be refused at first, and then all wait for the first replica. Cause: only replicas of the
-    // version in the catalogue were candidates. Old ones must serve on until their turn, without blocks of the new one.
+    // The catalogue names a new weight version while every replica still runs the old one, and then while one of four
+    // replicas runs the new one. When only replicas of the catalogue version were candidates, requests were refused at
+    // first and then all queued on the first replica. Replicas of the old version must serve requests until they are
+    // swapped, and without block imports, since block keys belong to the new version.
     @Test(dataProvider = "policies")
-    public void duringASwapEachVersionTakesItsPartOfNewRequests(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
-        core.catalogue("v2");
-        core.endpoints(3, "v1");
+    public void duringASwapEachVersionReceivesNewRequestsInProportionToItsReplicas(String policy) {
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
+        core.setCatalogue("v2");
+        core.addEndpoints(3, "v1");
         Answer.Chosen before = core.route(CacheCore.prompt("first", 10));
         assertEquals(before.endpoint().version(), Optional.of(WeightVersion.of("v1")));
-        assertTrue(before.importFirst().isEmpty());
-        core.endpoint(3, "v2", true);
-        int ofNew = 0;
+        assertTrue(before.importPlan().isEmpty());
+        core.setEndpoint(3, "v2", true);
+        int routedToNewVersion = 0;
         for (int i = 0; i < 200; i++) {
             Answer.Chosen chosen = core.route(CacheCore.prompt("p" + i, 10));
-            boolean isNew = chosen.endpoint().id().equals(CacheCore.endpointId(3));
-            ofNew += isNew ? 1 : 0;
+            boolean isNewVersion = chosen.endpoint().id().equals(CacheCore.endpointId(3));
+            routedToNewVersion += isNewVersion ? 1 : 0;
         }
-        assertTrue(ofNew >= 30 && ofNew <= 75, ofNew + " of 200 on one of four replicas");
+        assertTrue(
+                routedToNewVersion >= 30 && routedToNewVersion <= 75,
+                routedToNewVersion + " of 200 routed to one of four replicas");
     }
 
     @Test(dataProvider = "policies")
-    public void everyPolicyPassesOverExcludedEndpoints(String policy) {
-        CacheCore core = CacheCore.of(CacheSettings.usual(), policy);
-        core.catalogue("v1");
-        core.endpoints(2, "v1");
-        Question first = core.question(CacheCore.prompt("p", 10));
-        Question again = excluding(first, ImmutableSet.of(CacheCore.endpointId(0)));
-        assertEquals(((Answer.Chosen) core.ask(again)).endpoint().id(), CacheCore.endpointId(1));
-        Question neither = excluding(first, ImmutableSet.of(CacheCore.endpointId(0), CacheCore.endpointId(1)));
-        assertEquals(refusal(core.ask(neither)), ErrorKind.NO_ENDPOINT);
+    public void everyPolicySkipsExcludedEndpoints(String policy) {
+        CacheCore core = CacheCore.of(CacheSettings.defaults(), policy);
+        core.setCatalogue("v1");
+        core.addEndpoints(2, "v1");
+        Query first = core.query(CacheCore.prompt("p", 10));
+        Query again = excluding(first, ImmutableSet.of(CacheCore.endpointId(0)));
+        assertEquals(((Answer.Chosen) core.request(again)).endpoint().id(), CacheCore.endpointId(1));
+        Query neither = excluding(first, ImmutableSet.of(CacheCore.endpointId(0), CacheCore.endpointId(1)));
+        assertEquals(refusalKind(core.request(neither)), ErrorKind.NO_ENDPOINT);
     }
 
     @Test
     public void anUnknownServiceIsRefused() {
-        CacheCore core = CacheCore.usual(1);
-        Question question = core.question(CacheCore.prompt("p", 1));
-        Question unknown = new Question(
-                question.request(),
-                question.workspace(),
+        CacheCore core = CacheCore.withDefaults(1);
+        Query query = core.query(CacheCore.prompt("p", 1));
+        Query unknown = new Query(
+                query.request(),
+                query.workspace(),
                 ServiceName.of("absent"),
-                question.className(),
+                query.className(),
                 Optional.empty(),
-                question.blocks(),
+                query.blocks(),
                 1,
                 1,
                 ImmutableSet.of(),
                 false);
-        assertEquals(refusal(core.ask(unknown)), ErrorKind.UNKNOWN_MODEL);
+        assertEquals(refusalKind(core.request(unknown)), ErrorKind.UNKNOWN_MODEL);
     }
 
     @Test
-    public void aRunThatGoesOnKeepsItsVersionOrIsToldThatItIsGone() {
-        CacheCore core = CacheCore.usual(2);
-        core.endpoint(2, "v0", true);
-        Question question = core.question(CacheCore.prompt("p", 4));
+    public void aContinuedRunKeepsItsVersionOrFailsWithVersionGone() {
+        CacheCore core = CacheCore.withDefaults(2);
+        core.setEndpoint(2, "v0", true);
+        Query query = core.query(CacheCore.prompt("p", 4));
         assertEquals(
-                ((Answer.Chosen) core.ask(onVersion(question, "v0"))).endpoint().id(), CacheCore.endpointId(2));
-        assertEquals(refusal(core.ask(onVersion(question, "v9"))), ErrorKind.VERSION_GONE);
+                ((Answer.Chosen) core.request(withVersion(query, "v0")))
+                        .endpoint()
+                        .id(),
+                CacheCore.endpointId(2));
+        assertEquals(refusalKind(core.request(withVersion(query, "v9"))), ErrorKind.VERSION_GONE);
     }
 
     @Test
-    public void aPromptReturnsToTheReplicaThatHoldsIt() {
-        CacheCore core = CacheCore.usual(13);
+    public void aRepeatedPromptIsRoutedToTheReplicaThatHasItCached() {
+        CacheCore core = CacheCore.withDefaults(13);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 60);
         EndpointId first =
                 core.serve(CacheCore.extended(preamble, "q1", 2)).endpoint().id();
         for (int i = 2; i < 10; i++) {
-            core.pass(Duration.ofSeconds(20));
+            core.advance(Duration.ofSeconds(20));
             Answer.Chosen again = core.serve(CacheCore.extended(preamble, "q" + i, 2));
             assertEquals(again.endpoint().id(), first);
             assertTrue(again.explanation().candidates().get(0).recomputedTokens() < 4 * CacheCore.BLOCK_TOKENS);
@@ -117,8 +123,8 @@
     }
 
     @Test
-    public void aLongQueueSendsAPromptToAnotherReplica() {
-        CacheCore core = CacheCore.usual(4);
+    public void aLongQueueMovesAPromptToAnotherReplica() {
+        CacheCore core = CacheCore.withDefaults(4);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 8);
         EndpointId warm = core.serve(preamble).endpoint().id();
         Set<EndpointId> used = new HashSet<>();
@@ -132,8 +138,8 @@
     }
 
     @Test
-    public void newPromptsSpreadOverThePool() {
-        CacheCore core = CacheCore.usual(13);
+    public void newPromptsAreSpreadOverThePool() {
+        CacheCore core = CacheCore.withDefaults(13);
         Set<EndpointId> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             used.add(core.serve(CacheCore.prompt("prompt" + i, 20)).endpoint().id());
@@ -142,29 +148,29 @@
     }
 
     @Test
-    public void aSuspectPromptRunsAlone() {
-        CacheCore core = CacheCore.usual(2);
+    public void aSuspectPromptRunsOnAnEndpointWithoutOtherAttempts() {
+        CacheCore core = CacheCore.withDefaults(2);
         Answer.Chosen running = core.route(CacheCore.prompt("p", 4));
-        Question question = core.question(CacheCore.prompt("suspect", 4));
-        Question alone = alone(question);
-        Answer.Chosen placed = (Answer.Chosen) core.ask(alone);
+        Query query = core.query(CacheCore.prompt("suspect", 4));
+        Query exclusive = exclusive(query);
+        Answer.Chosen placed = (Answer.Chosen) core.request(exclusive);
         assertNotEquals(placed.endpoint().id(), running.endpoint().id());
         assertEquals(
                 core.route(CacheCore.prompt("other", 4)).endpoint().id(),
                 running.endpoint().id());
-        assertEquals(refusal(core.ask(alone(question))), ErrorKind.NO_ENDPOINT);
+        assertEquals(refusalKind(core.request(exclusive(query))), ErrorKind.NO_ENDPOINT);
         core.handle(new AttemptReport.Ended(placed.attempt(), true, 0, 1));
-        assertTrue(core.ask(alone(question)) instanceof Answer.Chosen);
+        assertTrue(core.request(exclusive(query)) instanceof Answer.Chosen);
     }
 
     @Test
-    public void theSameEventsGiveTheSameChoices() {
+    public void theSameEventsLeadToTheSameChoices() {
         assertEquals(choices(), choices());
     }
 
     @Test
-    public void manyEndpointsAreWeighedByAFew() {
-        CacheCore core = CacheCore.usual(1_250);
+    public void onlyAFewOfManyEndpointsAreScored() {
+        CacheCore core = CacheCore.withDefaults(1_250);
         List<BlockKey> preamble = CacheCore.prompt("notebook", 60);
         EndpointId first = core.serve(preamble).endpoint().id();
         Answer.Chosen again = core.serve(CacheCore.extended(preamble, "q", 1));
@@ -173,7 +179,7 @@
     }
 
     private static ImmutableList<EndpointId> choices() {
-        CacheCore core = CacheCore.usual(40);
+        CacheCore core = CacheCore.withDefaults(40);
         ImmutableList.Builder<EndpointId> chosen = ImmutableList.builder();
         for (int i = 0; i < 50; i++) {
             chosen.add(core.serve(CacheCore.prompt("p" + i % 20, 20)).endpoint().id());
@@ -181,34 +187,34 @@
         return chosen.build();
     }
 
-    private static ErrorKind refusal(Answer answer) {
+    private static ErrorKind refusalKind(Answer answer) {
         return ((Answer.Refused) answer).error().kind();
     }
 
-    private static Question excluding(Question question, ImmutableSet<EndpointId> excluded) {
-        return changed(question, question.version(), excluded, false);
+    private static Query excluding(Query query, ImmutableSet<EndpointId> excluded) {
+        return copyWith(query, query.version(), excluded, false);
     }
 
-    private static Question onVersion(Question question, String version) {
-        return changed(question, Optional.of(WeightVersion.of(version)), question.excluded(), false);
+    private static Query withVersion(Query query, String version) {
+        return copyWith(query, Optional.of(WeightVersion.of(version)), query.excluded(), false);
     }
 
-    private static Question alone(Question question) {
-        return changed(question, question.version(), question.excluded(), true);
+    private static Query exclusive(Query query) {
+        return copyWith(query, query.version(), query.excluded(), true);
     }
 
-    private static Question changed(
-            Question question, Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean alone) {
-        return new Question(
-                question.request(),
-                question.workspace(),
-                question.service(),
-                question.className(),
+    private static Query copyWith(
+            Query query, Optional<WeightVersion> version, ImmutableSet<EndpointId> excluded, boolean exclusive) {
+        return new Query(
+                query.request(),
+                query.workspace(),
+                query.service(),
+                query.className(),
                 version,
-                question.blocks(),
-                question.promptTokens(),
-                question.answerTokens(),
+                query.blocks(),
+                query.promptTokens(),
+                query.answerTokens(),
                 excluded,
-                alone);
+                exclusive);
     }
 }
--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
@@ -21,8 +21,8 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.serving.RunCount;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.serving.ActiveRequests;
 import org.yuccagw.adapters.serving.ServingServer;
 import org.yuccagw.adapters.serving.ServingServices;
 import org.yuccagw.adapters.settings.GatewaySettings;
@@ -36,8 +36,8 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.platform.GatewaySettingsReader;
-import org.yuccagw.platform.PlatformDialect;
 import org.yuccagw.platform.PlatformRecords;
+import org.yuccagw.platform.PlatformWireProtocol;
 import org.yuccagw.standins.platform.PlatformDocuments;
 import org.yuccagw.standins.platform.SmallDeployment;
 
@@ -81,8 +81,8 @@
                 new ServingServices(
                         () -> snapshot,
                         this::place,
-                        HttpCaller.on(worker),
-                        PlatformDialect.create(),
+                        HttpClient.onWorker(worker),
+                        PlatformWireProtocol.create(),
                         DecisionLog.start(),
                         Metrics.create(),
                         settings.domain(),
@@ -90,7 +90,7 @@
                         Optional.empty()),
                 settings,
                 worker,
-                RunCount.create());
+                ActiveRequests.create());
     }
 
     @AfterMethod(alwaysRun = true)
--- a/src/test/java/org/yuccagw/platform/StoreClientTest.java
+++ b/src/test/java/org/yuccagw/platform/StoreClientTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.id.FailureDomain;
@@ -42,7 +42,7 @@
     private final Map<PartName, Integer> incompleteParts = new LinkedHashMap<>();
     private long epoch;
     private StandInServer server;
-    private HttpCaller httpClient;
+    private HttpClient httpClient;
     private StoreClient client;
     private CacheStore store;
 
@@ -60,7 +60,7 @@
                 .on("GET", "/kv-list", call -> call.reply(listBody()))
                 .on("POST", "/kv-free", this::freeParts)
                 .listen(0);
-        httpClient = HttpCaller.start(1);
+        httpClient = HttpClient.start(1);
         client = StoreClient.of(httpClient);
         store = new CacheStore(
                 StoreId.of("store"), server.address(), FailureDomain.of("a"), 10_000, 1_000, 12, true, 1);
