--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -84,7 +84,7 @@
         platform = HttpClient.onWorker(worker);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
         GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
-        ControlInputs inputs = new ControlInputs();
+        DeferredControlInput inputs = new DeferredControlInput();
         peers = PeerTransport.of(
                 self,
                 GatewayComponents.codec(),
--- a/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
@@ -66,12 +66,12 @@
 
     /** The whole answer that any engine gives to this completions prompt. */
     public static String expectedAnswer(String promptText, int tokens) {
-        return AnswerText.words(promptText, tokens);
+        return CompletionFormat.words(promptText, tokens);
     }
 
     /** The whole answer that any engine gives to a chat of one message of the role {@code user}. */
     public static String expectedChatAnswer(String userContent, int tokens) {
-        return AnswerText.words(ChatText.beforeAnswer(ChatText.message("user", userContent)), tokens);
+        return CompletionFormat.words(ChatText.beforeAnswer(ChatText.message("user", userContent)), tokens);
     }
 
     @Override
--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
@@ -42,7 +42,7 @@
 import org.yuccagw.standins.platform.SmallDeployment;
 
 /** Callers who have left before an entry that is behind comes to their requests. */
-public class CallerGoneTest {
+public class CallerDisconnectTest {
     private static final int CALLERS = 20;
     private static final Duration LONG = Duration.ofSeconds(30);
 
