--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -35,7 +35,7 @@
     }
 
     static Catalogue catalogue(ControlSnapshot snapshot) {
-        return snapshot.find(Catalogue.class).orElse(Catalogue.none());
+        return snapshot.find(Catalogue.class).orElse(Catalogue.empty());
     }
 
     static boolean isReady(ControlSnapshot snapshot) {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
@@ -65,7 +65,7 @@
     private final Undertow server;
     private final BodyReader bodies;
     private final Prefetcher prefetcher;
-    private volatile WorkspaceKeys workspaceKeys = WorkspaceKeys.of(Catalogue.none());
+    private volatile WorkspaceKeys workspaceKeys = WorkspaceKeys.of(Catalogue.empty());
     private volatile boolean refusingNewRequests;
 
     /** Creates the event for a hint that a prompt will be sent again soon. */
--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -131,7 +131,7 @@
 
     private void begin(HttpServerExchange exchange) throws YuccagwException {
         if (refusingNewRequests) {
-            throw ErrorKind.STOPPING.raise().comeBackAfter(Duration.ZERO);
+            throw ErrorKind.STOPPING.raise().withRetryAfter(Duration.ZERO);
         }
         Deployment deployment = requireConfirmedDeployment();
         CallerHead head = services.protocol().readCallerHead(exchange.getRequestHeaders());
@@ -142,7 +142,7 @@
                 deployment.route(head.host(), exchange.getRequestURI()).orElseThrow(ErrorKind.UNKNOWN_ROUTE::raise);
         Optional<WorkspaceAccess> workspace = workspaceOf(deployment, route, head);
         if (refusingNewStreams && route.streamed()) {
-            throw ErrorKind.STOPPING.raise().comeBackAfter(Duration.ZERO);
+            throw ErrorKind.STOPPING.raise().withRetryAfter(Duration.ZERO);
         }
         if (HttpContinue.requiresContinueResponse(exchange)) {
             HttpContinue.sendContinueResponse(exchange, new IoCallback() {
@@ -205,7 +205,7 @@
                 .get()
                 .find(Deployment.class)
                 .orElseThrow(() ->
-                        ErrorKind.NOT_READY.raise("has no configuration yet").comeBackAfter(NOT_READY_RETRY_DELAY));
+                        ErrorKind.NOT_READY.raise("has no configuration yet").withRetryAfter(NOT_READY_RETRY_DELAY));
         if (services.maxUnconfirmedKeyAge().isPresent()) {
             FollowSnapshot follow =
                     services.snapshot().get().find(FollowSnapshot.class).orElse(FollowSnapshot.none());
@@ -213,7 +213,7 @@
             if (ageNanos > services.maxUnconfirmedKeyAge().get().toNanos()) {
                 throw ErrorKind.NOT_READY
                         .raise("could not confirm its configuration")
-                        .comeBackAfter(NOT_READY_RETRY_DELAY);
+                        .withRetryAfter(NOT_READY_RETRY_DELAY);
             }
         }
         return deployment;
--- a/src/main/java/org/yuccagw/cli/SettingsCommand.java
+++ b/src/main/java/org/yuccagw/cli/SettingsCommand.java
@@ -77,7 +77,7 @@
         }
 
         private static Kind detectKind(byte[] document) throws YuccagwException {
-            if (GatewaySettingsReader.looksLikeOne(document)) {
+            if (GatewaySettingsReader.isPlatformSettings(document)) {
                 return Kind.GATEWAY;
             }
             return CatalogueJson.isCatalogue(document) ? Kind.CATALOGUE : Kind.ENTRY;
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -164,7 +164,7 @@
         if (retry == ErrorKind.Retry.OTHER_ENTRY) {
             retryOrFail(FailureClass.ENTRY_NOT_READY, retryAfter, error);
         } else if (retry == ErrorKind.Retry.CALLER && retryAfter.isPresent()) {
-            retryOrFail(FailureClass.ENTRY_REFUSED, retryAfter, error.comeBackAfter(retryAfter.get()));
+            retryOrFail(FailureClass.ENTRY_REFUSED, retryAfter, error.withRetryAfter(retryAfter.get()));
         } else {
             result.completeExceptionally(error);
         }
@@ -174,7 +174,7 @@
         try {
             JsonNode error = JSON.readTree(body).path("error");
             ErrorKind kind = ErrorKind.valueOf(error.path("code").asText().toUpperCase(Locale.ROOT));
-            return kind.received(error.path("message").asText());
+            return kind.fromAnswer(error.path("message").asText());
         } catch (IOException | IllegalArgumentException e) {
             return ErrorKind.INTERNAL.raiseFrom(e, "the error body of the entry can't be parsed");
         }
--- a/src/main/java/org/yuccagw/core/admission/AdmissionComponent.java
+++ b/src/main/java/org/yuccagw/core/admission/AdmissionComponent.java
@@ -55,7 +55,7 @@
     private final Map<ServiceName, ServiceGate> gates = new HashMap<>();
     private final Map<RequestId, WaitingRequest> waiting = new LinkedHashMap<>();
     private final Map<RequestId, Admitted> admitted = new HashMap<>();
-    private Catalogue catalogue = Catalogue.none();
+    private Catalogue catalogue = Catalogue.empty();
     private ControlContext context;
     private boolean recheckScheduled;
     private long refusedCount;
@@ -207,7 +207,7 @@
         YuccagwException error = prediction.limitBound()
                 ? ErrorKind.WORKSPACE_LIMIT.raise(request.workspace(), shares.describe(request))
                 : ErrorKind.OVERLOADED.raise((long) (seconds * MILLIS_PER_SECOND));
-        reply(request, Optional.of(error.comeBackAfter(Duration.ofMillis(retryAfterMillis))));
+        reply(request, Optional.of(error.withRetryAfter(Duration.ofMillis(retryAfterMillis))));
     }
 
     private void admit(WaitingRequest request, ServiceGate gate) {
--- a/src/main/java/org/yuccagw/core/admission/LimitShares.java
+++ b/src/main/java/org/yuccagw/core/admission/LimitShares.java
@@ -47,7 +47,7 @@
     private final Map<ShardNumber, OwnedShard> owned = new HashMap<>();
     private final Map<ShardNumber, SentPresence> sentPresences = new HashMap<>();
     private final Map<EntryId, Member> members = new HashMap<>();
-    private Catalogue catalogue = Catalogue.none();
+    private Catalogue catalogue = Catalogue.empty();
     private ControlContext context;
     private Runnable onChange = () -> {};
 
@@ -100,7 +100,7 @@
         Optional<Limits> found = limit.isWorkspace()
                 ? catalogue.workspace(WorkspaceId.of(limit.name())).map(Workspace::limits)
                 : catalogue.service(ServiceName.of(limit.name())).map(Service::limits);
-        return found.orElse(Limits.none());
+        return found.orElse(Limits.unlimited());
     }
 
     boolean permits(WorkspaceId workspace, ServiceName service) {
--- a/src/main/java/org/yuccagw/core/claim/ClaimClient.java
+++ b/src/main/java/org/yuccagw/core/claim/ClaimClient.java
@@ -164,7 +164,7 @@
 
     private static ClaimDecision unavailable(String reason) {
         return new ClaimDecision.Refused(
-                ErrorKind.CLAIM_UNAVAILABLE.raise(reason).comeBackAfter(RETRY_AFTER));
+                ErrorKind.CLAIM_UNAVAILABLE.raise(reason).withRetryAfter(RETRY_AFTER));
     }
 
     void onClaimEnded(ClaimEnded ended) {
--- a/src/main/java/org/yuccagw/core/placing/PlacementClient.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementClient.java
@@ -264,9 +264,9 @@
     }
 
     private void onRefused(PendingRequest pendingRequest, PlacementMessage.Refused refused) {
-        YuccagwException error = refused.kind().received(refused.message());
+        YuccagwException error = refused.kind().fromAnswer(refused.message());
         YuccagwException errorWithRetry =
-                refused.retryAfter().map(error::comeBackAfter).orElse(error);
+                refused.retryAfter().map(error::withRetryAfter).orElse(error);
         context.perform(Decision.of("refused")
                 .with("request", pendingRequest.request.request())
                 .with("route", pendingRequest.request.route().name())
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -304,7 +304,7 @@
         }
         int failures = suspectRequests.count(request.fingerprint(), context.nowNanos());
         if (failures >= SuspectRequests.MAX_FAILURES) {
-            refuse(request, ErrorKind.SUSPECT_REQUEST.raise(failures).comeBackAfter(SUSPECT_RETRY_AFTER), "suspect");
+            refuse(request, ErrorKind.SUSPECT_REQUEST.raise(failures).withRetryAfter(SUSPECT_RETRY_AFTER), "suspect");
         } else if (request.isRetry() && !allowance.tryConsume(context.nowNanos(), fleet.retryShareCount())) {
             refuse(request, ErrorKind.RETRY_BUDGET_SPENT.raise(request.service()), "retry budget spent");
         } else {
@@ -400,7 +400,7 @@
 
     private void refuseOverloaded(PlacementRequest request, long waitMillis, String reason) {
         YuccagwException error = ErrorKind.OVERLOADED.raise(waitMillis);
-        refuse(request, error.comeBackAfter(retryAfter(waitMillis)), reason);
+        refuse(request, error.withRetryAfter(retryAfter(waitMillis)), reason);
     }
 
     /** Places or refuses the request. Returns false if no endpoint can accept it now. */
@@ -553,7 +553,7 @@
 
     private void refuse(PlacementRequest request, YuccagwException error, String reason) {
         YuccagwException errorWithRetry =
-                error.retryAfter().isPresent() ? error : error.comeBackAfter(retryAfter(MIN_RETRY_AFTER_MILLIS));
+                error.retryAfter().isPresent() ? error : error.withRetryAfter(retryAfter(MIN_RETRY_AFTER_MILLIS));
         context.perform(Decision.of("refused")
                 .with("request", request.request())
                 .with("route", request.route().name())
--- a/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
+++ b/src/main/java/org/yuccagw/core/quarantine/QuarantineComponent.java
@@ -61,7 +61,7 @@
     private final Map<Long, WaitingAttempt> waitingByPermit = new HashMap<>();
     private final Map<Long, PromptFingerprint> heldPermits = new HashMap<>();
     private List<EntryId> otherEntries = List.of();
-    private SystemLimits limits = SystemLimits.usual();
+    private SystemLimits limits = SystemLimits.defaults();
     private ControlContext context;
     private long nextPermitNumber;
 
@@ -138,7 +138,7 @@
                 request,
                 new Decision.Refused(ErrorKind.QUARANTINED
                         .raise(count, Math.max(1, left.toSeconds()))
-                        .comeBackAfter(left)));
+                        .withRetryAfter(left)));
     }
 
     private void reply(QuarantineRequested request, Decision decision) {
@@ -158,7 +158,7 @@
             reply(
                     attempt.request(),
                     new Decision.Refused(
-                            ErrorKind.OVERLOADED.raise(RETRY_AFTER.toMillis()).comeBackAfter(RETRY_AFTER)));
+                            ErrorKind.OVERLOADED.raise(RETRY_AFTER.toMillis()).withRetryAfter(RETRY_AFTER)));
             return;
         }
         waitingByPermit.put(permit, new WaitingAttempt(attempt.request(), attempt.requestsSent() + 1));
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -246,7 +246,7 @@
     }
 
     private SystemLimits systemLimits() {
-        return control.snapshot().find(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.usual());
+        return control.snapshot().find(Catalogue.class).map(Catalogue::system).orElse(SystemLimits.defaults());
     }
 
     private void scheduleLoadReports() {
--- a/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminFixture.java
@@ -52,7 +52,7 @@
     private final EntryIdentity identity;
     private final Traces traces;
     private final AdminServer server;
-    private volatile Catalogue catalogue = Catalogue.none();
+    private volatile Catalogue catalogue = Catalogue.empty();
     private volatile boolean ready = true;
 
     private AdminFixture(EntrySettings settings) {
@@ -107,7 +107,7 @@
     }
 
     public void removeCatalogue() {
-        catalogue = Catalogue.none();
+        catalogue = Catalogue.empty();
     }
 
     public static String hash(String key) {
--- a/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
+++ b/src/test/java/org/yuccagw/core/request/RequestMachineTest.java
@@ -182,7 +182,7 @@
         machine.onFailure(2, AttemptFailure.CONNECT_FAILED, "refused");
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 3);
         machine.onQuarantineDecision(new QuarantineRequested.Decision.Refused(
-                ErrorKind.OVERLOADED.raise(1_000).comeBackAfter(Duration.ofSeconds(1))));
+                ErrorKind.OVERLOADED.raise(1_000).withRetryAfter(Duration.ofSeconds(1))));
         assertFalse(machine.isOver());
         machine.onTimer(RequestMachine.TimerKind.BACKOFF, 4);
         machine.onQuarantineDecision(new QuarantineRequested.Decision.Isolated(9));
--- a/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
@@ -36,8 +36,8 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.platform.GatewaySettingsReader;
-import org.yuccagw.platform.PlatformDialect;
 import org.yuccagw.platform.PlatformRecords;
+import org.yuccagw.platform.PlatformWireProtocol;
 import org.yuccagw.standins.platform.PlatformDocuments;
 import org.yuccagw.standins.platform.SmallDeployment;
 
@@ -82,7 +82,7 @@
                         () -> snapshot,
                         this::place,
                         HttpClient.onWorker(worker),
-                        PlatformDialect.create(),
+                        PlatformWireProtocol.create(),
                         DecisionLog.start(),
                         Metrics.create(),
                         settings.domain(),
