--- a/src/main/java/org/yuccagw/bench/local/LocalDeployment.java
+++ b/src/main/java/org/yuccagw/bench/local/LocalDeployment.java
@@ -65,9 +65,9 @@
                 ? HttpCaller.start(
                         1, ReloadingTls.clientContext(plan.tls().get().trusted()))
                 : HttpCaller.start(1);
-        keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         vmList = VmListStandIn.start(0, 0);
-        weights = WeightStoreStandIn.start(WeightStoreSettings.usual());
+        weights = WeightStoreStandIn.start(WeightStoreSettings.defaults());
         plain = PlainServiceStandIn.start(LocalCatalogue.PLAIN + "-1", 0);
         for (int i = 0; i < plan.engines(); i++) {
             engines.add(EngineStandIn.start(engineSettings(i)));
--- a/src/main/java/org/yuccagw/bench/local/Rehearsal.java
+++ b/src/main/java/org/yuccagw/bench/local/Rehearsal.java
@@ -54,7 +54,7 @@
 
     /** Runs it to its end, within seconds. */
     public static void run() throws YuccagwException, IOException, InterruptedException {
-        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         HttpCaller caller = HttpCaller.start(1);
         GatewaySettings settings = settings("rehearsal-1", keyValue);
         GatewaySettings otherSettings = settings("rehearsal-2", keyValue);
--- a/src/main/java/org/yuccagw/standins/StandInMain.java
+++ b/src/main/java/org/yuccagw/standins/StandInMain.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Runs one stand-in as a process until it is ended: {@code NAME [OPTION=VALUE]...}. */
+/** Runs one stand-in as a process until the process is terminated: {@code NAME [OPTION=VALUE]...}. */
 public final class StandInMain {
     private StandInMain() {}
 
     /**
-     * Starts it and waits.
+     * Starts the stand-in and blocks until the process is terminated.
      *
-     * @param arguments name of the stand-in and its options
+     * @param arguments the name of the stand-in, followed by its options
      */
     public static void main(String[] arguments) throws InterruptedException {
         if (arguments.length == 0) {
--- a/src/main/java/org/yuccagw/standins/StandIns.java
+++ b/src/main/java/org/yuccagw/standins/StandIns.java
@@ -21,9 +21,9 @@
 import org.yuccagw.standins.weights.WeightStoreSettings;
 import org.yuccagw.standins.weights.WeightStoreStandIn;
 
-/** Starts stand-ins by name and textual options, for the command line and for tests with processes of their own. */
+/** Starts stand-ins by name with textual options, for the command line and for tests that run them as processes. */
 public final class StandIns {
-    private static final Map<String, Function<StandInOptions, StandIn>> KINDS = new TreeMap<>(Map.of(
+    private static final Map<String, Function<StandInOptions, StandIn>> FACTORIES = new TreeMap<>(Map.of(
             "key-value", StandIns::keyValue,
             "vm-list", StandIns::vmList,
             "engine", StandIns::engine,
@@ -33,26 +33,27 @@
 
     private StandIns() {}
 
-    /** The names that {@link #start} takes, in order. */
+    /** Returns the names that {@link #start} accepts, in alphabetical order. */
     public static Set<String> names() {
-        return KINDS.keySet();
+        return FACTORIES.keySet();
     }
 
     /**
-     * Starts a stand-in.
+     * Starts a stand-in on a local port.
      *
-     * @throws IllegalArgumentException naming the name or option that is unknown or wrong
+     * @throws IllegalArgumentException if the name or an option is unknown, or the value of an option is invalid; the
+     *     message contains it
      */
     public static StandIn start(String name, Map<String, String> options) {
-        Function<StandInOptions, StandIn> kind = KINDS.get(name);
-        if (kind == null) {
+        Function<StandInOptions, StandIn> factory = FACTORIES.get(name);
+        if (factory == null) {
             throw new IllegalArgumentException("there is no stand-in '" + name + "'; there are " + names());
         }
-        StandInOptions read = new StandInOptions(name, options);
-        return kind.apply(read);
+        StandInOptions parsed = new StandInOptions(name, options);
+        return factory.apply(parsed);
     }
 
-    /** Starts a stand-in and prints {@code ready ADDRESS control ADDRESS}. */
+    /** Starts a stand-in and prints the line {@code ready ADDRESS control ADDRESS} once it listens. */
     public static StandIn run(String name, Map<String, String> options, PrintStream output) {
         StandIn started = start(name, options);
         output.println("ready " + started.address() + " control " + started.controlAddress());
@@ -60,7 +61,11 @@
         return started;
     }
 
-    /** Reads {@code NAME=VALUE} arguments. */
+    /**
+     * Parses {@code NAME=VALUE} arguments.
+     *
+     * @throws IllegalArgumentException if an argument has no name or no equals sign
+     */
     public static Map<String, String> options(List<String> arguments) {
         Map<String, String> options = new TreeMap<>();
         for (String argument : arguments) {
@@ -74,7 +79,7 @@
     }
 
     private static StandIn keyValue(StandInOptions options) {
-        KeyValueSettings settings = KeyValueSettings.usual()
+        KeyValueSettings settings = KeyValueSettings.defaults()
                 .withPort(options.integer("port", 0))
                 .withRates(options.decimal("writes_per_second", 0), options.decimal("reads_per_second", 0));
         options.requireAllKnown();
@@ -83,9 +88,9 @@
 
     private static StandIn vmList(StandInOptions options) {
         int port = options.integer("port", 0);
-        long lag = options.number("lag_ms", 0);
+        long lagMillis = options.number("lag_ms", 0);
         options.requireAllKnown();
-        return VmListStandIn.start(port, lag);
+        return VmListStandIn.start(port, lagMillis);
     }
 
     private static StandIn engine(StandInOptions options) {
@@ -109,28 +114,28 @@
                         Duration.ofMillis(options.number("load_lag_ms", 200)),
                         Duration.ofMillis(options.number("event_lag_ms", 200)),
                         options.integer("event_lost_every", 0)));
-        String marker = options.text("crash_marker", "");
+        String crashMarker = options.text("crash_marker", "");
         options.requireAllKnown();
-        return EngineStandIn.start(marker.isEmpty() ? settings : settings.withCrashMarker(marker));
+        return EngineStandIn.start(crashMarker.isEmpty() ? settings : settings.withCrashMarker(crashMarker));
     }
 
     private static StandIn store(StandInOptions options) {
-        CacheStoreSettings usual = CacheStoreSettings.usual(options.text("name", "store-1"));
-        CacheStoreSettings settings = usual.withPort(options.integer("port", 0))
+        CacheStoreSettings defaults = CacheStoreSettings.usual(options.text("name", "store-1"));
+        CacheStoreSettings settings = defaults.withPort(options.integer("port", 0))
                 .withCapacity(
-                        options.number("memory_bytes", usual.memoryBytes()),
-                        options.number("disk_bytes", usual.diskBytes()))
-                .withLink(options.decimal("link_bytes_per_second", usual.linkBytesPerSecond()));
+                        options.number("memory_bytes", defaults.memoryBytes()),
+                        options.number("disk_bytes", defaults.diskBytes()))
+                .withLink(options.decimal("link_bytes_per_second", defaults.linkBytesPerSecond()));
         options.requireAllKnown();
         return CacheStoreStandIn.start(settings);
     }
 
     private static StandIn weightStore(StandInOptions options) {
-        WeightStoreSettings usual = WeightStoreSettings.usual();
-        WeightStoreSettings settings = usual.withPort(options.integer("port", 0))
+        WeightStoreSettings defaults = WeightStoreSettings.defaults();
+        WeightStoreSettings settings = defaults.withPort(options.integer("port", 0))
                 .withSize(
-                        options.number("version_bytes", usual.versionBytes()),
-                        options.decimal("bytes_per_second", usual.bytesPerSecond()));
+                        options.number("version_bytes", defaults.versionBytes()),
+                        options.decimal("bytes_per_second", defaults.bytesPerSecond()));
         options.requireAllKnown();
         return WeightStoreStandIn.start(settings);
     }
--- a/src/main/java/org/yuccagw/standins/keyvalue/KeyValueSettings.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/KeyValueSettings.java
@@ -1,25 +1,26 @@
 package org.yuccagw.standins.keyvalue;
 
 /**
- * Settings of the stand-in.
+ * Settings of the stand-in for the key-value service.
  *
- * @param port 0 takes a free one
- * @param writesPerSecond writes and lease calls a second before 429, 0 for no limit
- * @param readsPerSecond reads and watches a second before 429, 0 for no limit
+ * @param port the port to listen on; 0 selects a free one
+ * @param writesPerSecond the writes and lease calls allowed per second, the rest being answered with 429; 0 for no
+ *     limit
+ * @param readsPerSecond the reads and watches allowed per second, the rest being answered with 429; 0 for no limit
  */
 public record KeyValueSettings(int port, double writesPerSecond, double readsPerSecond) {
-    private static final KeyValueSettings USUAL = new KeyValueSettings(0, 0, 0);
+    private static final KeyValueSettings DEFAULTS = new KeyValueSettings(0, 0, 0);
 
-    /** A free port and no limits of rate. */
-    public static KeyValueSettings usual() {
-        return USUAL;
+    /** Returns the defaults: a free port and no rate limits. */
+    public static KeyValueSettings defaults() {
+        return DEFAULTS;
     }
 
     public KeyValueSettings withPort(int newPort) {
         return new KeyValueSettings(newPort, writesPerSecond, readsPerSecond);
     }
 
-    public KeyValueSettings withRates(double writes, double reads) {
-        return new KeyValueSettings(port, writes, reads);
+    public KeyValueSettings withRates(double newWritesPerSecond, double newReadsPerSecond) {
+        return new KeyValueSettings(port, newWritesPerSecond, newReadsPerSecond);
     }
 }
--- a/src/main/java/org/yuccagw/standins/keyvalue/KeyValueStandIn.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/KeyValueStandIn.java
@@ -19,36 +19,36 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * The platform's key-value service on one address, in memory, in the platform's own protocol.
+ * In-memory stand-in for the platform's key-value service, on one address, with the platform's protocol.
  *
- * <p>A waiting watch holds its exchange and no thread. All state is under this object's lock; handlers hold it for as
- * long as a map operation takes.
+ * <p>A pending watch occupies its HTTP exchange, but no thread. All state is guarded by this object's lock, which handlers
+ * hold only for the duration of a map operation.
  */
 public final class KeyValueStandIn implements StandIn {
-    private static final int PAGE = 500;
-    private static final int MOST_VALUE_BYTES = 1 << 20;
+    private static final int PAGE_SIZE = 500;
+    private static final int MAX_VALUE_BYTES = 1 << 20;
     private static final int NOT_FOUND = 404;
-    private static final int HISTORY_GONE = 410;
-    private static final int CONDITION_FAILED = 412;
-    private static final int TOO_LARGE = 413;
-    private static final int TOO_MANY = 429;
-    private static final long LAPSE_CHECK_MILLIS = 5;
-    private static final long MOST_WAIT_MILLIS = 60_000;
+    private static final int GONE = 410;
+    private static final int PRECONDITION_FAILED = 412;
+    private static final int CONTENT_TOO_LARGE = 413;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final long LEASE_EXPIRY_INTERVAL_MILLIS = 5;
+    private static final long MAX_WATCH_MILLIS = 60_000;
 
     private final StandInServer server = StandInServer.create("key-value");
     private final KeyValueState state = new KeyValueState();
-    private final List<Watch> watches = new ArrayList<>();
-    private final Map<String, Long> counts = new TreeMap<>();
-    private final CallRate writeRate;
-    private final CallRate readRate;
+    private final List<PendingWatch> pendingWatches = new ArrayList<>();
+    private final Map<String, Long> callCounts = new TreeMap<>();
+    private final CallRateLimit writeRateLimit;
+    private final CallRateLimit readRateLimit;
     private WriteFaults writeFaults = WriteFaults.none();
 
-    private record Watch(StandInCall call, String prefix, long after) {}
+    private record PendingWatch(StandInCall call, String prefix, long after) {}
 
     private KeyValueStandIn(KeyValueSettings settings) {
-        writeRate = CallRate.of(settings.writesPerSecond());
-        readRate = CallRate.of(settings.readsPerSecond());
-        server.on("GET", "/kv-key", this::read)
+        writeRateLimit = CallRateLimit.of(settings.writesPerSecond());
+        readRateLimit = CallRateLimit.of(settings.readsPerSecond());
+        server.on("GET", "/kv-key", this::readKey)
                 .on("GET", "/kv-range", this::readRange)
                 .on("POST", "/kv-txn", this::write)
                 .on("POST", "/kv-lease", this::grant)
@@ -56,10 +56,10 @@
                 .on("DELETE", "/kv-lease-end/{lease}", this::revoke)
                 .on("GET", "/kv-watch", this::watch)
                 .withRecord(this::record)
-                .withKnobs(this::turn)
+                .withKnobs(this::applyKnobs)
                 .listen(settings.port());
         server.timer()
-                .scheduleWithFixedDelay(this::lapse, LAPSE_CHECK_MILLIS, LAPSE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(this::expireLeases, LEASE_EXPIRY_INTERVAL_MILLIS, LEASE_EXPIRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     public static KeyValueStandIn start(KeyValueSettings settings) {
@@ -86,49 +86,54 @@
         server.order(faults);
     }
 
+    /** Replaces the faults to inject into the next writes. */
     public synchronized void order(WriteFaults faults) {
         writeFaults = faults;
     }
 
-    /** Calls so far by kind: read, read_prefix, write, delete, grant, renew, revoke, watch, and the refused ones. */
+    /**
+     * Returns the number of calls since the start by kind: {@code read}, {@code read_prefix}, {@code write}, {@code grant},
+     * {@code renew}, {@code revoke} and {@code watch}. The calls over the rate limit count as their kind and as
+     * {@code refused}. Deletions are transactions and count as {@code write}.
+     */
     public synchronized Map<String, Long> callsByKind() {
-        return new TreeMap<>(counts);
+        return new TreeMap<>(callCounts);
     }
 
-    private synchronized void read(StandInCall call) {
-        if (!admit(call, "read", readRate)) {
+    private synchronized void readKey(StandInCall call) {
+        if (!admit(call, "read", readRateLimit)) {
             return;
         }
         Optional<KeyValueState.Item> found = state.read(call.required("key"));
         if (found.isPresent()) {
-            call.reply(describe(found.get()).put("storeRevision", state.revision()));
+            call.reply(toJson(found.get()).put("storeRevision", state.revision()));
         } else {
             call.reply(NOT_FOUND, StandInJson.object().put("storeRevision", state.revision()));
         }
     }
 
     private synchronized void readRange(StandInCall call) {
-        if (!admit(call, "read_prefix", readRate)) {
+        if (!admit(call, "read_prefix", readRateLimit)) {
             return;
         }
         String after = call.parameter("after").orElse("");
-        List<KeyValueState.Item> rest = state
+        List<KeyValueState.Item> remaining = state
                 .readPrefix(call.parameter("pathPrefix").orElse(""))
                 .stream()
                 .filter(item -> item.key().compareTo(after) > 0)
                 .toList();
-        List<KeyValueState.Item> page = rest.subList(0, Math.min(PAGE, rest.size()));
-        ObjectNode answer = answer("items", page);
-        call.reply(answer.put("truncated", page.size() < rest.size()));
+        List<KeyValueState.Item> page = remaining.subList(0, Math.min(PAGE_SIZE, remaining.size()));
+        ObjectNode answer = itemsAnswer("items", page);
+        call.reply(answer.put("truncated", page.size() < remaining.size()));
     }
 
     private synchronized void write(StandInCall call) {
-        if (!admit(call, "write", writeRate)) {
+        if (!admit(call, "write", writeRateLimit)) {
             return;
         }
-        KeyValueState.Transaction transaction = Transactions.read(call.json());
-        if (transaction.puts().stream().anyMatch(put -> put.value().length > MOST_VALUE_BYTES)) {
-            call.replyError(TOO_LARGE, "too_large", "a value holds at most " + MOST_VALUE_BYTES + " bytes");
+        KeyValueState.Transaction transaction = Transactions.parse(call.json());
+        if (transaction.puts().stream().anyMatch(put -> put.value().length > MAX_VALUE_BYTES)) {
+            call.replyError(CONTENT_TOO_LARGE, "too_large", "a value holds at most " + MAX_VALUE_BYTES + " bytes");
             return;
         }
         String key = Transactions.firstKey(transaction);
@@ -145,7 +150,7 @@
         });
     }
 
-    /** A change of the state that the ordered faults may make late. */
+    /** A change of the state, which injected faults may delay. */
     private interface Change {
         KeyValueState.Outcome apply();
 
@@ -153,28 +158,28 @@
     }
 
     private void change(StandInCall call, String key, Change change) {
-        if (!writeFaults.covers(key)) {
+        if (!writeFaults.matches(key)) {
             answer(call, change, apply(change));
             return;
         }
-        WriteFaults now = writeFaults;
-        writeFaults = now.oneLess();
-        if (now.delays() > 0) {
-            server.timer().schedule(() -> land(call, change), now.delayMillis(), TimeUnit.MILLISECONDS);
+        WriteFaults current = writeFaults;
+        writeFaults = current.withOneUsed();
+        if (current.delays() > 0) {
+            server.timer().schedule(() -> applyDelayed(call, change), current.delayMillis(), TimeUnit.MILLISECONDS);
             return;
         }
         apply(change);
         call.cut();
     }
 
-    private synchronized void land(StandInCall call, Change change) {
+    private synchronized void applyDelayed(StandInCall call, Change change) {
         answer(call, change, apply(change));
     }
 
     private KeyValueState.Outcome apply(Change change) {
         KeyValueState.Outcome outcome = change.apply();
         if (outcome.done()) {
-            tellWatches();
+            notifyWatches();
         }
         return outcome;
     }
@@ -187,35 +192,35 @@
                 List<KeyValueState.Item> present = change.conditions().stream()
                         .flatMap(condition -> state.read(condition.key()).stream())
                         .toList();
-                call.reply(CONDITION_FAILED, answer("items", present));
+                call.reply(PRECONDITION_FAILED, itemsAnswer("items", present));
             }
         }
     }
 
     private synchronized void grant(StandInCall call) {
-        if (admit(call, "grant", writeRate)) {
-            long millis = call.json().path("ttlMs").asLong();
-            long lease = state.grant(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(millis));
-            call.reply(StandInJson.object().put("lease", lease).put("ttlMs", millis));
+        if (admit(call, "grant", writeRateLimit)) {
+            long ttlMillis = call.json().path("ttlMs").asLong();
+            long lease = state.grant(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(ttlMillis));
+            call.reply(StandInJson.object().put("lease", lease).put("ttlMs", ttlMillis));
         }
     }
 
     private synchronized void renew(StandInCall call) {
-        if (admit(call, "renew", writeRate)) {
+        if (admit(call, "renew", writeRateLimit)) {
             answerLease(call, state.renew(System.nanoTime(), call.number("lease")));
         }
     }
 
     private synchronized void revoke(StandInCall call) {
-        if (admit(call, "revoke", writeRate)) {
-            boolean done = state.revoke(call.number("lease"));
-            tellWatches();
-            answerLease(call, done);
+        if (admit(call, "revoke", writeRateLimit)) {
+            boolean revoked = state.revoke(call.number("lease"));
+            notifyWatches();
+            answerLease(call, revoked);
         }
     }
 
-    private static void answerLease(StandInCall call, boolean done) {
-        if (done) {
+    private static void answerLease(StandInCall call, boolean exists) {
+        if (exists) {
             call.reply(StandInJson.object());
         } else {
             call.replyError(NOT_FOUND, "lapsed", "the lease lapsed");
@@ -223,103 +228,103 @@
     }
 
     private synchronized void watch(StandInCall call) {
-        if (!admit(call, "watch", readRate)) {
+        if (!admit(call, "watch", readRateLimit)) {
             return;
         }
-        Watch watch = new Watch(call, call.parameter("pathPrefix").orElse(""), call.number("after"));
+        PendingWatch watch = new PendingWatch(call, call.parameter("pathPrefix").orElse(""), call.number("after"));
         if (state.isCompacted(watch.after())) {
-            call.reply(HISTORY_GONE, StandInJson.object());
+            call.reply(GONE, StandInJson.object());
             return;
         }
-        long wait = Math.min(call.number("waitMs"), MOST_WAIT_MILLIS);
-        if (!tell(watch)) {
-            watches.add(watch);
-            server.timer().schedule(() -> endWatch(watch), wait, TimeUnit.MILLISECONDS);
+        long waitMillis = Math.min(call.number("waitMs"), MAX_WATCH_MILLIS);
+        if (!answerIfChanged(watch)) {
+            pendingWatches.add(watch);
+            server.timer().schedule(() -> expireWatch(watch), waitMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean tell(Watch watch) {
+    private boolean answerIfChanged(PendingWatch watch) {
         List<KeyValueState.Item> changes = state.changes(watch.prefix(), watch.after());
         if (changes.isEmpty()) {
             return false;
         }
-        watch.call().reply(answer("events", changes));
+        watch.call().reply(itemsAnswer("events", changes));
         return true;
     }
 
-    private void tellWatches() {
-        for (Iterator<Watch> waiting = watches.iterator(); waiting.hasNext(); ) {
-            if (tell(waiting.next())) {
-                waiting.remove();
+    private void notifyWatches() {
+        for (Iterator<PendingWatch> iterator = pendingWatches.iterator(); iterator.hasNext(); ) {
+            if (answerIfChanged(iterator.next())) {
+                iterator.remove();
             }
         }
     }
 
-    private synchronized void endWatch(Watch watch) {
-        if (watches.remove(watch)) {
-            watch.call().reply(answer("events", List.of()));
+    private synchronized void expireWatch(PendingWatch watch) {
+        if (pendingWatches.remove(watch)) {
+            watch.call().reply(itemsAnswer("events", List.of()));
         }
     }
 
-    private synchronized void lapse() {
-        if (state.lapse(System.nanoTime())) {
-            tellWatches();
+    private synchronized void expireLeases() {
+        if (state.expireLeases(System.nanoTime())) {
+            notifyWatches();
         }
     }
 
-    private boolean admit(StandInCall call, String kind, CallRate rate) {
-        counts.merge(kind, 1L, Long::sum);
-        if (rate.take(System.nanoTime())) {
+    private boolean admit(StandInCall call, String kind, CallRateLimit rateLimit) {
+        callCounts.merge(kind, 1L, Long::sum);
+        if (rateLimit.tryAcquire(System.nanoTime())) {
             return true;
         }
-        counts.merge("refused", 1L, Long::sum);
-        call.replyError(TOO_MANY, "rate", "over the rate; the call had no effect");
+        callCounts.merge("refused", 1L, Long::sum);
+        call.replyError(TOO_MANY_REQUESTS, "rate", "over the rate; the call had no effect");
         return false;
     }
 
-    private ObjectNode answer(String field, List<KeyValueState.Item> found) {
+    private ObjectNode itemsAnswer(String field, List<KeyValueState.Item> found) {
         ObjectNode answer = StandInJson.object().put("storeRevision", state.revision());
         ArrayNode items = answer.putArray(field);
-        found.forEach(item -> items.add(describe(item)));
+        found.forEach(item -> items.add(toJson(item)));
         return answer;
     }
 
-    private static ObjectNode describe(KeyValueState.Item item) {
-        ObjectNode described = StandInJson.object().put("key", item.key()).put("revision", item.revision());
+    private static ObjectNode toJson(KeyValueState.Item item) {
+        ObjectNode json = StandInJson.object().put("key", item.key()).put("revision", item.revision());
         if (item.deleted()) {
-            return described.put("removed", true);
+            return json.put("removed", true);
         }
-        return described
+        return json
                 .put("value", Base64.getEncoder().encodeToString(item.value()))
                 .put("lease", item.lease());
     }
 
-    /** Writes a key as operators and endpoints do, whatever it holds. */
+    /** Writes a key unconditionally, as a write by an operator or an endpoint, and notifies watches. */
     public synchronized void put(String key, byte[] value) {
         state.apply(new KeyValueState.Transaction(List.of(), List.of(new KeyValueState.Put(key, value, 0)), List.of()));
-        tellWatches();
+        notifyWatches();
     }
 
-    /** Removes a key as operators and endpoints do. */
+    /** Removes a key unconditionally, as a deletion by an operator or an endpoint, and notifies watches. */
     public synchronized void remove(String key) {
         state.apply(new KeyValueState.Transaction(List.of(), List.of(), List.of(key)));
-        tellWatches();
+        notifyWatches();
     }
 
-    /** Drops the history: watches from before are told that it is gone. */
+    /** Discards the history of changes. Watches from an earlier revision are answered with 410 from now on. */
     public synchronized void compact() {
         state.compact();
     }
 
     private synchronized ObjectNode record() {
         ObjectNode record = StandInJson.object();
-        record.set("calls_by_kind", StandInJson.tree(counts));
-        record.put("waiting_watches", watches.size());
+        record.set("calls_by_kind", StandInJson.tree(callCounts));
+        record.put("waiting_watches", pendingWatches.size());
         record.put("revision", state.revision());
         return record;
     }
 
-    private synchronized void turn(JsonNode knobs) {
+    private synchronized void applyKnobs(JsonNode knobs) {
         if (knobs.has("writes")) {
             writeFaults = WriteFaults.of(knobs.path("writes"));
         }
--- a/src/main/java/org/yuccagw/standins/keyvalue/KeyValueState.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/KeyValueState.java
@@ -8,12 +8,13 @@
 import java.util.TreeMap;
 
 /**
- * What the key-value service holds, without any clock or thread: callers pass the time.
+ * State of the key-value service. It has no clock or thread of its own: callers pass the time in nanoseconds.
  *
- * <p>Each write and each deletion takes the next service-wide revision. A deleted key stays as a mark with the revision
- * of its deletion, so that a watch can tell of it.
+ * <p>Each transaction increments the service-wide revision. A deleted key stays as a tombstone with the revision of its
+ * deletion, so that watches can report it.
  */
 final class KeyValueState {
+    /** The revision of a key that doesn't exist. */
     static final long ABSENT = 0;
 
     private final TreeMap<String, Item> items = new TreeMap<>();
@@ -22,14 +23,14 @@
     private long lastLease;
     private long compactedRevision;
 
-    /** A key's last write; {@code value} is null after a deletion. */
+    /** The last write or deletion of a key; {@code value} is null after a deletion. */
     record Item(String key, byte[] value, long revision, long lease) {
         boolean deleted() {
             return value == null;
         }
     }
 
-    /** What became of a transaction. */
+    /** The result of a transaction. */
     enum Result {
         DONE,
         CONDITION_FAILED,
@@ -43,12 +44,12 @@
     }
 
     private static final class Lease {
-        private final long lifeNanos;
-        private long endNanos;
+        private final long ttlNanos;
+        private long expiryNanos;
 
-        private Lease(long lifeNanos, long endNanos) {
-            this.lifeNanos = lifeNanos;
-            this.endNanos = endNanos;
+        private Lease(long ttlNanos, long expiryNanos) {
+            this.ttlNanos = ttlNanos;
+            this.expiryNanos = expiryNanos;
         }
     }
 
@@ -61,24 +62,24 @@
     }
 
     List<Item> readPrefix(String prefix) {
-        return under(prefix).stream().filter(item -> !item.deleted()).toList();
+        return itemsUnder(prefix).stream().filter(item -> !item.deleted()).toList();
     }
 
-    /** Writes and deletions under a prefix after a revision, in the order of keys. */
+    /** Returns the last write or deletion of each key under a prefix that changed after a revision, ordered by key. */
     List<Item> changes(String prefix, long after) {
-        return under(prefix).stream().filter(item -> item.revision() > after).toList();
+        return itemsUnder(prefix).stream().filter(item -> item.revision() > after).toList();
     }
 
-    /** A key at the revision that a transaction expects; {@link #ABSENT} for a key that doesn't exist. */
+    /** The revision that a transaction expects of a key; {@link #ABSENT} if the key must not exist. */
     record Condition(String key, long revision) {}
 
-    /** A key to be written; lease 0 for none. */
+    /** A key to write, attached to a lease; lease 0 for none. */
     record Put(String key, byte[] value, long lease) {}
 
-    /** All of it or nothing. */
+    /** Conditions, writes and deletions that are applied atomically. */
     record Transaction(List<Condition> conditions, List<Put> puts, List<String> deletes) {}
 
-    /** Carries the transaction out if each condition holds and each lease exists. */
+    /** Applies the transaction if all conditions hold and all leases exist; otherwise changes nothing. */
     Outcome apply(Transaction transaction) {
         for (Condition condition : transaction.conditions()) {
             if (currentRevision(condition.key()) != condition.revision()) {
@@ -100,28 +101,28 @@
         return new Outcome(Result.DONE, revision);
     }
 
-    /** Forgets what was deleted, and that watches may ask for anything up to now. */
+    /** Removes tombstones. Watches from revisions before the current one can no longer be answered. */
     void compact() {
         items.values().removeIf(Item::deleted);
         compactedRevision = revision;
     }
 
-    /** Whether the changes after a revision are still known. */
+    /** Returns whether changes after the revision may have been discarded by {@link #compact}. */
     boolean isCompacted(long after) {
         return after < compactedRevision;
     }
 
-    long grant(long now, long lifeNanos) {
-        leases.put(++lastLease, new Lease(lifeNanos, now + lifeNanos));
+    long grant(long nowNanos, long ttlNanos) {
+        leases.put(++lastLease, new Lease(ttlNanos, nowNanos + ttlNanos));
         return lastLease;
     }
 
-    boolean renew(long now, long lease) {
-        Lease found = leases.get(lease);
-        if (found == null || found.endNanos <= now) {
+    boolean renew(long nowNanos, long lease) {
+        Lease current = leases.get(lease);
+        if (current == null || current.expiryNanos <= nowNanos) {
             return false;
         }
-        found.endNanos = now + found.lifeNanos;
+        current.expiryNanos = nowNanos + current.ttlNanos;
         return true;
     }
 
@@ -133,25 +134,25 @@
         return true;
     }
 
-    /** Ends the leases that lapsed, with their keys; whether there were any. */
-    boolean lapse(long now) {
-        List<Long> lapsed = new ArrayList<>();
+    /** Removes expired leases with their keys. Returns whether there were any. */
+    boolean expireLeases(long nowNanos) {
+        List<Long> expired = new ArrayList<>();
         leases.forEach((lease, state) -> {
-            if (state.endNanos <= now) {
-                lapsed.add(lease);
+            if (state.expiryNanos <= nowNanos) {
+                expired.add(lease);
             }
         });
-        lapsed.forEach(this::revoke);
-        return !lapsed.isEmpty();
+        expired.forEach(this::revoke);
+        return !expired.isEmpty();
     }
 
     private void deleteKeysOf(long lease) {
-        List<Item> held = items.values().stream()
+        List<Item> attached = items.values().stream()
                 .filter(item -> !item.deleted() && item.lease() == lease)
                 .toList();
-        if (!held.isEmpty()) {
+        if (!attached.isEmpty()) {
             apply(new Transaction(
-                    List.of(), List.of(), held.stream().map(Item::key).toList()));
+                    List.of(), List.of(), attached.stream().map(Item::key).toList()));
         }
     }
 
@@ -159,7 +160,7 @@
         return read(key).map(Item::revision).orElse(ABSENT);
     }
 
-    private List<Item> under(String prefix) {
+    private List<Item> itemsUnder(String prefix) {
         return List.copyOf(
                 items.subMap(prefix, true, prefix + Character.MAX_VALUE, true).values());
     }
--- a/src/main/java/org/yuccagw/standins/keyvalue/Transactions.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/Transactions.java
@@ -5,15 +5,15 @@
 import java.util.Base64;
 import java.util.List;
 
-/** Reads transactions from the bodies of calls. */
+/** Parses transactions from the JSON bodies of calls. */
 final class Transactions {
     private Transactions() {}
 
-    static KeyValueState.Transaction read(JsonNode body) {
+    static KeyValueState.Transaction parse(JsonNode body) {
         List<KeyValueState.Condition> conditions = new ArrayList<>();
-        for (JsonNode row : body.path("expected")) {
+        for (JsonNode condition : body.path("expected")) {
             conditions.add(new KeyValueState.Condition(
-                    row.required("key").asText(), row.required("revision").asLong()));
+                    condition.required("key").asText(), condition.required("revision").asLong()));
         }
         List<KeyValueState.Put> puts = new ArrayList<>();
         for (JsonNode put : body.path("puts")) {
@@ -27,7 +27,7 @@
         return new KeyValueState.Transaction(conditions, puts, deletes);
     }
 
-    /** The key by which ordered faults choose a transaction. */
+    /** Returns the key that injected faults are matched against: the first written or, without writes, the first deleted. */
     static String firstKey(KeyValueState.Transaction transaction) {
         if (!transaction.puts().isEmpty()) {
             return transaction.puts().get(0).key();
--- a/src/main/java/org/yuccagw/standins/keyvalue/package-info.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/package-info.java
@@ -1,2 +1,5 @@
-/** The key-value service's stand-in: compare-and-swap, leases, watches, counted calls, rates and outages. */
+/**
+ * Stand-in for the key-value service, with compare-and-swap, leases, watches, call counts, rate limits and simulated
+ * outages.
+ */
 package org.yuccagw.standins.keyvalue;
--- a/src/main/java/org/yuccagw/standins/package-info.java
+++ b/src/main/java/org/yuccagw/standins/package-info.java
@@ -1,2 +1,5 @@
-/** Small stand-ins of the platform's parts, for tests, measurements and trying the system on one machine. */
+/**
+ * Small stand-ins for the services and engines of the platform, for tests, benchmarks and trials of the system on one
+ * machine.
+ */
 package org.yuccagw.standins;
--- a/src/main/java/org/yuccagw/standins/plain/PlainFaults.java
+++ b/src/main/java/org/yuccagw/standins/plain/PlainFaults.java
@@ -3,12 +3,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * How the next calls go, as the field {@code next} of {@code POST /knobs}.
+ * Faults to inject into the next calls, set as the field {@code next} of {@code POST /knobs}. Each count applies to the
+ * calls that follow, and the counts are used up in the order refused, cut before, cut after.
  *
- * @param refused so many are answered with {@code refusalStatus} and have no effect
- * @param cutBefore so many have their connection closed without effect or answer
- * @param cutAfter so many take effect and have their connection closed without an answer
- * @param answerMillis time from the effect of any call to its answer
+ * @param refused the number of calls to answer with {@code refusalStatus}, without effect
+ * @param refusalStatus the HTTP status of refused calls
+ * @param cutBefore the number of calls whose connection is closed without effect or answer
+ * @param cutAfter the number of calls that take effect, but whose connection is closed without an answer
+ * @param answerMillis the delay from the effect of any call to its answer
  */
 public record PlainFaults(int refused, int refusalStatus, int cutBefore, int cutAfter, long answerMillis) {
     private static final int UNAVAILABLE = 503;
--- a/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
+++ b/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
@@ -16,28 +16,28 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * A plain service on one address. It carries out every call that reaches it, also one that it has had before, and keeps
- * a record; the answer repeats what the call was, so that a caller can tell its own.
+ * Stand-in for a plain service, on one address. It executes every call that it receives, duplicates included, and records
+ * it. The answer contains the recorded call, so that a caller can check that the answer belongs to its call.
  */
 public final class PlainServiceStandIn implements StandIn {
     private final String name;
     private final StandInServer server;
-    private final List<PlainCall> calls = new ArrayList<>();
+    private final List<PlainCall> executedCalls = new ArrayList<>();
     private PlainFaults faults = PlainFaults.none();
 
     private PlainServiceStandIn(String name, int port) {
         this.name = name;
         this.server = StandInServer.create(name);
-        server.onAnythingElse(this::carryOut)
+        server.onAnythingElse(this::execute)
                 .withRecord(this::record)
-                .withKnobs(this::turn)
+                .withKnobs(this::applyKnobs)
                 .listen(port);
     }
 
     /**
-     * Starts it.
+     * Starts the service.
      *
-     * @param port 0 takes a free one
+     * @param port the port to listen on; 0 selects a free one
      */
     public static PlainServiceStandIn start(String name, int port) {
         return new PlainServiceStandIn(name, port);
@@ -54,8 +54,8 @@
     }
 
     @Override
-    public void order(ServiceFaults ordered) {
-        server.order(ordered);
+    public void order(ServiceFaults serviceFaults) {
+        server.order(serviceFaults);
     }
 
     @Override
@@ -63,47 +63,48 @@
         server.stop();
     }
 
-    /** Dies: its listener and all connections close. */
+    /** Simulates a crash: closes the listener and all connections. */
     public void kill() {
         server.kill();
     }
 
-    public synchronized void order(PlainFaults ordered) {
-        faults = ordered;
+    /** Replaces the faults to inject into the next calls. */
+    public synchronized void order(PlainFaults newFaults) {
+        faults = newFaults;
     }
 
-    /** Every call that took effect, in order. */
+    /** Returns all calls that took effect, in the order of execution. */
     public synchronized List<PlainCall> calls() {
-        return List.copyOf(calls);
+        return List.copyOf(executedCalls);
     }
 
-    private synchronized void carryOut(StandInCall call) {
-        PlainFaults now = faults;
-        if (now.refused() > 0) {
-            faults = now.withRefused(now.refused() - 1, now.refusalStatus());
-            call.replyError(now.refusalStatus(), "refused", "this call had no effect");
+    private synchronized void execute(StandInCall call) {
+        PlainFaults current = faults;
+        if (current.refused() > 0) {
+            faults = current.withRefused(current.refused() - 1, current.refusalStatus());
+            call.replyError(current.refusalStatus(), "refused", "this call had no effect");
             return;
         }
-        if (now.cutBefore() > 0) {
-            faults = now.withCutBefore(now.cutBefore() - 1);
+        if (current.cutBefore() > 0) {
+            faults = current.withCutBefore(current.cutBefore() - 1);
             call.cut();
             return;
         }
-        PlainCall done = note(call);
-        if (now.cutAfter() > 0) {
-            faults = now.withCutAfter(now.cutAfter() - 1);
+        PlainCall executed = recordCall(call);
+        if (current.cutAfter() > 0) {
+            faults = current.withCutAfter(current.cutAfter() - 1);
             call.cut();
             return;
         }
-        JsonNode answer = StandInJson.tree(done);
-        server.timer().schedule(() -> call.reply(answer), now.answerMillis(), TimeUnit.MILLISECONDS);
+        JsonNode answer = StandInJson.tree(executed);
+        server.timer().schedule(() -> call.reply(answer), current.answerMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private PlainCall note(StandInCall call) {
+    private PlainCall recordCall(StandInCall call) {
         String body = new String(call.body(), StandardCharsets.UTF_8);
-        PlainCall done = new PlainCall(
+        PlainCall executed = new PlainCall(
                 name,
-                calls.size() + 1L,
+                executedCalls.size() + 1L,
                 call.method(),
                 call.pathAndQuery(),
                 call.header("X-Request-Id"),
@@ -112,17 +113,17 @@
                 Markers.in(body),
                 !call.header("traceparent").isEmpty(),
                 System.currentTimeMillis());
-        calls.add(done);
-        return done;
+        executedCalls.add(executed);
+        return executed;
     }
 
     private synchronized ObjectNode record() {
         ObjectNode record = StandInJson.object();
-        record.set("carried_out", StandInJson.tree(calls));
+        record.set("carried_out", StandInJson.tree(executedCalls));
         return record;
     }
 
-    private synchronized void turn(JsonNode knobs) {
+    private synchronized void applyKnobs(JsonNode knobs) {
         if (knobs.has("next")) {
             faults = PlainFaults.of(knobs.path("next"));
         }
--- a/src/main/java/org/yuccagw/standins/plain/package-info.java
+++ b/src/main/java/org/yuccagw/standins/plain/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of a plain service, some of whose calls may not be repeated. */
+/** Stand-in for a plain service, including operations that are not idempotent. */
 package org.yuccagw.standins.plain;
--- a/src/main/java/org/yuccagw/standins/vmlist/VmListStandIn.java
+++ b/src/main/java/org/yuccagw/standins/vmlist/VmListStandIn.java
@@ -14,28 +14,29 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * The platform's list of VMs. A list that is set shows only after the lag; until then the one before it is answered.
+ * Stand-in for the platform's list of VMs. A list that is set becomes visible only after the configured lag; until then
+ * the previous list is returned.
  *
- * <p>{@code POST /knobs} takes {@code {"vms":[...],"lag_ms":N}}, the rows as {@code GET /v1/vms} answers them.
+ * <p>{@code POST /knobs} accepts {@code {"vms":[...],"lag_ms":N}}, with the rows in the format of {@code GET /v1/vms}.
  */
 public final class VmListStandIn implements StandIn {
     private final StandInServer server = StandInServer.create("vm-list");
-    private final ArrayDeque<Version> versions = new ArrayDeque<>();
+    private final ArrayDeque<ListVersion> versions = new ArrayDeque<>();
     private long lagMillis;
 
-    private record Version(long visibleNanos, List<VmRow> rows) {}
+    private record ListVersion(long visibleFromNanos, List<VmRow> rows) {}
 
     private VmListStandIn(int port, long lagMillis) {
         this.lagMillis = lagMillis;
-        versions.add(new Version(System.nanoTime(), List.of()));
-        server.on("GET", "/v1/vms", this::list).withKnobs(this::turn).listen(port);
+        versions.add(new ListVersion(System.nanoTime(), List.of()));
+        server.on("GET", "/v1/vms", this::listVms).withKnobs(this::applyKnobs).listen(port);
     }
 
     /**
-     * Starts with an empty list.
+     * Starts the stand-in with an empty list.
      *
-     * @param port 0 takes a free one
-     * @param lagMillis time until a list that is set shows
+     * @param port the port to listen on; 0 selects a free one
+     * @param lagMillis the delay until a list that is set becomes visible
      */
     public static VmListStandIn start(int port, long lagMillis) {
         return new VmListStandIn(port, lagMillis);
@@ -61,32 +62,34 @@
         server.order(faults);
     }
 
+    /** Sets the delay until lists that are set from now on become visible. */
     public synchronized void setLag(long millis) {
         lagMillis = millis;
     }
 
+    /** Replaces the list, visible after the lag. */
     public synchronized void set(List<VmRow> rows) {
-        long visible = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(lagMillis);
-        versions.addLast(new Version(visible, List.copyOf(rows)));
+        long visibleFrom = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(lagMillis);
+        versions.addLast(new ListVersion(visibleFrom, List.copyOf(rows)));
     }
 
-    private synchronized void list(StandInCall call) {
+    private synchronized void listVms(StandInCall call) {
         ObjectNode answer = StandInJson.object();
-        answer.set("vms", StandInJson.tree(visible()));
+        answer.set("vms", StandInJson.tree(visibleRows()));
         call.reply(answer);
     }
 
-    private List<VmRow> visible() {
+    private List<VmRow> visibleRows() {
         long now = System.nanoTime();
-        List<VmRow> shown = versions.peekFirst().rows();
-        while (!versions.isEmpty() && versions.peekFirst().visibleNanos() <= now) {
-            shown = versions.pollFirst().rows();
+        List<VmRow> current = versions.peekFirst().rows();
+        while (!versions.isEmpty() && versions.peekFirst().visibleFromNanos() <= now) {
+            current = versions.pollFirst().rows();
         }
-        versions.addFirst(new Version(now, shown));
-        return shown;
+        versions.addFirst(new ListVersion(now, current));
+        return current;
     }
 
-    private void turn(JsonNode knobs) {
+    private void applyKnobs(JsonNode knobs) {
         if (knobs.has("lag_ms")) {
             setLag(knobs.path("lag_ms").asLong());
         }
--- a/src/main/java/org/yuccagw/standins/vmlist/VmRow.java
+++ b/src/main/java/org/yuccagw/standins/vmlist/VmRow.java
@@ -4,12 +4,13 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * One row of the list, as its JSON.
+ * One row of the list of VMs; the names of the components are the fields of its JSON.
  *
- * @param incarnation higher after each replacement
+ * @param incarnation incremented by each replacement of the VM
  * @param state {@code live} or {@code leaving}
  * @param kind {@code entry}, {@code endpoint}, {@code store} or {@code weight-store}
- * @param pool the pool of an endpoint, empty for other kinds
+ * @param name the name of the process on the VM
+ * @param pool the pool of an endpoint; empty for other kinds
  * @param address {@code HOST:PORT}
  */
 public record VmRow(
@@ -22,16 +23,17 @@
         String domain,
         String address) {
 
-    /** A live VM whose name is that of its process. */
+    /** Returns the first incarnation of a live VM, named {@code vm-} and the name of its process. */
     public static VmRow live(String kind, String name, String pool, String domain, NetworkAddress address) {
         return new VmRow("vm-" + name, 1, "live", kind, name, pool, domain, address.toString());
     }
 
+    /** Returns the row of this VM with the state {@code leaving}. */
     public VmRow leaving() {
         return new VmRow(vm, incarnation, "leaving", kind, name, pool, domain, address);
     }
 
-    /** The VM after a replacement. */
+    /** Returns the row of this VM after its replacement: the next incarnation, live at the new address. */
     public VmRow replaced(NetworkAddress newAddress) {
         return new VmRow(vm, incarnation + 1, "live", kind, name, pool, domain, newAddress.toString());
     }
--- a/src/main/java/org/yuccagw/standins/vmlist/package-info.java
+++ b/src/main/java/org/yuccagw/standins/vmlist/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of the platform's lagging list of VMs. */
+/** Stand-in for the platform's list of VMs, which shows changes with a lag. */
 package org.yuccagw.standins.vmlist;
--- a/src/main/java/org/yuccagw/standins/weights/WeightStoreStandIn.java
+++ b/src/main/java/org/yuccagw/standins/weights/WeightStoreStandIn.java
@@ -12,8 +12,8 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * The weight store on one address. Its rate is shared: readers take turns of one chunk, so that each gets its part. The
- * bytes are zeros.
+ * Stand-in for the weight store, on one address. Concurrent readers share its rate: each reserves the link for one chunk
+ * at a time, so that all get equal shares. The bytes of all weights are zeros.
  */
 public final class WeightStoreStandIn implements StandIn {
     private static final int NOT_FOUND = 404;
@@ -23,12 +23,12 @@
     private final StandInServer server = StandInServer.create("weight-store");
     private final PacedLink link;
     private int readers;
-    private int mostReaders;
+    private int peakReaders;
 
     private WeightStoreStandIn(WeightStoreSettings settings) {
         this.settings = settings;
         this.link = PacedLink.of(settings.bytesPerSecond());
-        server.on("GET", "/v1/weights/{model}/{version}", this::read)
+        server.on("GET", "/v1/weights/{model}/{version}", this::readWeights)
                 .withRecord(this::record)
                 .listen(settings.port());
     }
@@ -57,12 +57,12 @@
         server.stop();
     }
 
-    /** The most readers that there were at the same time. */
+    /** Returns the peak number of concurrent readers since the start. */
     public synchronized int mostReaders() {
-        return mostReaders;
+        return peakReaders;
     }
 
-    private void read(StandInCall call) {
+    private void readWeights(StandInCall call) {
         String version = call.required("version");
         if (!settings.versions().isEmpty() && !settings.versions().contains(version)) {
             call.replyError(NOT_FOUND, "unknown_version", "there are no weights of '" + version + "'");
@@ -70,38 +70,38 @@
         }
         call.withHeader("Content-Length", Long.toString(settings.versionBytes()));
         ByteStream stream = call.stream("application/octet-stream");
-        enter();
-        stream.onClose(this::leave);
+        readerStarted();
+        stream.onClose(this::readerEnded);
         sendChunk(stream, settings.versionBytes());
     }
 
-    private void sendChunk(ByteStream stream, long left) {
-        if (left == 0) {
+    private void sendChunk(ByteStream stream, long remainingBytes) {
+        if (remainingBytes == 0) {
             stream.end();
             return;
         }
-        int size = (int) Math.min(CHUNK_BYTES, left);
-        long wait = link.reserve(System.nanoTime(), size);
+        int chunkSize = (int) Math.min(CHUNK_BYTES, remainingBytes);
+        long waitNanos = link.reserve(System.nanoTime(), chunkSize);
         server.timer()
                 .schedule(
                         () -> {
-                            stream.write(new byte[size]);
-                            sendChunk(stream, left - size);
+                            stream.write(new byte[chunkSize]);
+                            sendChunk(stream, remainingBytes - chunkSize);
                         },
-                        wait,
+                        waitNanos,
                         TimeUnit.NANOSECONDS);
     }
 
-    private synchronized void enter() {
+    private synchronized void readerStarted() {
         readers++;
-        mostReaders = Math.max(mostReaders, readers);
+        peakReaders = Math.max(peakReaders, readers);
     }
 
-    private synchronized void leave() {
+    private synchronized void readerEnded() {
         readers--;
     }
 
     private synchronized ObjectNode record() {
-        return StandInJson.object().put("readers", readers).put("most_readers", mostReaders);
+        return StandInJson.object().put("readers", readers).put("most_readers", peakReaders);
     }
 }
--- a/src/main/java/org/yuccagw/standins/weights/package-info.java
+++ b/src/main/java/org/yuccagw/standins/weights/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of the rate-limited weight store. */
+/** Stand-in for the weight store, whose readers share one rate limit. */
 package org.yuccagw.standins.weights;
--- a/src/test/java/org/yuccagw/cli/ToolProcessTest.java
+++ b/src/test/java/org/yuccagw/cli/ToolProcessTest.java
@@ -34,7 +34,7 @@
 
     @BeforeClass
     public void startPlatform() throws IOException {
-        keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         vmList = VmListStandIn.start(0, 0);
         caller = HttpCaller.start(1);
     }
--- a/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
@@ -44,7 +44,7 @@
 
     @BeforeClass
     public void startAll() throws Exception {
-        keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         endpoint = new ScriptedEndpoint();
         caller = HttpCaller.start(1);
         keyValue.put(
--- a/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
@@ -28,7 +28,7 @@
     // is answered to its end.
     @Test
     public void aStoppingEntryTakesNoStreamThatItMightCutAndFinishesWhatItTook() throws Exception {
-        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         HttpCaller caller = HttpCaller.start(1);
         try (ScriptedEndpoint endpoint = new ScriptedEndpoint()) {
             publish(keyValue, endpoint);
--- a/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
+++ b/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
@@ -31,7 +31,7 @@
 
     @BeforeMethod
     public void startServiceAndClient() throws IOException {
-        service = KeyValueStandIn.start(KeyValueSettings.usual());
+        service = KeyValueStandIn.start(KeyValueSettings.defaults());
         caller = HttpCaller.start(1);
         client = KeyValueClient.of(caller, service.address());
     }
--- a/src/test/java/org/yuccagw/process/GatewayProcessTest.java
+++ b/src/test/java/org/yuccagw/process/GatewayProcessTest.java
@@ -44,7 +44,7 @@
     @BeforeMethod
     public void startTwoEntries() throws Exception {
         folder = Files.createTempDirectory("gateways");
-        keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         caller = HttpCaller.start(1);
         endpoint = new ScriptedEndpoint();
         SmallDeployment.at(endpoint.address()).publish(keyValue);
--- a/src/test/java/org/yuccagw/standins/StandInsTest.java
+++ b/src/test/java/org/yuccagw/standins/StandInsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test(dataProvider = "names")
-    public void eachStartsByNameAndTellsItsAddresses(String name) throws Exception {
+    public void eachStandInStartsByNameAndPrintsItsAddresses(String name) throws Exception {
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         StandIn started = StandIns.run(name, Map.of(), new PrintStream(printed, true, StandardCharsets.UTF_8));
         assertEquals(
@@ -35,21 +35,21 @@
     }
 
     @Test
-    public void anUnknownOptionIsNamedWithTheKnownOnes() {
+    public void anUnknownOptionIsReportedWithTheKnownOptions() {
         IllegalArgumentException error =
                 expectThrows(IllegalArgumentException.class, () -> StandIns.start("vm-list", Map.of("lag", "3")));
         assertEquals(error.getMessage(), "stand-in 'vm-list' has no option 'lag'; it takes [lag_ms, port]");
     }
 
     @Test
-    public void anUnknownNameIsToldWithTheKnownOnes() {
+    public void anUnknownNameIsReportedWithTheKnownNames() {
         IllegalArgumentException error =
                 expectThrows(IllegalArgumentException.class, () -> StandIns.start("engines", Map.of()));
         assertTrue(error.getMessage().contains("engine, key-value, plain, store, vm-list, weight-store"));
     }
 
     @Test
-    public void optionsAreReadAsPairs() {
+    public void optionsAreParsedAsNamesAndValues() {
         assertEquals(StandIns.options(List.of("a=1", "b=c=d")), Map.of("a", "1", "b", "c=d"));
         expectThrows(IllegalArgumentException.class, () -> StandIns.options(List.of("a")));
     }
--- a/src/test/java/org/yuccagw/standins/keyvalue/KeyValueStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/keyvalue/KeyValueStandInTest.java
@@ -30,7 +30,7 @@
 
     @BeforeMethod
     public void start() throws Exception {
-        service = KeyValueStandIn.start(KeyValueSettings.usual());
+        service = KeyValueStandIn.start(KeyValueSettings.defaults());
         caller = TestCaller.to(service.address());
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void aPrefixFindsItsKeysInOrder() throws Exception {
+    public void aPrefixReadReturnsItsKeysInOrder() throws Exception {
         put("b/2", 0);
         put("b/1", 0);
         put("c", 0);
@@ -59,19 +59,19 @@
     }
 
     @Test
-    public void aValueOverTheLimitIsRefused() throws Exception {
+    public void aValueOverTheSizeLimitIsRejected() throws Exception {
         assertEquals(put("a", 0, new byte[1 << 20], 0).status(), 200);
         assertEquals(put("b", 0, new byte[(1 << 20) + 1], 0).status(), 413);
     }
 
     @Test
-    public void keysGoWithTheirLeaseAndAWatchTells() throws Exception {
+    public void keysAreRemovedWithTheirExpiredLeaseAndReportedToWatches() throws Exception {
         long lease = json(caller.call("POST", "/kv-lease", StandInJson.object().put("ttlMs", 150)))
                 .path("lease")
                 .asLong();
         long written = json(put("l/a", 0, VALUE, lease)).path("revision").asLong();
-        JsonNode told = json(caller.call("GET", "/kv-watch?pathPrefix=l/&after=" + written + "&waitMs=30000"));
-        assertTrue(told.path("events").get(0).path("removed").asBoolean());
+        JsonNode answer = json(caller.call("GET", "/kv-watch?pathPrefix=l/&after=" + written + "&waitMs=30000"));
+        assertTrue(answer.path("events").get(0).path("removed").asBoolean());
         assertEquals(caller.call("GET", "/kv-key?key=l/a").status(), 404);
         assertEquals(
                 caller.call("POST", "/kv-keep/" + lease, StandInJson.object()).status(), 404);
@@ -84,20 +84,20 @@
         put("b", 0);
         assertFalse(watch.isDone());
         put("a", 0);
-        JsonNode told = json(watch.get(30, TimeUnit.SECONDS));
-        assertEquals(told.path("events").findValuesAsText("key"), java.util.List.of("a"));
+        JsonNode answer = json(watch.get(30, TimeUnit.SECONDS));
+        assertEquals(answer.path("events").findValuesAsText("key"), java.util.List.of("a"));
     }
 
     @Test
-    public void aWatchWithNothingNewEndsEmpty() throws Exception {
-        JsonNode told = json(caller.call("GET", "/kv-watch?pathPrefix=a&after=0&waitMs=50"));
-        assertEquals(told.path("events").size(), 0);
+    public void aWatchWithoutChangesEndsWithAnEmptyAnswer() throws Exception {
+        JsonNode answer = json(caller.call("GET", "/kv-watch?pathPrefix=a&after=0&waitMs=50"));
+        assertEquals(answer.path("events").size(), 0);
     }
 
     @Test
-    public void callsOverTheRateAreRefusedAndCounted() throws Exception {
+    public void callsOverTheRateLimitAreRejectedAndCounted() throws Exception {
         stop();
-        service = KeyValueStandIn.start(KeyValueSettings.usual().withRates(0.01, 0));
+        service = KeyValueStandIn.start(KeyValueSettings.defaults().withRates(0.01, 0));
         caller = TestCaller.to(service.address());
         assertEquals(put("a", 0).status(), 200);
         assertEquals(put("b", 0).status(), 429);
@@ -105,28 +105,30 @@
         assertEquals(service.callsByKind().get("refused"), Long.valueOf(1));
     }
 
-    // The caller sees its connection die and can't know what became of the write: it did take effect.
+    // Guards against a wrong fault: the connection closes before the answer, although the write took effect, so that the
+    // outcome is unknown to the caller.
     @Test
-    public void anAnswerCanBeLostAfterTheWriteTookEffect() throws Exception {
+    public void anInjectedFaultDropsTheAnswerOfAWriteThatTookEffect() throws Exception {
         service.order(WriteFaults.dropAnswers("a", 1));
         expectThrows(ExecutionException.class, () -> put("a", 0));
         assertEquals(items("a").size(), 1);
         assertEquals(put("a", 1).status(), 200);
     }
 
-    // A write is slow on its way; by the time that it lands another one was accepted: the late one must not win.
+    // A delayed write arrives after a later write was accepted. Its condition must be checked against the state at the
+    // time of its effect, so that it fails instead of overwriting the later write.
     @Test
-    public void aDelayedWriteLandsLateAndMeetsTheRevisionOfThatTime() throws Exception {
+    public void aDelayedWriteIsCheckedAgainstTheRevisionAtTheTimeOfItsEffect() throws Exception {
         service.order(WriteFaults.delays("a", 1, 300));
-        CompletableFuture<HttpAnswer> late =
+        CompletableFuture<HttpAnswer> delayed =
                 caller.send("POST", "/kv-txn", StandInJson.bytes(transaction("a", 0, VALUE, 0)));
         await().until(() -> service.callsByKind().getOrDefault("write", 0L) == 1);
         assertEquals(put("a", 0).status(), 200);
-        assertEquals(late.get(30, TimeUnit.SECONDS).status(), 412);
+        assertEquals(delayed.get(30, TimeUnit.SECONDS).status(), 412);
     }
 
     @Test
-    public void whileDownItAnswersNothingButItsRecord() throws Exception {
+    public void theRecordIsAnsweredWhileTheServiceIsDown() throws Exception {
         service.order(new ServiceFaults(true, false, 0));
         expectThrows(ExecutionException.class, () -> put("a", 0));
         JsonNode record = json(caller.call("GET", "/record"));
@@ -138,10 +140,10 @@
         assertEquals(put("a", 0).status(), 200);
     }
 
-    // A watcher was cut off for longer than the service keeps its history. Told nothing, it would go on with keys that
-    // are long gone.
+    // A watcher was disconnected for longer than the service keeps its history. Without the error it would continue with
+    // keys that have been removed.
     @Test
-    public void aWatchFromBeforeTheKeptHistoryIsToldSo() throws Exception {
+    public void aWatchFromBeforeTheRetainedHistoryFails() throws Exception {
         put("a", 0);
         put("a", 1);
         service.compact();
@@ -152,7 +154,7 @@
     }
 
     @Test
-    public void aTransactionWithOneWrongConditionChangesNothing() throws Exception {
+    public void aTransactionWithOneFailedConditionChangesNothing() throws Exception {
         put("a", 0);
         ObjectNode both = transaction("b", 0, VALUE, 0);
         both.withArray("expected").addObject().put("key", "a").put("revision", 7);
--- a/src/test/java/org/yuccagw/standins/plain/PlainServiceStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/plain/PlainServiceStandInTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void everyCallIsCarriedOutAndRecorded() throws Exception {
+    public void everyCallIsExecutedAndRecorded() throws Exception {
         assertEquals(json(caller.call("POST", "/a/b?c=d", BODY)).path("path").asText(), "/a/b?c=d");
         caller.call("POST", "/a/b?c=d", BODY);
         assertEquals(service.calls().size(), 2);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void callsCanBeOrderedToFailBeforeOrAfterTheirEffect() throws Exception {
+    public void injectedFaultsFailCallsBeforeOrAfterTheirEffect() throws Exception {
         service.order(PlainFaults.none().withRefused(1, 429));
         assertEquals(caller.call("POST", "/a", BODY).status(), 429);
         service.order(PlainFaults.none().withCutBefore(1));
--- a/src/test/java/org/yuccagw/standins/vmlist/VmListStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/vmlist/VmListStandInTest.java
@@ -14,17 +14,17 @@
             VmRow.live("endpoint", "engine-1", "assistants", "kadaka", NetworkAddress.parse("127.0.0.1:7"));
 
     @Test
-    public void aListThatIsSetShowsAfterTheLag() throws Exception {
-        VmListStandIn list = VmListStandIn.start(0, 0);
-        TestCaller caller = TestCaller.to(list.address());
-        list.set(List.of(ROW));
+    public void aListThatIsSetBecomesVisibleAfterTheLag() throws Exception {
+        VmListStandIn standIn = VmListStandIn.start(0, 0);
+        TestCaller caller = TestCaller.to(standIn.address());
+        standIn.set(List.of(ROW));
         assertEquals(states(caller), List.of("live"));
-        list.setLag(300);
-        list.set(List.of(ROW.leaving()));
+        standIn.setLag(300);
+        standIn.set(List.of(ROW.leaving()));
         assertEquals(states(caller), List.of("live"));
         await().until(() -> states(caller).equals(List.of("leaving")));
         caller.stop();
-        list.stop();
+        standIn.stop();
     }
 
     private static List<String> states(TestCaller caller) throws Exception {
--- a/src/test/java/org/yuccagw/standins/weights/WeightStoreStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/weights/WeightStoreStandInTest.java
@@ -11,20 +11,20 @@
 import org.yuccagw.standins.http.TestCaller;
 
 public class WeightStoreStandInTest {
-    private static final int SIZE = 400_000;
+    private static final int VERSION_BYTES = 400_000;
 
     @Test
-    public void twoReadersShareTheRate() throws Exception {
+    public void concurrentReadersShareTheRate() throws Exception {
         WeightStoreStandIn store = WeightStoreStandIn.start(
-                WeightStoreSettings.usual().withSize(SIZE, 4.0 * SIZE).withVersions(Set.of("v1")));
+                WeightStoreSettings.defaults().withSize(VERSION_BYTES, 4.0 * VERSION_BYTES).withVersions(Set.of("v1")));
         TestCaller caller = TestCaller.to(store.address());
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         CompletableFuture<HttpAnswer> first = caller.send("GET", "/v1/weights/model/v1", new byte[0]);
         CompletableFuture<HttpAnswer> second = caller.send("GET", "/v1/weights/model/v1", new byte[0]);
-        assertEquals(first.get(30, TimeUnit.SECONDS).body().length, SIZE);
-        assertEquals(second.get(30, TimeUnit.SECONDS).body().length, SIZE);
-        // Both together can't be faster than the rate allows: 2 * SIZE at 4 * SIZE a second.
-        assertTrue(System.nanoTime() - begin >= TimeUnit.MILLISECONDS.toNanos(500));
+        assertEquals(first.get(30, TimeUnit.SECONDS).body().length, VERSION_BYTES);
+        assertEquals(second.get(30, TimeUnit.SECONDS).body().length, VERSION_BYTES);
+        // 2 * VERSION_BYTES at 4 * VERSION_BYTES per second take at least 500 ms.
+        assertTrue(System.nanoTime() - startNanos >= TimeUnit.MILLISECONDS.toNanos(500));
         assertEquals(store.mostReaders(), 2);
         assertEquals(caller.call("GET", "/v1/weights/model/v9").status(), 404);
         caller.stop();
