--- a/src/main/java/org/yuccagw/bench/local/LocalPlan.java
+++ b/src/main/java/org/yuccagw/bench/local/LocalPlan.java
@@ -41,7 +41,7 @@
                 USUAL_ENTRIES,
                 USUAL_ENGINES,
                 List.of("domain-1", "domain-2", "domain-3"),
-                EngineCosts.usual().withBlockTokens(LocalCatalogue.BLOCK_TOKENS),
+                EngineCosts.defaults().withBlockTokens(LocalCatalogue.BLOCK_TOKENS),
                 Duration.ofMillis(200),
                 LocalCatalogue.usual(),
                 "off",
--- a/src/main/java/org/yuccagw/standins/StandIns.java
+++ b/src/main/java/org/yuccagw/standins/StandIns.java
@@ -94,21 +94,21 @@
     }
 
     private static StandIn engine(StandInOptions options) {
-        EngineCosts costs = EngineCosts.usual();
-        EngineSettings settings = EngineSettings.usual(
+        EngineCosts costs = EngineCosts.defaults();
+        EngineSettings settings = EngineSettings.defaults(
                         options.text("name", "engine-1"),
                         options.text("model", "assistant"),
                         WeightVersion.of(options.text("version", "v1")))
                 .withPort(options.integer("port", 0))
                 .withIncarnation(options.number("incarnation", 1))
-                .withCosts(costs.faster(options.decimal("faster", 1))
+                .withCosts(costs.withSpeedFactor(options.decimal("faster", 1))
                         .withCacheBlocks(options.integer("cache_blocks", costs.cacheBlocks()))
                         .withBlockTokens(options.integer("block_tokens", costs.blockTokens()))
                         .withBatch(
-                                options.integer("most_sequences", costs.mostSequences()),
+                                options.integer("most_sequences", costs.maxSequences()),
                                 options.integer("queue_limit", costs.queueLimit())))
                 .withFencingCheck(Boolean.parseBoolean(options.text("fencing", "false")))
-                .withStreamKeep(Duration.ofMillis(options.number("stream_keep_ms", 30_000)))
+                .withStreamRetention(Duration.ofMillis(options.number("stream_keep_ms", 30_000)))
                 .withLoadTime(Duration.ofMillis(options.number("load_ms", 100)))
                 .withLags(new EngineSettings.Lags(
                         Duration.ofMillis(options.number("load_lag_ms", 200)),
@@ -120,7 +120,7 @@
     }
 
     private static StandIn store(StandInOptions options) {
-        CacheStoreSettings defaults = CacheStoreSettings.usual(options.text("name", "store-1"));
+        CacheStoreSettings defaults = CacheStoreSettings.defaults(options.text("name", "store-1"));
         CacheStoreSettings settings = defaults.withPort(options.integer("port", 0))
                 .withCapacity(
                         options.number("memory_bytes", defaults.memoryBytes()),
--- a/src/main/java/org/yuccagw/standins/engine/AnswerRun.java
+++ b/src/main/java/org/yuccagw/standins/engine/AnswerRun.java
@@ -8,8 +8,8 @@
 import org.yuccagw.standins.http.ByteStream;
 
 /**
- * One answer while the engine writes it and for as long as it keeps it. The words so far are kept, so that a reader may
- * begin at any of them. Guarded by the lock of its {@link EngineRuntime}.
+ * The generation of one answer, retained for some time after its end. All words so far are retained, so that a reader
+ * can start after any of them. Guarded by the lock of its {@link EngineRuntime}.
  */
 final class AnswerRun {
     private final long id;
@@ -18,16 +18,16 @@
     private final Caller caller;
     private final String version;
     private final AnswerText text;
-    private final AnswerShape shape;
+    private final AnswerJson json;
     private final List<String> words = new ArrayList<>();
     private final List<ByteStream> readers = new ArrayList<>();
-    private Consumer<JsonNode> wholeAnswer = ignored -> {};
-    private boolean awaitsWhole;
+    private Consumer<JsonNode> fullAnswerConsumer = ignored -> {};
+    private boolean awaitsFullAnswer;
     private boolean finished;
     private long cachedTokens;
-    private long unreadNanos;
+    private long unreadSinceNanos;
 
-    /** What the headers of the request said of its caller. */
+    /** The headers of a request that identify its attempt. */
     record Caller(String attempt, String idempotencyKey) {}
 
     AnswerRun(long id, String stream, PromptRequest request, Caller caller, String version, String model) {
@@ -36,9 +36,9 @@
         this.request = request;
         this.caller = caller;
         this.version = version;
-        this.text = AnswerText.after(request.answerStart());
-        this.shape = new AnswerShape(stream, model, request.chat());
-        this.unreadNanos = System.nanoTime();
+        this.text = AnswerText.after(request.answerPrefix());
+        this.json = new AnswerJson(stream, model, request.chat());
+        this.unreadSinceNanos = System.nanoTime();
     }
 
     long id() {
@@ -65,19 +65,20 @@
         return finished;
     }
 
-    boolean isRead() {
-        return awaitsWhole || !readers.isEmpty();
+    /** Returns whether a stream reader or a caller of the full answer waits for the end. */
+    boolean hasReader() {
+        return awaitsFullAnswer || !readers.isEmpty();
     }
 
-    /** Since when nobody reads it. */
-    long unreadNanos() {
-        return unreadNanos;
+    /** Returns the time since which the answer has had no reader; only meaningful while it has none. */
+    long unreadSinceNanos() {
+        return unreadSinceNanos;
     }
 
-    /** Sends what comes after token {@code from} now, and the rest as it comes. */
+    /** Sends the tokens after token {@code from}: the existing ones at once, the others when they are generated. */
     void addReader(ByteStream reader, int from) {
         for (int number = from + 1; number <= words.size(); number++) {
-            reader.write(token(number));
+            reader.write(tokenEvent(number));
         }
         if (finished) {
             endReader(reader);
@@ -86,60 +87,61 @@
         }
     }
 
-    void removeReader(ByteStream reader, long now) {
+    void removeReader(ByteStream reader, long nowNanos) {
         readers.remove(reader);
-        unreadNanos = now;
+        unreadSinceNanos = nowNanos;
     }
 
-    void awaitWhole(Consumer<JsonNode> consumer) {
+    /** Passes the full answer to the consumer once it is complete. */
+    void awaitFullAnswer(Consumer<JsonNode> consumer) {
         if (finished) {
-            consumer.accept(wholeText());
+            consumer.accept(fullAnswer());
             return;
         }
-        wholeAnswer = consumer;
-        awaitsWhole = true;
+        fullAnswerConsumer = consumer;
+        awaitsFullAnswer = true;
     }
 
     void onToken() {
         words.add(text.nextWord());
-        byte[] bytes = token(words.size());
+        byte[] bytes = tokenEvent(words.size());
         readers.forEach(reader -> reader.write(bytes));
     }
 
-    void onFinished(long now, long cached) {
+    void onFinished(long nowNanos, long finalCachedTokens) {
         finished = true;
-        cachedTokens = cached;
-        unreadNanos = now;
+        cachedTokens = finalCachedTokens;
+        unreadSinceNanos = nowNanos;
         readers.forEach(this::endReader);
         readers.clear();
-        awaitsWhole = false;
-        wholeAnswer.accept(wholeText());
+        awaitsFullAnswer = false;
+        fullAnswerConsumer.accept(fullAnswer());
     }
 
-    /** Ends the connections of its readers in the middle of the answer. */
-    void cutReaders() {
-        List.copyOf(readers).forEach(ByteStream::cut);
+    /** Closes the connections of all readers before the end of the answer. */
+    void abortReaders() {
+        List.copyOf(readers).forEach(ByteStream::abort);
     }
 
     private void endReader(ByteStream reader) {
-        reader.write(event("", shape.lastChunk(usage())));
+        reader.write(sseEvent("", json.lastChunk(usage())));
         reader.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
         reader.end();
     }
 
-    private byte[] token(int number) {
-        return event("id: " + number + "\n", shape.chunk(words.get(number - 1)));
+    private byte[] tokenEvent(int number) {
+        return sseEvent("id: " + number + "\n", json.chunk(words.get(number - 1)));
     }
 
-    private static byte[] event(String head, JsonNode data) {
-        return (head + "data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8);
+    private static byte[] sseEvent(String prefix, JsonNode data) {
+        return (prefix + "data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private JsonNode wholeText() {
-        return shape.whole(String.join("", words), usage());
+    private JsonNode fullAnswer() {
+        return json.fullAnswer(String.join("", words), usage());
     }
 
-    private AnswerShape.Usage usage() {
-        return new AnswerShape.Usage(request.promptTokens(), words.size(), cachedTokens);
+    private AnswerJson.Usage usage() {
+        return new AnswerJson.Usage(request.promptTokens(), words.size(), cachedTokens);
     }
 }
--- a/src/main/java/org/yuccagw/standins/engine/AnswerText.java
+++ b/src/main/java/org/yuccagw/standins/engine/AnswerText.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * The text that a stand-in engine answers with: each word is a function of all text before it.
+ * The text of the answers of stand-in engines, in which each word is a function of all preceding text.
  *
- * <p>A running FNV-1a hash over the bytes of prompt and answer so far picks the next word. So any engine that is given
- * the prompt with a part of the answer appended goes on with the very words that the first one would have given, and a
- * test knows the whole answer of any prompt.
+ * <p>A running FNV-1a hash over the bytes of the prompt and the answer so far selects the next word. An engine that
+ * receives the prompt with the beginning of its answer appended therefore continues with the same words as the first
+ * engine, and tests can compute the full answer to any prompt.
  */
 public final class AnswerText {
-    private static final long OFFSET = 0xcbf29ce484222325L;
-    private static final long PRIME = 0x100000001b3L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
     private static final List<String> WORDS = List.of(
             "amber ",
             "birch ",
@@ -47,18 +47,18 @@
             "granite ",
             "heath ");
 
-    private long hash = OFFSET;
+    private long hash = FNV_OFFSET_BASIS;
 
     private AnswerText() {}
 
-    /** The answer that follows this text. */
+    /** Returns the generator of the answer to this text. */
     static AnswerText after(String text) {
         AnswerText answer = new AnswerText();
-        answer.add(text);
+        answer.updateHash(text);
         return answer;
     }
 
-    /** The first {@code tokens} words that follow this text. */
+    /** Returns the first {@code tokens} words of the answer to this text. */
     public static String words(String text, int tokens) {
         AnswerText answer = after(text);
         StringBuilder words = new StringBuilder();
@@ -70,14 +70,14 @@
 
     String nextWord() {
         long mixed = hash ^ (hash >>> 32);
-        String word = WORDS.get((int) Long.remainderUnsigned(mixed * PRIME, WORDS.size()));
-        add(word);
+        String word = WORDS.get((int) Long.remainderUnsigned(mixed * FNV_PRIME, WORDS.size()));
+        updateHash(word);
         return word;
     }
 
-    private void add(String text) {
+    private void updateHash(String text) {
         for (byte next : text.getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ (next & 0xff)) * PRIME;
+            hash = (hash ^ (next & 0xff)) * FNV_PRIME;
         }
     }
 }
--- a/src/main/java/org/yuccagw/standins/engine/BlockImport.java
+++ b/src/main/java/org/yuccagw/standins/engine/BlockImport.java
@@ -13,142 +13,145 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.StandInJson;
 
 /**
- * Reads blocks from a store, a few at a time, and commits each to the cache only after generation, length and checksum
- * were checked. At the deadline it answers at once; a block that arrives later is thrown away.
+ * Reads blocks from a store, with a limited number of concurrent reads, and commits each to the cache only after its
+ * generation, length and checksum have been verified. The import is answered at the deadline at the latest; blocks that
+ * arrive after it are discarded.
  */
 final class BlockImport {
-    private static final int AT_ONCE = 4;
+    private static final int MAX_CONCURRENT_READS = 4;
     private static final int NOT_FOUND = 404;
 
-    private final HttpCaller caller;
+    private final HttpClient httpClient;
     private final NetworkAddress store;
     private final long deadlineNanos;
-    private final BiFunction<Wanted, byte[], EngineRuntime.Commit> commit;
+    private final BiFunction<RequestedBlock, byte[], EngineRuntime.Commit> commit;
     private final Consumer<JsonNode> reply;
-    private final Deque<Wanted> waiting = new ArrayDeque<>();
-    private final Set<Wanted> active = new LinkedHashSet<>();
+    private final Deque<RequestedBlock> queue = new ArrayDeque<>();
+    private final Set<RequestedBlock> activeReads = new LinkedHashSet<>();
     private final ObjectNode answer = StandInJson.object();
     private final ArrayNode failed = answer.putArray("failed");
     private int imported;
-    private long bytes;
-    private boolean over;
+    private long importedBytes;
+    private boolean answered;
 
-    record Wanted(BlockKey key, long generation, long length, long checksum) {
-        private static Wanted of(JsonNode node) {
-            return new Wanted(
+    /** A block generation to import, with the length and checksum that its bytes must have. */
+    record RequestedBlock(BlockKey key, long generation, long length, long checksum) {
+        private static RequestedBlock of(JsonNode node) {
+            return new RequestedBlock(
                     BlockKey.parse(node.path("key").asText()),
                     node.path("generation").asLong(),
                     node.path("length").asLong(),
                     node.path("checksum").asLong());
         }
 
-        /** Whether the answer is this very generation, whole and undamaged. */
-        private boolean matches(HttpAnswer answered) {
-            return answered.header("X-Generation").equals(Long.toString(generation))
-                    && answered.body().length == length
-                    && Hashing.crc32c().hashBytes(answered.body()).padToLong() == checksum;
+        /** Returns whether the response has this generation, completely and undamaged. */
+        private boolean matches(HttpResponse response) {
+            return response.header("X-Generation").equals(Long.toString(generation))
+                    && response.body().length == length
+                    && Hashing.crc32c().hashBytes(response.body()).padToLong() == checksum;
         }
     }
 
     private BlockImport(
-            HttpCaller caller,
+            HttpClient httpClient,
             JsonNode order,
-            BiFunction<Wanted, byte[], EngineRuntime.Commit> commit,
+            BiFunction<RequestedBlock, byte[], EngineRuntime.Commit> commit,
             Consumer<JsonNode> reply) {
-        this.caller = caller;
+        this.httpClient = httpClient;
         this.store = NetworkAddress.parse(order.path("store").asText());
         this.deadlineNanos = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(order.path("deadline").asLong());
         this.commit = commit;
         this.reply = reply;
-        order.path("blocks").forEach(block -> waiting.add(Wanted.of(block)));
+        order.path("blocks").forEach(node -> queue.add(RequestedBlock.of(node)));
     }
 
     static void start(
-            HttpCaller caller,
+            HttpClient httpClient,
             ScheduledExecutorService timer,
             JsonNode order,
-            BiFunction<Wanted, byte[], EngineRuntime.Commit> commit,
+            BiFunction<RequestedBlock, byte[], EngineRuntime.Commit> commit,
             Consumer<JsonNode> reply) {
-        BlockImport started = new BlockImport(caller, order, commit, reply);
-        timer.schedule(started::onDeadline, order.path("deadline").asLong(), TimeUnit.MILLISECONDS);
-        started.next();
+        BlockImport blockImport = new BlockImport(httpClient, order, commit, reply);
+        timer.schedule(blockImport::onDeadline, order.path("deadline").asLong(), TimeUnit.MILLISECONDS);
+        blockImport.readNext();
     }
 
-    private synchronized void next() {
-        if (over) {
+    private synchronized void readNext() {
+        if (answered) {
             return;
         }
-        while (active.size() < AT_ONCE && !waiting.isEmpty()) {
-            Wanted wanted = waiting.poll();
-            active.add(wanted);
-            read(wanted);
+        while (activeReads.size() < MAX_CONCURRENT_READS && !queue.isEmpty()) {
+            RequestedBlock block = queue.poll();
+            activeReads.add(block);
+            read(block);
         }
-        if (active.isEmpty()) {
+        if (activeReads.isEmpty()) {
             finish();
         }
     }
 
-    private void read(Wanted wanted) {
-        String path = "/v1/blocks/" + wanted.key() + "?generation=" + wanted.generation();
-        Duration left = Duration.ofNanos(Math.max(1_000_000, deadlineNanos - System.nanoTime()));
-        caller.send(HttpQuery.get(store, path).withTimeouts(left, left))
-                .whenComplete((answered, failure) -> onAnswer(wanted, failure == null ? answered : null));
+    private void read(RequestedBlock block) {
+        String path = "/v1/blocks/" + block.key() + "?generation=" + block.generation();
+        Duration remaining = Duration.ofNanos(Math.max(1_000_000, deadlineNanos - System.nanoTime()));
+        httpClient
+                .send(HttpRequest.get(store, path).withTimeouts(remaining, remaining))
+                .whenComplete((response, failure) -> onResponse(block, failure == null ? response : null));
     }
 
-    private synchronized void onAnswer(Wanted wanted, HttpAnswer answered) {
-        if (over) {
+    private synchronized void onResponse(RequestedBlock block, HttpResponse response) {
+        if (answered) {
             return;
         }
-        active.remove(wanted);
-        if (answered == null) {
-            fail(wanted, System.nanoTime() >= deadlineNanos ? "late" : "store");
-        } else if (answered.status() == NOT_FOUND) {
-            fail(wanted, "gone");
-        } else if (!answered.isSuccess()) {
-            fail(wanted, "store");
-        } else if (!wanted.matches(answered)) {
-            fail(wanted, "damaged");
+        activeReads.remove(block);
+        if (response == null) {
+            addFailure(block, System.nanoTime() >= deadlineNanos ? "late" : "store");
+        } else if (response.status() == NOT_FOUND) {
+            addFailure(block, "gone");
+        } else if (!response.isSuccess()) {
+            addFailure(block, "store");
+        } else if (!block.matches(response)) {
+            addFailure(block, "damaged");
         } else {
-            commit(wanted, answered.body());
+            commit(block, response.body());
         }
-        next();
+        readNext();
     }
 
-    private void commit(Wanted wanted, byte[] body) {
-        switch (commit.apply(wanted, body)) {
-            case KEPT -> {
+    private void commit(RequestedBlock block, byte[] body) {
+        switch (commit.apply(block, body)) {
+            case CACHED -> {
                 imported++;
-                bytes += body.length;
+                importedBytes += body.length;
             }
-            case NO_ROOM -> fail(wanted, "full");
-            default -> fail(wanted, "late");
+            case CACHE_FULL -> addFailure(block, "full");
+            default -> addFailure(block, "late");
         }
     }
 
-    private void fail(Wanted wanted, String reason) {
-        failed.addObject().put("key", wanted.key().toString()).put("reason", reason);
+    private void addFailure(RequestedBlock block, String reason) {
+        failed.addObject().put("key", block.key().toString()).put("reason", reason);
     }
 
     private synchronized void onDeadline() {
-        if (over) {
+        if (answered) {
             return;
         }
-        active.forEach(wanted -> fail(wanted, "late"));
-        waiting.forEach(wanted -> fail(wanted, "late"));
+        activeReads.forEach(block -> addFailure(block, "late"));
+        queue.forEach(block -> addFailure(block, "late"));
         finish();
     }
 
     private void finish() {
-        over = true;
-        reply.accept(answer.put("imported", imported).put("bytes", bytes));
+        answered = true;
+        reply.accept(answer.put("imported", imported).put("bytes", importedBytes));
     }
 }
--- a/src/main/java/org/yuccagw/standins/engine/CacheEventLog.java
+++ b/src/main/java/org/yuccagw/standins/engine/CacheEventLog.java
@@ -8,16 +8,16 @@
 import org.yuccagw.standins.http.StandInJson;
 
 /**
- * The cache events as others may read them: each only after the lag, and some lost. A lost event keeps its number, so
- * that the reader sees a gap.
+ * The log of cache events as reported to readers: events become visible only after a lag, and some are lost. A lost
+ * event keeps its sequence number, so that readers see a gap.
  */
 final class CacheEventLog {
-    private static final int MOST_KEPT = 10_000;
+    private static final int MAX_ENTRIES = 10_000;
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private long lagNanos;
     private int lostEvery;
-    private long sequence;
+    private long lastSequence;
 
     private record Entry(long sequence, long nanos, String kind, List<BlockKey> blocks) {}
 
@@ -26,36 +26,38 @@
         this.lostEvery = lostEvery;
     }
 
-    void setLag(long nanos) {
-        lagNanos = nanos;
+    void setLag(long newLagNanos) {
+        lagNanos = newLagNanos;
     }
 
-    void setLostEvery(int every) {
-        lostEvery = every;
+    /** Sets that every event whose sequence number is a multiple of this is lost; 0 for none. */
+    void setLostEvery(int newLostEvery) {
+        lostEvery = newLostEvery;
     }
 
-    void add(long now, String kind, List<BlockKey> blocks) {
-        sequence++;
-        boolean lost = lostEvery > 0 && sequence % lostEvery == 0;
-        entries.addLast(new Entry(sequence, now, kind, lost ? List.of() : blocks));
-        if (entries.size() > MOST_KEPT) {
+    void add(long nowNanos, String kind, List<BlockKey> blocks) {
+        lastSequence++;
+        boolean lost = lostEvery > 0 && lastSequence % lostEvery == 0;
+        entries.addLast(new Entry(lastSequence, nowNanos, kind, lost ? List.of() : blocks));
+        if (entries.size() > MAX_ENTRIES) {
             entries.removeFirst();
         }
     }
 
     long sequence() {
-        return sequence;
+        return lastSequence;
     }
 
-    ObjectNode after(long now, long after) {
+    /** Returns the visible events after a sequence number, and the last visible sequence number. */
+    ObjectNode after(long nowNanos, long after) {
         ObjectNode answer = StandInJson.object();
         ArrayNode events = answer.putArray("events");
-        long last = after;
+        long visibleSequence = after;
         for (Entry entry : entries) {
-            if (entry.nanos() + lagNanos > now) {
+            if (entry.nanos() + lagNanos > nowNanos) {
                 break;
             }
-            last = Math.max(last, entry.sequence());
+            visibleSequence = Math.max(visibleSequence, entry.sequence());
             if (entry.sequence() > after && !entry.blocks().isEmpty()) {
                 ObjectNode event =
                         events.addObject().put("sequence", entry.sequence()).put("kind", entry.kind());
@@ -65,6 +67,6 @@
                                 entry.blocks().stream().map(BlockKey::toString).toList()));
             }
         }
-        return answer.put("sequence", last);
+        return answer.put("sequence", visibleSequence);
     }
 }
--- a/src/main/java/org/yuccagw/standins/engine/EngineCosts.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineCosts.java
@@ -3,54 +3,59 @@
 import java.time.Duration;
 
 /**
- * What an engine's work costs. The defaults are those of a mid-sized model on one accelerator.
+ * The cost of the work of an engine. The defaults are those of a mid-sized model on one accelerator.
  *
- * @param iterationBase fixed time of one iteration of the batch
- * @param iterationPerSequence time that each sequence in the batch adds to an iteration
- * @param prefillTokensPerSecond prompt tokens processed a second; adds to the iterations that do it
- * @param prefillChunkTokens most prompt tokens processed in one iteration, over all sequences
- * @param mostSequences most sequences in the batch
- * @param queueLimit most requests that wait; one more is refused
- * @param blockTokens tokens of one cache block
- * @param cacheBlocks blocks that the prefix cache holds; the memory of sequences in the batch is apart from it
+ * @param iterationBase the fixed duration of one iteration of the batch
+ * @param iterationPerSequence the duration that each sequence in the batch adds to an iteration
+ * @param prefillTokensPerSecond the prompt tokens processed per second; prefill extends the iterations that
+ *     include it
+ * @param prefillChunkTokens the maximum number of prompt tokens processed in one iteration, over all sequences
+ * @param maxSequences the maximum number of sequences in the batch
+ * @param queueLimit the maximum number of queued requests; further requests are rejected
+ * @param blockTokens the tokens of one cache block
+ * @param cacheBlocks the capacity of the prefix cache in blocks, which excludes the memory of sequences in the batch
  */
 public record EngineCosts(
         Duration iterationBase,
         Duration iterationPerSequence,
         double prefillTokensPerSecond,
         int prefillChunkTokens,
-        int mostSequences,
+        int maxSequences,
         int queueLimit,
         int blockTokens,
         int cacheBlocks) {
-    private static final EngineCosts USUAL =
+    private static final EngineCosts DEFAULTS =
             new EngineCosts(Duration.ofMillis(12), Duration.ofNanos(250_000), 8_000, 2_048, 32, 256, 16, 8_192);
 
     public EngineCosts {
         if (iterationBase.isNegative() || iterationBase.isZero() || iterationPerSequence.isNegative()) {
-            throw new IllegalArgumentException("an iteration needs a time above 0, found " + iterationBase);
+            throw new IllegalArgumentException("the duration of an iteration must be positive, found " + iterationBase);
         }
         if (prefillTokensPerSecond <= 0 || prefillChunkTokens < 1) {
-            throw new IllegalArgumentException("the prefill speed and chunk need to be above 0");
+            throw new IllegalArgumentException("the prefill rate and chunk size must be positive");
         }
-        if (mostSequences < 1 || queueLimit < 0 || blockTokens < 1 || cacheBlocks < 0) {
-            throw new IllegalArgumentException("the batch and block size need to be at least 1, queue and cache 0");
+        if (maxSequences < 1 || queueLimit < 0 || blockTokens < 1 || cacheBlocks < 0) {
+            throw new IllegalArgumentException(
+                    "the batch and block sizes must be at least 1, the queue limit and cache size at least 0");
         }
     }
 
-    /** 12 ms and 0.25 ms for each sequence, 8,000 tokens/s of prefill, 32 sequences, 131,072 tokens of cache. */
-    public static EngineCosts usual() {
-        return USUAL;
+    /**
+     * Returns the defaults: iterations of 12 ms and 0.25 ms for each sequence, a prefill rate of 8,000 tokens/s, at
+     * most 32 sequences, and a cache of 131,072 tokens.
+     */
+    public static EngineCosts defaults() {
+        return DEFAULTS;
     }
 
-    /** The same engine, {@code factor} times as fast in everything. */
-    public EngineCosts faster(double factor) {
+    /** Returns the costs of an engine that is faster by {@code factor} in iterations and prefill. */
+    public EngineCosts withSpeedFactor(double factor) {
         return new EngineCosts(
                 divide(iterationBase, factor),
                 divide(iterationPerSequence, factor),
                 prefillTokensPerSecond * factor,
                 prefillChunkTokens,
-                mostSequences,
+                maxSequences,
                 queueLimit,
                 blockTokens,
                 cacheBlocks);
@@ -62,32 +67,32 @@
                 iterationPerSequence,
                 prefillTokensPerSecond,
                 prefillChunkTokens,
-                mostSequences,
+                maxSequences,
                 queueLimit,
                 blockTokens,
                 blocks);
     }
 
-    public EngineCosts withBlockTokens(int tokens) {
+    public EngineCosts withBlockTokens(int newBlockTokens) {
         return new EngineCosts(
                 iterationBase,
                 iterationPerSequence,
                 prefillTokensPerSecond,
                 prefillChunkTokens,
-                mostSequences,
+                maxSequences,
                 queueLimit,
-                tokens,
+                newBlockTokens,
                 cacheBlocks);
     }
 
-    public EngineCosts withBatch(int sequences, int waiting) {
+    public EngineCosts withBatch(int newMaxSequences, int newQueueLimit) {
         return new EngineCosts(
                 iterationBase,
                 iterationPerSequence,
                 prefillTokensPerSecond,
                 prefillChunkTokens,
-                sequences,
-                waiting,
+                newMaxSequences,
+                newQueueLimit,
                 blockTokens,
                 cacheBlocks);
     }
@@ -98,7 +103,7 @@
                 iterationPerSequence,
                 tokensPerSecond,
                 chunkTokens,
-                mostSequences,
+                maxSequences,
                 queueLimit,
                 blockTokens,
                 cacheBlocks);
@@ -110,13 +115,13 @@
                 perSequence,
                 prefillTokensPerSecond,
                 prefillChunkTokens,
-                mostSequences,
+                maxSequences,
                 queueLimit,
                 blockTokens,
                 cacheBlocks);
     }
 
-    /** Time of one iteration with so many sequences and prompt tokens. */
+    /** Returns the duration of an iteration with this number of sequences and prompt tokens. */
     long iterationNanos(int sequences, long prefillTokens) {
         double prefillNanos = prefillTokens * 1e9 / prefillTokensPerSecond;
         return iterationBase.toNanos() + sequences * iterationPerSequence.toNanos() + (long) prefillNanos;
--- a/src/main/java/org/yuccagw/standins/engine/EngineModel.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineModel.java
@@ -11,27 +11,27 @@
 import org.yuccagw.core.id.WeightVersion;
 
 /**
- * A documented cost model of a model engine with continuous batching, in virtual time. It has no threads and no clock:
- * the caller passes the time in nanoseconds, and time never goes back.
+ * A cost model of a model engine with continuous batching, in virtual time. It has no threads and no clock: the caller
+ * passes the time in nanoseconds, which must not decrease.
  *
- * <p>The engine works in iterations. At the start of one, requests leave the queue, lower priority numbers first and
- * then in order of arrival, while the batch has room. Each sequence that enters finds the leading blocks of its prompt
- * in the prefix cache and has only the rest of its prompt to process. In the iteration,
+ * <p>The engine works in iterations. At the start of an iteration, queued requests are admitted to the batch while it
+ * has free capacity, lower priority numbers first and then in order of arrival. An admitted sequence reuses the leading
+ * blocks of its prompt that are in the prefix cache, so that only the rest of its prompt is prefilled. In an iteration,
  *
  * <ol>
- *   <li>prompt tokens are processed up to one chunk, the sequences in the order in which they entered;
- *   <li>each sequence whose prompt was done before gives one token;
- *   <li>a sequence whose prompt is done in this iteration gives its first token at its end.
+ *   <li>prompt tokens are processed up to one chunk, the sequences in the order of their admission;
+ *   <li>each sequence whose prefill was complete before generates one token;
+ *   <li>a sequence whose prefill is completed in this iteration generates its first token at its end.
  * </ol>
  *
- * <p>It takes {@code base + sequences * perSequence + promptTokens / prefillSpeed}. The end of an answer puts the whole
- * blocks of its prompt into the cache; blocks in use by a running sequence aren't evicted.
+ * <p>An iteration takes {@code base + sequences * perSequence + promptTokens / prefillRate}. At the end of an answer
+ * the complete blocks of its prompt are added to the cache. Blocks in use by a running sequence aren't evicted.
  *
- * <p>Example with the usual costs, an idle engine and a prompt of 2,000 tokens of which 1,600 are cached: the first
- * token comes after 12 ms + 0.25 ms + 400 / 8,000 s = 62.25 ms, each further one after 12.25 ms.
+ * <p>Example with the default costs, an idle engine and a prompt of 2,000 tokens of which 1,600 are cached: the first
+ * token is generated after 12 ms + 0.25 ms + 400 / 8,000 s = 62.25 ms, each further token after 12.25 ms.
  *
- * <p>A sequence keeps the weight version of its submission. After a switch of versions the cache is empty, and the
- * blocks of older sequences aren't stored.
+ * <p>A sequence keeps the weight version at the time of its submission. A switch of versions clears the cache, and the
+ * blocks of sequences with older versions aren't stored.
  */
 public final class EngineModel {
     private static final long NEVER = Long.MAX_VALUE;
@@ -42,11 +42,11 @@
             new TreeSet<>(Comparator.<Sequence>comparingInt(sequence -> sequence.request.priority())
                     .thenComparingLong(sequence -> sequence.arrival));
     private final List<Sequence> batch = new ArrayList<>();
-    private final ArrayDeque<EngineEvent> pending = new ArrayDeque<>();
+    private final ArrayDeque<EngineEvent> pendingEvents = new ArrayDeque<>();
 
     private WeightVersion version;
-    private long arrivals;
-    private long iterationEnd = NEVER;
+    private long nextArrival;
+    private long iterationEndNanos = NEVER;
 
     private EngineModel(EngineCosts costs, WeightVersion version) {
         this.costs = costs;
@@ -62,17 +62,17 @@
         private final EngineRequest request;
         private final long arrival;
         private final WeightVersion version;
-        private PrefixCache.Hold hold;
+        private PrefixCache.PinnedPrefix pinnedPrefix;
         private long cachedTokens;
-        private long prefillLeft;
-        private long prefillInIteration;
-        private int tokens;
+        private long remainingPrefillTokens;
+        private long iterationPrefillTokens;
+        private int generatedTokens;
 
         private Sequence(EngineRequest request, long arrival, WeightVersion version) {
             this.request = request;
             this.arrival = arrival;
             this.version = version;
-            this.prefillLeft = request.promptTokens();
+            this.remainingPrefillTokens = request.promptTokens();
         }
     }
 
@@ -80,46 +80,48 @@
         return costs;
     }
 
-    /** The weight version that a request submitted now would run on. */
+    /** Returns the weight version of requests that are submitted from now on. */
     public WeightVersion version() {
         return version;
     }
 
     /**
-     * Takes a request; first {@link #advanceTo} this time.
+     * Submits a request. {@link #advanceTo} must have been called with this time before.
      *
-     * @return false if the queue is full; the request then has no effect
+     * @return false if the queue is full, in which case the request has no effect
      */
-    public boolean submit(long now, EngineRequest request) {
-        boolean startsAtOnce = iterationEnd == NEVER;
-        if (!startsAtOnce && queue.size() >= costs.queueLimit()) {
+    public boolean submit(long nowNanos, EngineRequest request) {
+        boolean idle = iterationEndNanos == NEVER;
+        if (!idle && queue.size() >= costs.queueLimit()) {
             return false;
         }
-        queue.add(new Sequence(request, arrivals++, version));
-        if (startsAtOnce) {
-            beginIteration(now);
+        queue.add(new Sequence(request, nextArrival++, version));
+        if (idle) {
+            beginIteration(nowNanos);
         }
         return true;
     }
 
-    /** Runs everything due up to and including {@code now}; events come in the order of their times. */
-    public void advanceTo(long now, Consumer<EngineEvent> events) {
-        drain(events);
-        while (iterationEnd <= now) {
-            long end = iterationEnd;
-            endIteration(end);
-            beginIteration(end);
-            drain(events);
+    /** Advances the model up to and including a time and emits the events in the order of their times. */
+    public void advanceTo(long nowNanos, Consumer<EngineEvent> events) {
+        emitPending(events);
+        while (iterationEndNanos <= nowNanos) {
+            long endNanos = iterationEndNanos;
+            endIteration(endNanos);
+            beginIteration(endNanos);
+            emitPending(events);
         }
     }
 
-    /** When {@link #advanceTo} has something to do next; {@link Long#MAX_VALUE} for never. */
+    /** Returns the time of the next event, or {@link Long#MAX_VALUE} if there is none. */
     public long nextEventNanos() {
-        return pending.isEmpty() ? iterationEnd : pending.peekFirst().nanos();
+        return pendingEvents.isEmpty()
+                ? iterationEndNanos
+                : pendingEvents.peekFirst().nanos();
     }
 
     /**
-     * Drops a request, waiting or running. It has no further events, and its prompt isn't stored.
+     * Cancels a queued or running request. It has no further events, and its prompt isn't stored.
      *
      * @return false if there is no such request
      */
@@ -130,7 +132,7 @@
         for (Iterator<Sequence> sequences = batch.iterator(); sequences.hasNext(); ) {
             Sequence sequence = sequences.next();
             if (sequence.request.id() == id) {
-                cache.release(sequence.hold);
+                cache.release(sequence.pinnedPrefix);
                 sequences.remove();
                 return true;
             }
@@ -138,7 +140,7 @@
         return false;
     }
 
-    /** The cached blocks, least recently used first. */
+    /** Returns the cached blocks, least recently used first. */
     public List<BlockKey> cached() {
         return cache.keys();
     }
@@ -147,109 +149,109 @@
         return cache.contains(key);
     }
 
-    /** How many leading blocks of a prompt are cached. */
+    /** Returns the number of leading blocks of a prompt that are cached. */
     public long cachedPrefixBlocks(List<BlockKey> keys) {
         return cache.prefixLength(keys);
     }
 
-    /** Puts blocks from elsewhere into the cache and returns those that are now in it. */
-    public List<BlockKey> importBlocks(long now, List<BlockKey> keys) {
-        report(now, cache.store(keys));
+    /** Adds imported blocks to the cache and returns those that are in it afterwards. */
+    public List<BlockKey> importBlocks(long nowNanos, List<BlockKey> keys) {
+        addCacheEvents(nowNanos, cache.store(keys));
         return keys.stream().filter(cache::contains).toList();
     }
 
-    /** Drops those of the blocks that no sequence uses, as an engine does under pressure. */
-    public void evict(long now, List<BlockKey> keys) {
-        reportRemoved(now, cache.remove(keys));
+    /** Evicts those of the blocks that no sequence uses, as under memory pressure. */
+    public void evict(long nowNanos, List<BlockKey> keys) {
+        addRemovedEvent(nowNanos, cache.remove(keys));
     }
 
     public EngineLoad load() {
-        long prefill = 0;
+        long prefillTokens = 0;
         for (Sequence sequence : queue) {
-            prefill += sequence.prefillLeft;
+            prefillTokens += sequence.remainingPrefillTokens;
         }
         for (Sequence sequence : batch) {
-            prefill += sequence.prefillLeft;
+            prefillTokens += sequence.remainingPrefillTokens;
         }
-        return new EngineLoad(batch.size(), queue.size(), prefill);
+        return new EngineLoad(batch.size(), queue.size(), prefillTokens);
     }
 
-    /** New requests run on {@code newVersion} with an empty cache; the ones taken before keep theirs to the end. */
-    public void switchVersion(long now, WeightVersion newVersion) {
+    /** Switches new requests to a weight version and clears the cache. Requests submitted before keep their version. */
+    public void switchVersion(long nowNanos, WeightVersion newVersion) {
         if (newVersion.equals(version)) {
             return;
         }
         version = newVersion;
-        reportRemoved(now, cache.clear());
+        addRemovedEvent(nowNanos, cache.clear());
     }
 
-    private void beginIteration(long now) {
-        while (batch.size() < costs.mostSequences() && !queue.isEmpty()) {
-            enterBatch(now, queue.pollFirst());
+    private void beginIteration(long nowNanos) {
+        while (batch.size() < costs.maxSequences() && !queue.isEmpty()) {
+            admit(nowNanos, queue.pollFirst());
         }
         if (batch.isEmpty()) {
-            iterationEnd = NEVER;
+            iterationEndNanos = NEVER;
             return;
         }
-        long room = costs.prefillChunkTokens();
-        long prefill = 0;
+        long chunkTokens = costs.prefillChunkTokens();
+        long prefillTokens = 0;
         for (Sequence sequence : batch) {
-            sequence.prefillInIteration = Math.min(sequence.prefillLeft, room - prefill);
-            prefill += sequence.prefillInIteration;
+            sequence.iterationPrefillTokens = Math.min(sequence.remainingPrefillTokens, chunkTokens - prefillTokens);
+            prefillTokens += sequence.iterationPrefillTokens;
         }
-        iterationEnd = now + costs.iterationNanos(batch.size(), prefill);
+        iterationEndNanos = nowNanos + costs.iterationNanos(batch.size(), prefillTokens);
     }
 
-    private void enterBatch(long now, Sequence sequence) {
-        boolean mayReuse = sequence.version.equals(version);
-        sequence.hold = cache.hold(mayReuse ? sequence.request.blocks() : List.of());
-        long held = (long) sequence.hold.blocks() * costs.blockTokens();
-        // The last prompt token is always processed: the first token of the answer comes from it.
-        sequence.cachedTokens = Math.min(held, sequence.request.promptTokens() - 1);
-        sequence.prefillLeft = sequence.request.promptTokens() - sequence.cachedTokens;
+    private void admit(long nowNanos, Sequence sequence) {
+        boolean sameVersion = sequence.version.equals(version);
+        sequence.pinnedPrefix = cache.pinPrefix(sameVersion ? sequence.request.blocks() : List.of());
+        long pinnedTokens = (long) sequence.pinnedPrefix.blocks() * costs.blockTokens();
+        // The last prompt token is always processed, as the first token of the answer is generated from it.
+        sequence.cachedTokens = Math.min(pinnedTokens, sequence.request.promptTokens() - 1);
+        sequence.remainingPrefillTokens = sequence.request.promptTokens() - sequence.cachedTokens;
         batch.add(sequence);
-        pending.add(new EngineEvent.Started(now, sequence.request.id(), sequence.cachedTokens));
+        pendingEvents.add(new EngineEvent.Started(nowNanos, sequence.request.id(), sequence.cachedTokens));
     }
 
-    private void endIteration(long end) {
+    private void endIteration(long endNanos) {
         for (Iterator<Sequence> sequences = batch.iterator(); sequences.hasNext(); ) {
             Sequence sequence = sequences.next();
-            sequence.prefillLeft -= sequence.prefillInIteration;
-            if (sequence.prefillLeft > 0) {
+            sequence.remainingPrefillTokens -= sequence.iterationPrefillTokens;
+            if (sequence.remainingPrefillTokens > 0) {
                 continue;
             }
-            sequence.tokens++;
-            pending.add(new EngineEvent.Token(end, sequence.request.id(), sequence.tokens));
-            if (sequence.tokens == sequence.request.answerTokens()) {
+            sequence.generatedTokens++;
+            pendingEvents.add(new EngineEvent.Token(endNanos, sequence.request.id(), sequence.generatedTokens));
+            if (sequence.generatedTokens == sequence.request.answerTokens()) {
                 sequences.remove();
-                finish(end, sequence);
+                finish(endNanos, sequence);
             }
         }
     }
 
-    private void finish(long end, Sequence sequence) {
-        cache.release(sequence.hold);
+    private void finish(long endNanos, Sequence sequence) {
+        cache.release(sequence.pinnedPrefix);
         if (sequence.version.equals(version)) {
-            report(end, cache.store(sequence.request.blocks()));
+            addCacheEvents(endNanos, cache.store(sequence.request.blocks()));
         }
-        pending.add(new EngineEvent.Finished(end, sequence.request.id(), sequence.cachedTokens));
+        pendingEvents.add(new EngineEvent.Finished(endNanos, sequence.request.id(), sequence.cachedTokens));
     }
 
-    private void report(long now, PrefixCache.Change change) {
-        reportRemoved(now, change.removed());
+    private void addCacheEvents(long nowNanos, PrefixCache.Change change) {
+        addRemovedEvent(nowNanos, change.removed());
         if (!change.stored().isEmpty()) {
-            pending.add(new EngineEvent.BlocksStored(now, List.copyOf(change.stored())));
+            pendingEvents.add(new EngineEvent.BlocksStored(nowNanos, List.copyOf(change.stored())));
         }
     }
 
-    private void reportRemoved(long now, List<BlockKey> removed) {
+    private void addRemovedEvent(long nowNanos, List<BlockKey> removed) {
         if (!removed.isEmpty()) {
-            pending.add(new EngineEvent.BlocksRemoved(now, List.copyOf(removed)));
+            pendingEvents.add(new EngineEvent.BlocksRemoved(nowNanos, List.copyOf(removed)));
         }
     }
 
-    private void drain(Consumer<EngineEvent> events) {
-        for (EngineEvent event = pending.pollFirst(); event != null; event = pending.pollFirst()) {
+    private void emitPending(Consumer<EngineEvent> events) {
+        for (EngineEvent event = pendingEvents.pollFirst(); event != null; event = pendingEvents.pollFirst()) {
             events.accept(event);
         }
     }
--- a/src/main/java/org/yuccagw/standins/engine/EngineRuntime.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineRuntime.java
@@ -21,45 +21,49 @@
 import org.yuccagw.standins.http.Markers;
 
 /**
- * Runs the cost model in real time: a timer advances it to each of its events, which become words for the readers of
- * the runs, cache events and the record of what really ran. One lock guards all of it.
+ * Runs the cost model in real time. A timer advances the model to each of its events, from which the runtime produces
+ * the words for the readers of runs, the cache events and the record of started runs. One lock guards all state.
  */
 final class EngineRuntime {
-    private static final long SWEEP_MILLIS = 100;
+    private static final long STREAM_EXPIRY_INTERVAL_MILLIS = 100;
 
     private final EngineSettings settings;
     private final ScheduledExecutorService timer;
     private final Runnable crash;
     private final EngineModel model;
-    private final CacheEventLog events;
-    private final LoadHistory loads;
-    private final Map<Long, AnswerRun> running = new HashMap<>();
-    private final Map<String, AnswerRun> streams = new HashMap<>();
-    private final List<RunRecord> started = new ArrayList<>();
-    private long lastRun;
-    private long scheduledNanos = Long.MAX_VALUE;
+    private final CacheEventLog eventLog;
+    private final LoadHistory loadHistory;
+    private final Map<Long, AnswerRun> runsById = new HashMap<>();
+    private final Map<String, AnswerRun> runsByStream = new HashMap<>();
+    private final List<RunRecord> startedRuns = new ArrayList<>();
+    private long lastRunId;
+    private long scheduledForNanos = Long.MAX_VALUE;
     private ScheduledFuture<?> scheduled;
-    private boolean dead;
+    private boolean terminated;
 
     EngineRuntime(EngineSettings settings, ScheduledExecutorService timer, Runnable crash) {
         this.settings = settings;
         this.timer = timer;
         this.crash = crash;
         this.model = EngineModel.of(settings.costs(), settings.version());
-        this.events = new CacheEventLog(
+        this.eventLog = new CacheEventLog(
                 settings.lags().events().toNanos(), settings.lags().lostEvery());
-        this.loads = new LoadHistory(settings.lags().load().toNanos());
-        timer.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        this.loadHistory = new LoadHistory(settings.lags().load().toNanos());
+        timer.scheduleWithFixedDelay(
+                this::expireStreams,
+                STREAM_EXPIRY_INTERVAL_MILLIS,
+                STREAM_EXPIRY_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    /** Takes a request; empty if the queue is full. */
+    /** Submits a request. Returns empty if the queue is full or the engine has been terminated. */
     synchronized Optional<AnswerRun> submit(PromptRequest request, AnswerRun.Caller caller) {
         advance();
-        long id = ++lastRun;
+        long id = ++lastRunId;
         byte[] prompt = request.keyText().getBytes(StandardCharsets.UTF_8);
         List<BlockKey> blocks =
                 BlockChain.keys(request.salt(), prompt, settings.costs().blockTokens());
-        EngineRequest asked =
+        EngineRequest engineRequest =
                 new EngineRequest(id, request.priority(), blocks, request.promptTokens(), request.answerTokens());
         AnswerRun run = new AnswerRun(
                 id,
@@ -68,36 +72,36 @@
                 caller,
                 model.version().value(),
                 settings.model());
-        running.put(id, run);
-        if (dead || !model.submit(System.nanoTime(), asked)) {
-            running.remove(id);
+        runsById.put(id, run);
+        if (terminated || !model.submit(System.nanoTime(), engineRequest)) {
+            runsById.remove(id);
             return Optional.empty();
         }
-        streams.put(run.stream(), run);
-        afterChange();
+        runsByStream.put(run.stream(), run);
+        onModelChanged();
         return Optional.of(run);
     }
 
     synchronized Optional<AnswerRun> find(String stream) {
-        return Optional.ofNullable(streams.get(stream));
+        return Optional.ofNullable(runsByStream.get(stream));
     }
 
     synchronized void read(AnswerRun run, ByteStream reader, int from) {
-        reader.onClose(() -> leave(run, reader));
+        reader.onClose(() -> removeReader(run, reader));
         run.addReader(reader, from);
     }
 
-    synchronized void awaitWhole(AnswerRun run, Consumer<JsonNode> reply) {
-        run.awaitWhole(reply);
+    synchronized void awaitFullAnswer(AnswerRun run, Consumer<JsonNode> reply) {
+        run.awaitFullAnswer(reply);
     }
 
     synchronized void cancel(AnswerRun run) {
         advance();
         model.cancel(run.id());
-        running.remove(run.id());
-        streams.remove(run.stream());
-        run.cutReaders();
-        afterChange();
+        runsById.remove(run.id());
+        runsByStream.remove(run.stream());
+        run.abortReaders();
+        onModelChanged();
     }
 
     synchronized WeightVersion version() {
@@ -107,25 +111,25 @@
     synchronized void switchVersion(WeightVersion version) {
         advance();
         model.switchVersion(System.nanoTime(), version);
-        afterChange();
+        onModelChanged();
     }
 
-    /** What became of a block that was checked and shall go into the cache. */
+    /** The result of committing a verified block to the cache. */
     enum Commit {
-        KEPT,
-        NO_ROOM,
+        CACHED,
+        CACHE_FULL,
         OTHER_VERSION
     }
 
-    /** Commits a block only while the engine runs the version that the block was computed with. */
+    /** Commits a block, provided that the engine still runs the weight version with which the block was computed. */
     synchronized Commit commit(BlockKey key, String version) {
         advance();
         if (!model.version().value().equals(version)) {
             return Commit.OTHER_VERSION;
         }
-        boolean kept = !model.importBlocks(System.nanoTime(), List.of(key)).isEmpty();
-        afterChange();
-        return kept ? Commit.KEPT : Commit.NO_ROOM;
+        boolean stored = !model.importBlocks(System.nanoTime(), List.of(key)).isEmpty();
+        onModelChanged();
+        return stored ? Commit.CACHED : Commit.CACHE_FULL;
     }
 
     synchronized boolean isCached(BlockKey key) {
@@ -140,11 +144,12 @@
     synchronized void evictAll() {
         advance();
         model.evict(System.nanoTime(), model.cached());
-        afterChange();
+        onModelChanged();
     }
 
-    synchronized EngineLoad laggingLoad() {
-        return loads.at(System.nanoTime());
+    /** Returns the load with the configured lag. */
+    synchronized EngineLoad reportedLoad() {
+        return loadHistory.reportedAt(System.nanoTime());
     }
 
     synchronized EngineLoad load() {
@@ -153,81 +158,81 @@
 
     synchronized ObjectNode eventsAfter(long sequence) {
         advance();
-        afterChange();
-        return events.after(System.nanoTime(), sequence);
+        onModelChanged();
+        return eventLog.after(System.nanoTime(), sequence);
     }
 
     synchronized long eventSequence() {
-        return events.sequence();
+        return eventLog.sequence();
     }
 
     synchronized void setEventFaults(Duration lag, int lostEvery) {
-        events.setLag(lag.toNanos());
-        events.setLostEvery(lostEvery);
+        eventLog.setLag(lag.toNanos());
+        eventLog.setLostEvery(lostEvery);
     }
 
     synchronized void setLoadLag(Duration lag) {
-        loads.setLag(lag.toNanos());
+        loadHistory.setLag(lag.toNanos());
     }
 
-    synchronized List<RunRecord> started() {
-        return List.copyOf(started);
+    synchronized List<RunRecord> startedRuns() {
+        return List.copyOf(startedRuns);
     }
 
-    /** Nothing runs any more. */
-    synchronized void die() {
-        dead = true;
-        running.clear();
-        streams.clear();
+    /** Ends all runs without further events. */
+    synchronized void terminate() {
+        terminated = true;
+        runsById.clear();
+        runsByStream.clear();
     }
 
     private void advance() {
-        if (!dead) {
+        if (!terminated) {
             model.advanceTo(System.nanoTime(), this::onEvent);
         }
     }
 
-    private void afterChange() {
+    private void onModelChanged() {
         advance();
-        loads.add(System.nanoTime(), model.load());
-        long next = dead ? Long.MAX_VALUE : model.nextEventNanos();
-        if (next == scheduledNanos) {
+        loadHistory.add(System.nanoTime(), model.load());
+        long nextNanos = terminated ? Long.MAX_VALUE : model.nextEventNanos();
+        if (nextNanos == scheduledForNanos) {
             return;
         }
         if (scheduled != null) {
             scheduled.cancel(false);
         }
-        scheduledNanos = next;
-        if (next != Long.MAX_VALUE) {
-            scheduled = timer.schedule(this::onTimer, next - System.nanoTime(), TimeUnit.NANOSECONDS);
+        scheduledForNanos = nextNanos;
+        if (nextNanos != Long.MAX_VALUE) {
+            scheduled = timer.schedule(this::onTimer, nextNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
         }
     }
 
     private synchronized void onTimer() {
-        scheduledNanos = Long.MAX_VALUE;
-        afterChange();
+        scheduledForNanos = Long.MAX_VALUE;
+        onModelChanged();
     }
 
     private void onEvent(EngineEvent event) {
         if (event instanceof EngineEvent.Started startedEvent) {
-            onStarted(running.get(startedEvent.id()));
-        } else if (event instanceof EngineEvent.Token token && running.containsKey(token.id())) {
-            running.get(token.id()).onToken();
-        } else if (event instanceof EngineEvent.Finished finished && running.containsKey(finished.id())) {
-            running.remove(finished.id()).onFinished(finished.nanos(), finished.cachedTokens());
+            onStarted(runsById.get(startedEvent.id()));
+        } else if (event instanceof EngineEvent.Token token && runsById.containsKey(token.id())) {
+            runsById.get(token.id()).onToken();
+        } else if (event instanceof EngineEvent.Finished finished && runsById.containsKey(finished.id())) {
+            runsById.remove(finished.id()).onFinished(finished.nanos(), finished.cachedTokens());
         } else if (event instanceof EngineEvent.BlocksStored stored) {
-            events.add(stored.nanos(), "stored", stored.blocks());
+            eventLog.add(stored.nanos(), "stored", stored.blocks());
         } else if (event instanceof EngineEvent.BlocksRemoved removed) {
-            events.add(removed.nanos(), "removed", removed.blocks());
+            eventLog.add(removed.nanos(), "removed", removed.blocks());
         }
     }
 
     private void onStarted(AnswerRun run) {
-        if (run == null || dead) {
+        if (run == null || terminated) {
             return;
         }
         PromptRequest request = run.request();
-        started.add(new RunRecord(
+        startedRuns.add(new RunRecord(
                 settings.name(),
                 settings.incarnation(),
                 run.caller().attempt(),
@@ -241,22 +246,23 @@
                 run.stream(),
                 System.currentTimeMillis()));
         if (settings.crashMarker().filter(request.keyText()::contains).isPresent()) {
-            die();
+            terminate();
             timer.execute(crash);
         }
     }
 
-    private synchronized void leave(AnswerRun run, ByteStream reader) {
+    private synchronized void removeReader(AnswerRun run, ByteStream reader) {
         run.removeReader(reader, System.nanoTime());
     }
 
-    /** Forgets the streams that nobody has read for their time; one that still runs is cancelled. */
-    private synchronized void sweep() {
-        long now = System.nanoTime();
-        List<AnswerRun> forgotten = streams.values().stream()
-                .filter(run -> !run.isRead()
-                        && now - run.unreadNanos() > settings.streamKeep().toNanos())
+    /** Removes the streams that have had no reader for the retention time, and cancels them if they still run. */
+    private synchronized void expireStreams() {
+        long nowNanos = System.nanoTime();
+        List<AnswerRun> expired = runsByStream.values().stream()
+                .filter(run -> !run.hasReader()
+                        && nowNanos - run.unreadSinceNanos()
+                                > settings.streamRetention().toNanos())
                 .toList();
-        forgotten.forEach(this::cancel);
+        expired.forEach(this::cancel);
     }
 }
--- a/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.ByteStream;
@@ -18,11 +18,12 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * A model engine on one address: the cost model in real time behind the documented protocol.
+ * Stand-in for a model engine, on one address, which runs the cost model in real time behind the protocol of engines.
  *
- * <p>{@code POST /knobs} takes beside the usual faults {@code leaving}, {@code kill}, {@code evict_all},
- * {@code load_lag_ms}, {@code event_lag_ms} with {@code event_lost_every}, and {@code die_before_seal}: the engine dies
- * between the write and the seal of the next block that it exports.
+ * <p>{@code POST /knobs} accepts {@code leaving}, {@code kill}, {@code evict_all}, {@code load_lag_ms}, {@code
+ * event_lag_ms} with {@code event_lost_every}, and {@code die_before_seal} in addition to the fields of {@link
+ * ServiceFaults}. With {@code die_before_seal} the engine crashes between the write and the seal of the next block that
+ * it exports.
  */
 public final class EngineStandIn implements StandIn {
     private static final int NOT_FOUND = 404;
@@ -32,31 +33,31 @@
     private final EngineSettings settings;
     private final StandInServer server;
     private final EngineRuntime runtime;
-    private final HttpCaller caller;
+    private final HttpClient httpClient;
     private final OrderHandler orders;
     private volatile boolean leaving;
-    private volatile boolean dieBeforeSeal;
+    private volatile boolean crashBeforeSeal;
     private final AtomicLong wrongBytesCommitted = new AtomicLong();
 
     private EngineStandIn(EngineSettings settings) {
         this.settings = settings;
         this.server = StandInServer.create(settings.name());
         this.runtime = new EngineRuntime(settings, server.timer(), this::kill);
-        this.caller = HttpCaller.on(server.worker());
-        this.orders = new OrderHandler(settings, runtime, caller, server.timer());
-        server.on("POST", "/v1/completions", call -> begin(call, PromptRequest.completions(call.json())))
-                .on("POST", "/v1/chat/completions", call -> begin(call, PromptRequest.chat(call.json())))
+        this.httpClient = HttpClient.onWorker(server.worker());
+        this.orders = new OrderHandler(settings, runtime, httpClient, server.timer());
+        server.on("POST", "/v1/completions", call -> startRun(call, PromptRequest.completions(call.json())))
+                .on("POST", "/v1/chat/completions", call -> startRun(call, PromptRequest.chat(call.json())))
                 .on("GET", "/v1/streams/{stream}", this::resume)
                 .on("DELETE", "/v1/streams/{stream}", this::cancel)
-                .on("GET", "/v1/load", call -> call.reply(StandInJson.tree(runtime.laggingLoad())))
+                .on("GET", "/v1/load", call -> call.reply(StandInJson.tree(runtime.reportedLoad())))
                 .on("GET", "/v1/state", call -> call.reply(state()))
                 .on("GET", "/v1/cache/events", call -> call.reply(runtime.eventsAfter(call.number("after"))))
                 .on("GET", "/v1/cache/snapshot", call -> call.reply(snapshot()))
                 .on("POST", "/v1/cache/export", this::export)
                 .on("POST", "/v1/cache/import", this::importBlocks)
-                .on("POST", "/v1/orders", orders::take)
+                .on("POST", "/v1/orders", orders::handle)
                 .withRecord(this::record)
-                .withKnobs(this::turn)
+                .withKnobs(this::applyKnobs)
                 .listen(settings.port());
     }
 
@@ -64,12 +65,12 @@
         return new EngineStandIn(settings);
     }
 
-    /** The whole answer that any engine gives to this completions prompt. */
+    /** Returns the full answer of every stand-in engine to this completions prompt. */
     public static String expectedAnswer(String promptText, int tokens) {
         return AnswerText.words(promptText, tokens);
     }
 
-    /** The whole answer that any engine gives to a chat of one message of the role {@code user}. */
+    /** Returns the full answer of every stand-in engine to a chat of one message with the role {@code user}. */
     public static String expectedChatAnswer(String userContent, int tokens) {
         return AnswerText.words(ChatText.beforeAnswer(ChatText.message("user", userContent)), tokens);
     }
@@ -94,22 +95,22 @@
         server.stop();
     }
 
-    /** Dies with everything it holds: its listener and all connections close. */
+    /** Simulates a crash: ends all runs and closes the listener and all connections. */
     public void kill() {
-        runtime.die();
+        runtime.terminate();
         server.kill();
     }
 
     @Override
-    public void order(ServiceFaults faults) {
-        server.order(faults);
+    public void injectFaults(ServiceFaults faults) {
+        server.injectFaults(faults);
     }
 
-    public void setLeaving(boolean nowLeaving) {
-        leaving = nowLeaving;
+    public void setLeaving(boolean newLeaving) {
+        leaving = newLeaving;
     }
 
-    /** Drops every cached block that no sequence uses. */
+    /** Evicts all cached blocks that no sequence uses. */
     public void evictAll() {
         runtime.evictAll();
     }
@@ -118,17 +119,17 @@
         return runtime.cached();
     }
 
-    /** The load of this moment, without the lag. */
+    /** Returns the current load, without the lag of the reported load. */
     public EngineLoad load() {
         return runtime.load();
     }
 
-    /** Every run that really started, in order. */
+    /** Returns all runs that started, in order. */
     public List<RunRecord> runs() {
-        return runtime.started();
+        return runtime.startedRuns();
     }
 
-    private void begin(StandInCall call, PromptRequest request) {
+    private void startRun(StandInCall call, PromptRequest request) {
         if (leaving) {
             call.replyError(UNAVAILABLE, "leaving", "this engine is leaving");
             return;
@@ -138,8 +139,8 @@
             call.replyError(CONFLICT, "wrong_version", "this engine runs " + runtime.version());
             return;
         }
-        AnswerRun.Caller from = new AnswerRun.Caller(call.header("X-Request-Id"), call.header("Idempotency-Key"));
-        Optional<AnswerRun> run = orders.loading() ? Optional.empty() : runtime.submit(request, from);
+        AnswerRun.Caller attempt = new AnswerRun.Caller(call.header("X-Request-Id"), call.header("Idempotency-Key"));
+        Optional<AnswerRun> run = orders.loading() ? Optional.empty() : runtime.submit(request, attempt);
         if (run.isEmpty()) {
             call.replyError(UNAVAILABLE, "overloaded", "the queue is full or weights are being loaded");
             return;
@@ -148,7 +149,7 @@
         if (request.stream()) {
             runtime.read(run.get(), call.stream("text/event-stream"), 0);
         } else {
-            runtime.awaitWhole(run.get(), call::reply);
+            runtime.awaitFullAnswer(run.get(), call::reply);
         }
     }
 
@@ -205,15 +206,16 @@
 
     private void export(StandInCall call) {
         int blockBytes = settings.costs().blockTokens() * settings.bytesPerToken();
-        BlockExport.Source source = new BlockExport.Source(runtime::isCached, blockBytes, this::survivesWrite);
-        BlockExport.start(caller, call.json(), source, call::reply);
+        BlockExport.Source source = new BlockExport.Source(runtime::isCached, blockBytes, this::isSealable);
+        BlockExport.start(httpClient, call.json(), source, call::reply);
     }
 
-    private boolean survivesWrite() {
-        if (dieBeforeSeal) {
+    /** Crashes the engine if this is requested; returns whether the block may be sealed. */
+    private boolean isSealable() {
+        if (crashBeforeSeal) {
             server.timer().execute(this::kill);
         }
-        return !dieBeforeSeal;
+        return !crashBeforeSeal;
     }
 
     private void importBlocks(StandInCall call) {
@@ -224,34 +226,34 @@
             return;
         }
         BlockImport.start(
-                caller, server.timer(), order, (wanted, bytes) -> commit(wanted.key(), bytes, version), call::reply);
+                httpClient, server.timer(), order, (block, bytes) -> commit(block.key(), bytes, version), call::reply);
     }
 
     private EngineRuntime.Commit commit(BlockKey key, byte[] bytes, String version) {
         EngineRuntime.Commit outcome = runtime.commit(key, version);
-        if (outcome == EngineRuntime.Commit.KEPT && !Arrays.equals(bytes, BlockBytes.of(key, bytes.length))) {
+        if (outcome == EngineRuntime.Commit.CACHED && !Arrays.equals(bytes, BlockBytes.of(key, bytes.length))) {
             wrongBytesCommitted.incrementAndGet();
         }
         return outcome;
     }
 
-    /** Blocks in the cache whose bytes were not those of their key when they were committed. */
+    /** Returns the number of blocks that were committed to the cache with bytes other than those of their key. */
     public long wrongBytesCommitted() {
         return wrongBytesCommitted.get();
     }
 
     private ObjectNode record() {
         ObjectNode record = StandInJson.object();
-        record.set("runs", StandInJson.tree(runtime.started()));
+        record.set("runs", StandInJson.tree(runtime.startedRuns()));
         record.set("orders", StandInJson.tree(orders.orders()));
         record.put("cached_blocks", runtime.cached().size());
         record.put("wrong_bytes_committed", wrongBytesCommitted.get());
         return record;
     }
 
-    private void turn(JsonNode knobs) {
+    private void applyKnobs(JsonNode knobs) {
         leaving = knobs.path("leaving").asBoolean(leaving);
-        dieBeforeSeal = knobs.path("die_before_seal").asBoolean(dieBeforeSeal);
+        crashBeforeSeal = knobs.path("die_before_seal").asBoolean(crashBeforeSeal);
         if (knobs.has("load_lag_ms")) {
             runtime.setLoadLag(Duration.ofMillis(knobs.path("load_lag_ms").asLong()));
         }
--- a/src/main/java/org/yuccagw/standins/engine/OrderHandler.java
+++ b/src/main/java/org/yuccagw/standins/engine/OrderHandler.java
@@ -9,25 +9,26 @@
 import java.util.List;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.http.HttpQuery;
-import org.yuccagw.adapters.http.HttpStreamListener;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponseListener;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.standins.http.StandInCall;
 import org.yuccagw.standins.http.StandInJson;
 
 /**
- * Takes orders to load a version or an adapter or to change role, one at a time. An engine that checks fencing numbers
- * refuses an order whose number is below the highest that it has seen; one that doesn't carries out any.
+ * Executes orders to load a weight version, to load an adapter or to change the role, one at a time. An engine that
+ * checks fencing numbers rejects an order whose number is below the highest accepted number; other engines ignore the
+ * number.
  */
 final class OrderHandler {
     private static final int CONFLICT = 409;
-    private static final Duration SILENCE = Duration.ofSeconds(10);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(10);
 
     private final EngineSettings settings;
     private final EngineRuntime runtime;
-    private final HttpCaller caller;
+    private final HttpClient httpClient;
     private final ScheduledExecutorService timer;
     private final List<OrderRecord> orders = new ArrayList<>();
     private String adapter;
@@ -35,13 +36,14 @@
     private boolean loading;
     private long highestFencing;
 
-    /** An order as it came, and whether it was accepted. */
+    /** A received order, and whether it was accepted. The components are the fields of its JSON. */
     record OrderRecord(String order, String value, long fencing, boolean accepted, long millis) {}
 
-    OrderHandler(EngineSettings settings, EngineRuntime runtime, HttpCaller caller, ScheduledExecutorService timer) {
+    OrderHandler(
+            EngineSettings settings, EngineRuntime runtime, HttpClient httpClient, ScheduledExecutorService timer) {
         this.settings = settings;
         this.runtime = runtime;
-        this.caller = caller;
+        this.httpClient = httpClient;
         this.timer = timer;
         this.adapter = settings.adapter();
     }
@@ -66,11 +68,11 @@
         return List.copyOf(orders);
     }
 
-    synchronized void take(StandInCall call) {
-        JsonNode asked = call.json();
-        String order = asked.path("order").asText();
-        String value = asked.path("value").asText();
-        long fencing = asked.path("fencing").asLong();
+    synchronized void handle(StandInCall call) {
+        JsonNode request = call.json();
+        String order = request.path("order").asText();
+        String value = request.path("value").asText();
+        long fencing = request.path("fencing").asLong();
         boolean stale = settings.checksFencing() && fencing < highestFencing;
         if (stale || loading) {
             orders.add(new OrderRecord(order, value, fencing, false, System.currentTimeMillis()));
@@ -78,16 +80,16 @@
             call.replyError(CONFLICT, code, "the highest fencing number so far is " + highestFencing);
             return;
         }
-        begin(order, value, asked.path("weight_store").asText(""));
+        execute(order, value, request.path("weight_store").asText(""));
         highestFencing = Math.max(highestFencing, fencing);
         orders.add(new OrderRecord(order, value, fencing, true, System.currentTimeMillis()));
         call.reply(StandInJson.object());
     }
 
-    private void begin(String order, String value, String weightStore) {
+    private void execute(String order, String value, String weightStore) {
         switch (order) {
             case "load_version" -> loadVersion(WeightVersion.of(value), weightStore);
-            case "load_adapter" -> after(() -> adapter = value);
+            case "load_adapter" -> completeAfterLoadTime(() -> adapter = value);
             case "change_role" -> role = value;
             default ->
                 throw new IllegalArgumentException(
@@ -97,29 +99,30 @@
 
     private void loadVersion(WeightVersion version, String weightStore) {
         if (weightStore.isEmpty()) {
-            after(() -> runtime.switchVersion(version));
+            completeAfterLoadTime(() -> runtime.switchVersion(version));
             return;
         }
         loading = true;
         String path = "/v1/weights/" + settings.model() + "/" + version;
-        HttpQuery query = HttpQuery.get(NetworkAddress.parse(weightStore), path).withTimeouts(SILENCE, SILENCE);
-        caller.stream(query, caller.worker().getIoThread(), new WeightsReader(version));
+        HttpRequest weightsRequest =
+                HttpRequest.get(NetworkAddress.parse(weightStore), path).withTimeouts(READ_TIMEOUT, READ_TIMEOUT);
+        httpClient.stream(weightsRequest, httpClient.worker().getIoThread(), new WeightsListener(version));
     }
 
-    /** Reads the weights and throws them away; only a whole and successful answer counts. */
-    private final class WeightsReader implements HttpStreamListener {
+    /** Reads and discards the weights, and switches the version after a complete and successful answer. */
+    private final class WeightsListener implements HttpResponseListener {
         private static final int OK = 200;
 
         private final WeightVersion version;
-        private boolean found;
+        private boolean successful;
 
-        private WeightsReader(WeightVersion version) {
+        private WeightsListener(WeightVersion version) {
             this.version = version;
         }
 
         @Override
         public void onHead(int status, HeaderMap headers) {
-            found = status == OK;
+            successful = status == OK;
         }
 
         @Override
@@ -129,8 +132,8 @@
 
         @Override
         public void onEnd() {
-            if (found) {
-                after(() -> runtime.switchVersion(version));
+            if (successful) {
+                completeAfterLoadTime(() -> runtime.switchVersion(version));
             } else {
                 endLoading();
             }
@@ -142,12 +145,12 @@
         }
     }
 
-    private synchronized void after(Runnable change) {
+    private synchronized void completeAfterLoadTime(Runnable change) {
         loading = true;
-        timer.schedule(() -> finish(change), settings.loadTime().toMillis(), TimeUnit.MILLISECONDS);
+        timer.schedule(() -> complete(change), settings.loadTime().toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void finish(Runnable change) {
+    private synchronized void complete(Runnable change) {
         change.run();
         loading = false;
     }
--- a/src/main/java/org/yuccagw/standins/engine/PrefixCache.java
+++ b/src/main/java/org/yuccagw/standins/engine/PrefixCache.java
@@ -10,32 +10,35 @@
 import org.yuccagw.core.cache.BlockKey;
 
 /**
- * The engine's cache of prompt blocks: whole blocks, a fixed number of them, the least recently used goes first.
+ * A cache of complete prompt blocks with a fixed capacity, which evicts the least recently used block first.
  *
- * <p>Blocks that a running sequence uses are pinned and never evicted. Blocks of one prompt are touched from the last
- * to the first, so that the end of a prompt is evicted before its start: a prefix is of use without the rest, the rest
- * without its prefix isn't.
+ * <p>Blocks that a running sequence uses are pinned and never evicted. The blocks of one prompt are marked as used from
+ * the last to the first, so that the end of a prompt is evicted before its start: a prefix can be reused without the
+ * rest, but not the rest without its prefix.
  */
 final class PrefixCache {
-    private final int capacity;
-    /** From the least to the most recently used. */
-    private final LinkedHashMap<BlockKey, Pins> blocks = new LinkedHashMap<>();
+    private final int capacityBlocks;
+    /** Blocks from the least to the most recently used. */
+    private final LinkedHashMap<BlockKey, PinCount> blocks = new LinkedHashMap<>();
 
-    PrefixCache(int capacity) {
-        this.capacity = capacity;
+    PrefixCache(int capacityBlocks) {
+        this.capacityBlocks = capacityBlocks;
     }
 
-    /** What a change of the cache did. */
+    /** The blocks that a change added to and evicted from the cache. */
     record Change(List<BlockKey> stored, List<BlockKey> removed) {}
 
-    /** A count shared by the cache and the sequences; a sequence's pin outlives the block's place in the cache. */
-    private static final class Pins {
+    /**
+     * Number of pins of a block, shared by the cache and sequences. A pin may outlive the entry of its block in the
+     * cache.
+     */
+    private static final class PinCount {
         private int count;
     }
 
-    /** Pins that one sequence holds. */
-    static final class Hold {
-        private final List<Pins> pins = new ArrayList<>();
+    /** The pins of one sequence. */
+    static final class PinnedPrefix {
+        private final List<PinCount> pins = new ArrayList<>();
 
         int blocks() {
             return pins.size();
@@ -58,47 +61,49 @@
         return length;
     }
 
-    /** Pins the cached prefix of a prompt and makes it the most recently used. */
-    Hold hold(List<BlockKey> keys) {
-        Hold hold = new Hold();
+    /** Pins the cached prefix of a prompt and marks it as the most recently used. */
+    PinnedPrefix pinPrefix(List<BlockKey> keys) {
+        PinnedPrefix prefixPins = new PinnedPrefix();
         List<BlockKey> prefix = keys.subList(0, prefixLength(keys));
         for (BlockKey key : prefix) {
-            Pins pins = blocks.get(key);
-            pins.count++;
-            hold.pins.add(pins);
+            PinCount pinCount = blocks.get(key);
+            pinCount.count++;
+            prefixPins.pins.add(pinCount);
         }
-        touch(prefix);
-        return hold;
+        markUsed(prefix);
+        return prefixPins;
     }
 
-    void release(Hold hold) {
-        hold.pins.forEach(pins -> pins.count--);
-        hold.pins.clear();
+    void release(PinnedPrefix prefixPins) {
+        prefixPins.pins.forEach(pinCount -> pinCount.count--);
+        prefixPins.pins.clear();
     }
 
-    /** Puts blocks in, evicting others as needed; the ones that don't fit any more are left out. */
+    /**
+     * Adds blocks, evicting others as needed. If nothing can be evicted any more, the remaining blocks are left out.
+     */
     Change store(List<BlockKey> keys) {
         List<BlockKey> stored = new ArrayList<>();
         List<BlockKey> removed = new ArrayList<>();
-        List<Pins> pinned = new ArrayList<>();
+        List<PinCount> pinned = new ArrayList<>();
         List<BlockKey> present = new ArrayList<>();
         for (BlockKey key : keys) {
-            Pins pins = blocks.get(key);
-            if (pins == null) {
-                if (!makeRoom(removed)) {
+            PinCount pinCount = blocks.get(key);
+            if (pinCount == null) {
+                if (!evictIfFull(removed)) {
                     break;
                 }
-                pins = new Pins();
-                blocks.put(key, pins);
+                pinCount = new PinCount();
+                blocks.put(key, pinCount);
                 stored.add(key);
             }
-            // Pinned for the while, so that a prompt's later blocks don't push out its earlier ones.
-            pins.count++;
-            pinned.add(pins);
+            // Pinned until the end of this method, so that later blocks of a prompt don't evict its earlier blocks.
+            pinCount.count++;
+            pinned.add(pinCount);
             present.add(key);
         }
-        pinned.forEach(pins -> pins.count--);
-        touch(present);
+        pinned.forEach(pinCount -> pinCount.count--);
+        markUsed(present);
         return new Change(stored, removed);
     }
 
@@ -108,11 +113,12 @@
         return removed;
     }
 
+    /** Removes the blocks that aren't pinned and returns them. */
     List<BlockKey> remove(Collection<BlockKey> keys) {
         List<BlockKey> removed = new ArrayList<>();
         for (BlockKey key : keys) {
-            Pins pins = blocks.get(key);
-            if (pins != null && pins.count == 0) {
+            PinCount pinCount = blocks.get(key);
+            if (pinCount != null && pinCount.count == 0) {
                 blocks.remove(key);
                 removed.add(key);
             }
@@ -120,12 +126,13 @@
         return removed;
     }
 
-    private boolean makeRoom(List<BlockKey> removed) {
-        if (blocks.size() < capacity) {
+    /** Evicts a block if the cache is full. Returns false if all blocks are pinned. */
+    private boolean evictIfFull(List<BlockKey> removed) {
+        if (blocks.size() < capacityBlocks) {
             return true;
         }
-        for (Iterator<Map.Entry<BlockKey, Pins>> entries = blocks.entrySet().iterator(); entries.hasNext(); ) {
-            Map.Entry<BlockKey, Pins> eldest = entries.next();
+        for (Iterator<Map.Entry<BlockKey, PinCount>> entries = blocks.entrySet().iterator(); entries.hasNext(); ) {
+            Map.Entry<BlockKey, PinCount> eldest = entries.next();
             if (eldest.getValue().count == 0) {
                 entries.remove();
                 removed.add(eldest.getKey());
@@ -135,13 +142,13 @@
         return false;
     }
 
-    private void touch(List<BlockKey> keys) {
-        Map<BlockKey, Pins> touched = new HashMap<>();
+    private void markUsed(List<BlockKey> keys) {
+        Map<BlockKey, PinCount> pinCounts = new HashMap<>();
         for (BlockKey key : keys) {
-            touched.put(key, blocks.remove(key));
+            pinCounts.put(key, blocks.remove(key));
         }
         for (int i = keys.size() - 1; i >= 0; i--) {
-            blocks.put(keys.get(i), touched.get(keys.get(i)));
+            blocks.put(keys.get(i), pinCounts.get(keys.get(i)));
         }
     }
 }
--- a/src/main/java/org/yuccagw/standins/http/StandIn.java
+++ b/src/main/java/org/yuccagw/standins/http/StandIn.java
@@ -2,15 +2,19 @@
 
 import org.yuccagw.core.id.NetworkAddress;
 
-/** A running stand-in of one part of the platform. */
+/** A running stand-in for one service or engine of the platform. */
 public interface StandIn {
-    /** Where it serves its protocol. */
+    /** Returns the address at which the stand-in serves its protocol. */
     NetworkAddress address();
 
-    /** Where tests read its record and order faults, also after it was killed. */
+    /**
+     * Returns the address at which tests read the record and inject faults, which also works after a simulated crash.
+     */
     NetworkAddress controlAddress();
 
-    void order(ServiceFaults faults);
+    /** Replaces the injected faults. */
+    void injectFaults(ServiceFaults faults);
 
+    /** Closes both addresses and all connections and releases the threads. */
     void stop();
 }
--- a/src/main/java/org/yuccagw/standins/http/StandInCall.java
+++ b/src/main/java/org/yuccagw/standins/http/StandInCall.java
@@ -10,7 +10,9 @@
 import java.util.function.Consumer;
 import org.xnio.IoUtils;
 
-/** One call to a stand-in, its body received. It may be answered now or later, from any thread, once. */
+/**
+ * One call to a stand-in whose body has been received. It is answered at most once, at any time and from any thread.
+ */
 public final class StandInCall {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -28,7 +30,7 @@
         return exchange.getRequestMethod().toString();
     }
 
-    /** Path with the query string, if there is one. */
+    /** Returns the path, with the query string if there is one. */
     public String pathAndQuery() {
         String query = exchange.getQueryString();
         return query.isEmpty() ? exchange.getRequestPath() : exchange.getRequestPath() + "?" + query;
@@ -42,34 +44,39 @@
         return StandInJson.parse(body);
     }
 
-    /** The first value of a header, empty text if absent. */
+    /** Returns the first value of a header, or the empty string if the header is absent. */
     public String header(String name) {
         String value = exchange.getRequestHeaders().getFirst(name);
         return value == null ? "" : value;
     }
 
-    /** A parameter of the query or a variable of the path. */
+    /** Returns a query parameter or a variable of the path template. */
     public Optional<String> parameter(String name) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         return values == null || values.isEmpty() ? Optional.empty() : Optional.of(values.getFirst());
     }
 
     /**
-     * A parameter that has to be there.
+     * Returns a parameter that is required.
      *
-     * @throws IllegalArgumentException naming it, if it isn't
+     * @throws IllegalArgumentException if it is absent; the message contains its name
      */
     public String required(String name) {
         return parameter(name).orElseThrow(() -> new IllegalArgumentException("missing parameter '" + name + "'"));
     }
 
-    /** A whole number that has to be there. */
+    /**
+     * Returns an integer parameter that is required.
+     *
+     * @throws IllegalArgumentException if it is absent or no integer
+     */
     public long number(String name) {
         return Long.parseLong(required(name));
     }
 
-    public long number(String name, long otherwise) {
-        return parameter(name).map(Long::parseLong).orElse(otherwise);
+    /** Returns an integer parameter, or the default value if it is absent. */
+    public long number(String name, long defaultValue) {
+        return parameter(name).map(Long::parseLong).orElse(defaultValue);
     }
 
     public StandInCall withHeader(String name, String value) {
@@ -95,36 +102,36 @@
         reply(status, StandInJson.error(code, message));
     }
 
-    /** Closes the connection without an answer, or in the middle of one. */
-    public void cut() {
+    /** Closes the connection without an answer, or before the end of the answer. */
+    public void closeConnection() {
         IoUtils.safeClose(exchange.getConnection());
     }
 
-    /** Begins an answer whose bytes come over time; on the I/O thread only, that is inside the handler. */
+    /** Starts an answer that is sent incrementally. Only called on the I/O thread, for example by a handler. */
     public ByteStream stream(String contentType) {
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, contentType);
-        return ByteStream.begin(exchange);
+        return ByteStream.start(exchange);
     }
 
-    /** Runs a task on the connection's I/O thread, where a stream may begin. */
+    /** Runs a task on the connection's I/O thread, on which {@link #stream} may be called. */
     public void onIoThread(Runnable task) {
         exchange.getIoThread().execute(task);
     }
 
-    /** Runs a handler; what it throws becomes the answer. */
-    void guarded(Consumer<StandInCall> handler) {
+    /** Runs a handler and answers with an error if it throws an exception. */
+    void handle(Consumer<StandInCall> handler) {
         try {
             handler.accept(this);
         } catch (IllegalArgumentException e) {
-            replyFault(BAD_REQUEST, "bad_request", e);
+            replyException(BAD_REQUEST, "bad_request", e);
         } catch (RuntimeException e) {
-            replyFault(INTERNAL_ERROR, "internal", e);
+            replyException(INTERNAL_ERROR, "internal", e);
         }
     }
 
-    private void replyFault(int status, String code, RuntimeException cause) {
+    private void replyException(int status, String code, RuntimeException cause) {
         if (exchange.isResponseStarted()) {
-            cut();
+            closeConnection();
         } else {
             replyError(status, code, String.valueOf(cause.getMessage()));
         }
--- a/src/main/java/org/yuccagw/standins/http/StandInJson.java
+++ b/src/main/java/org/yuccagw/standins/http/StandInJson.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** JSON of the stand-ins: records become objects whose field names are in lower case with underscores. */
+/** JSON conversion for the stand-ins. Records become objects with field names in snake case. */
 public final class StandInJson {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
@@ -21,7 +21,7 @@
         return MAPPER.createObjectNode();
     }
 
-    /** Any record, list or map as a tree. */
+    /** Converts a record, list or map to a tree. */
     public static JsonNode tree(Object value) {
         return MAPPER.valueToTree(value);
     }
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Reads a JSON object.
+     * Parses a JSON object.
      *
-     * @throws IllegalArgumentException if it isn't one
+     * @throws IllegalArgumentException if the bytes aren't a JSON object
      */
     public static JsonNode parse(byte[] bytes) {
         try {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** {@code {"error":{"code","message"}}}. */
+    /** Returns an error in the format {@code {"error":{"code":...,"message":...}}}. */
     public static JsonNode error(String code, String message) {
         ObjectNode error = object();
         error.putObject("error").put("code", code).put("message", message);
--- a/src/main/java/org/yuccagw/standins/http/package-info.java
+++ b/src/main/java/org/yuccagw/standins/http/package-info.java
@@ -1,2 +1,5 @@
-/** What all stand-ins share: an HTTP server with faults to order, a second address for tests, streams, paced links. */
+/**
+ * Base of all stand-ins: an HTTP server with fault injection, a control address for tests, streamed answers and
+ * rate-limited links.
+ */
 package org.yuccagw.standins.http;
--- a/src/main/java/org/yuccagw/standins/keyvalue/KeyValueStandIn.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/KeyValueStandIn.java
@@ -21,8 +21,8 @@
 /**
  * In-memory stand-in for the platform's key-value service, on one address, with the platform's protocol.
  *
- * <p>A pending watch occupies its HTTP exchange, but no thread. All state is guarded by this object's lock, which handlers
- * hold only for the duration of a map operation.
+ * <p>A pending watch occupies its HTTP exchange, but no thread. All state is guarded by this object's lock, which
+ * handlers hold only for the duration of a map operation.
  */
 public final class KeyValueStandIn implements StandIn {
     private static final int PAGE_SIZE = 500;
@@ -59,7 +59,11 @@
                 .withKnobs(this::applyKnobs)
                 .listen(settings.port());
         server.timer()
-                .scheduleWithFixedDelay(this::expireLeases, LEASE_EXPIRY_INTERVAL_MILLIS, LEASE_EXPIRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(
+                        this::expireLeases,
+                        LEASE_EXPIRY_INTERVAL_MILLIS,
+                        LEASE_EXPIRY_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
     public static KeyValueStandIn start(KeyValueSettings settings) {
@@ -82,18 +86,18 @@
     }
 
     @Override
-    public void order(ServiceFaults faults) {
-        server.order(faults);
+    public void injectFaults(ServiceFaults faults) {
+        server.injectFaults(faults);
     }
 
     /** Replaces the faults to inject into the next writes. */
-    public synchronized void order(WriteFaults faults) {
+    public synchronized void injectFaults(WriteFaults faults) {
         writeFaults = faults;
     }
 
     /**
-     * Returns the number of calls since the start by kind: {@code read}, {@code read_prefix}, {@code write}, {@code grant},
-     * {@code renew}, {@code revoke} and {@code watch}. The calls over the rate limit count as their kind and as
+     * Returns the number of calls since the start by kind: {@code read}, {@code read_prefix}, {@code write}, {@code
+     * grant}, {@code renew}, {@code revoke} and {@code watch}. The calls over the rate limit count as their kind and as
      * {@code refused}. Deletions are transactions and count as {@code write}.
      */
     public synchronized Map<String, Long> callsByKind() {
@@ -169,7 +173,7 @@
             return;
         }
         apply(change);
-        call.cut();
+        call.closeConnection();
     }
 
     private synchronized void applyDelayed(StandInCall call, Change change) {
@@ -294,8 +298,7 @@
         if (item.deleted()) {
             return json.put("removed", true);
         }
-        return json
-                .put("value", Base64.getEncoder().encodeToString(item.value()))
+        return json.put("value", Base64.getEncoder().encodeToString(item.value()))
                 .put("lease", item.lease());
     }
 
--- a/src/main/java/org/yuccagw/standins/keyvalue/KeyValueState.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/KeyValueState.java
@@ -67,7 +67,9 @@
 
     /** Returns the last write or deletion of each key under a prefix that changed after a revision, ordered by key. */
     List<Item> changes(String prefix, long after) {
-        return itemsUnder(prefix).stream().filter(item -> item.revision() > after).toList();
+        return itemsUnder(prefix).stream()
+                .filter(item -> item.revision() > after)
+                .toList();
     }
 
     /** The revision that a transaction expects of a key; {@link #ABSENT} if the key must not exist. */
--- a/src/main/java/org/yuccagw/standins/keyvalue/Transactions.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/Transactions.java
@@ -13,7 +13,8 @@
         List<KeyValueState.Condition> conditions = new ArrayList<>();
         for (JsonNode condition : body.path("expected")) {
             conditions.add(new KeyValueState.Condition(
-                    condition.required("key").asText(), condition.required("revision").asLong()));
+                    condition.required("key").asText(),
+                    condition.required("revision").asLong()));
         }
         List<KeyValueState.Put> puts = new ArrayList<>();
         for (JsonNode put : body.path("puts")) {
@@ -27,7 +28,10 @@
         return new KeyValueState.Transaction(conditions, puts, deletes);
     }
 
-    /** Returns the key that injected faults are matched against: the first written or, without writes, the first deleted. */
+    /**
+     * Returns the key that injected faults are matched against: the first written or, without writes, the first
+     * deleted.
+     */
     static String firstKey(KeyValueState.Transaction transaction) {
         if (!transaction.puts().isEmpty()) {
             return transaction.puts().get(0).key();
--- a/src/main/java/org/yuccagw/standins/keyvalue/WriteFaults.java
+++ b/src/main/java/org/yuccagw/standins/keyvalue/WriteFaults.java
@@ -3,12 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Faults to inject into the next writes and deletions, set as the field {@code writes} of {@code POST /knobs}. Delays are
- * used up before dropped answers.
+ * Faults to inject into the next writes and deletions, set as the field {@code writes} of {@code POST /knobs}. Delays
+ * are used up before dropped answers.
  *
  * @param prefix the prefix of the keys that are affected; other writes are neither changed nor counted
  * @param dropAnswers the number of writes that take effect, but whose connection is closed without an answer
- * @param delays the number of writes that take effect only after {@code delayMillis}, even if the service is down by then
+ * @param delays the number of writes that take effect only after {@code delayMillis}, even if the service is down by
+ *     then
  * @param delayMillis the delay of these writes
  */
 public record WriteFaults(String prefix, int dropAnswers, int delays, long delayMillis) {
@@ -18,7 +19,9 @@
         return NONE;
     }
 
-    /** Returns faults that drop the answers of the next {@code count} writes under the prefix after they took effect. */
+    /**
+     * Returns faults that drop the answers of the next {@code count} writes under the prefix after they took effect.
+     */
     public static WriteFaults dropAnswers(String prefix, int count) {
         return new WriteFaults(prefix, count, 0, 0);
     }
--- a/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
+++ b/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
@@ -16,8 +16,8 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * Stand-in for a plain service, on one address. It executes every call that it receives, duplicates included, and records
- * it. The answer contains the recorded call, so that a caller can check that the answer belongs to its call.
+ * Stand-in for a plain service, on one address. It executes every call that it receives, duplicates included, and
+ * records it. The answer contains the recorded call, so that a caller can check that the answer belongs to its call.
  */
 public final class PlainServiceStandIn implements StandIn {
     private final String name;
@@ -28,7 +28,7 @@
     private PlainServiceStandIn(String name, int port) {
         this.name = name;
         this.server = StandInServer.create(name);
-        server.onAnythingElse(this::execute)
+        server.onOtherPaths(this::execute)
                 .withRecord(this::record)
                 .withKnobs(this::applyKnobs)
                 .listen(port);
@@ -54,8 +54,8 @@
     }
 
     @Override
-    public void order(ServiceFaults serviceFaults) {
-        server.order(serviceFaults);
+    public void injectFaults(ServiceFaults serviceFaults) {
+        server.injectFaults(serviceFaults);
     }
 
     @Override
@@ -69,7 +69,7 @@
     }
 
     /** Replaces the faults to inject into the next calls. */
-    public synchronized void order(PlainFaults newFaults) {
+    public synchronized void injectFaults(PlainFaults newFaults) {
         faults = newFaults;
     }
 
@@ -87,13 +87,13 @@
         }
         if (current.cutBefore() > 0) {
             faults = current.withCutBefore(current.cutBefore() - 1);
-            call.cut();
+            call.closeConnection();
             return;
         }
         PlainCall executed = recordCall(call);
         if (current.cutAfter() > 0) {
             faults = current.withCutAfter(current.cutAfter() - 1);
-            call.cut();
+            call.closeConnection();
             return;
         }
         JsonNode answer = StandInJson.tree(executed);
--- a/src/main/java/org/yuccagw/standins/store/ReadFaults.java
+++ b/src/main/java/org/yuccagw/standins/store/ReadFaults.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Faults of the next reads of blocks, as the field {@code reads} of {@code POST /knobs}.
+ * Faults to inject into the next reads of blocks, set as the field {@code reads} of {@code POST /knobs}.
  *
- * @param damaged so many are answered with one byte changed
- * @param cut so many end with the connection closed after half of the bytes
- * @param silent so many are never answered, while other calls work
+ * @param damaged the number of reads that are answered with one byte changed
+ * @param cut the number of reads whose connection is closed after half of the bytes
+ * @param silent the number of reads that are never answered, while other calls work
  */
 public record ReadFaults(int damaged, int cut, int silent) {
     private static final ReadFaults NONE = new ReadFaults(0, 0, 0);
--- a/src/main/java/org/yuccagw/standins/store/HeldBlock.java
+++ b/src/main/java/org/yuccagw/standins/store/StoredBlock.java
@@ -3,8 +3,8 @@
 import com.google.common.hash.Hashing;
 import org.yuccagw.core.cache.BlockKey;
 
-/** One generation of a block that the store holds. */
-final class HeldBlock {
+/** One generation of a block in the store. */
+final class StoredBlock {
     private final BlockKey key;
     private final long generation;
     private final String writer;
@@ -14,9 +14,9 @@
     private Tier tier;
     private boolean sealed;
     private boolean deleted;
-    private int readers;
+    private int readerCount;
 
-    HeldBlock(BlockKey key, long generation, String writer, byte[] bytes, long writtenNanos, Tier tier) {
+    StoredBlock(BlockKey key, long generation, String writer, byte[] bytes, long writtenNanos, Tier tier) {
         this.key = key;
         this.generation = generation;
         this.writer = writer;
@@ -58,7 +58,7 @@
         return tier;
     }
 
-    void place(Tier newTier) {
+    void setTier(Tier newTier) {
         tier = newTier;
     }
 
@@ -71,19 +71,19 @@
     }
 
     void addReader() {
-        readers++;
+        readerCount++;
     }
 
     void removeReader() {
-        readers--;
+        readerCount--;
     }
 
     void delete() {
         deleted = true;
     }
 
-    /** Whether nobody can reach it any more, so that its memory may be used again. */
-    boolean isFree() {
-        return deleted && readers == 0;
+    /** Returns whether the block is deleted and has no reader left, so that its memory can be reused. */
+    boolean isUnreachable() {
+        return deleted && readerCount == 0;
     }
 }
--- a/src/main/java/org/yuccagw/standins/store/Tier.java
+++ b/src/main/java/org/yuccagw/standins/store/Tier.java
@@ -2,6 +2,7 @@
 
 import java.util.Locale;
 
+/** A storage tier of a block, in the order in which writes try them. */
 enum Tier {
     MEMORY,
     DISK;
--- a/src/main/java/org/yuccagw/standins/vmlist/VmListStandIn.java
+++ b/src/main/java/org/yuccagw/standins/vmlist/VmListStandIn.java
@@ -58,8 +58,8 @@
     }
 
     @Override
-    public void order(ServiceFaults faults) {
-        server.order(faults);
+    public void injectFaults(ServiceFaults faults) {
+        server.injectFaults(faults);
     }
 
     /** Sets the delay until lists that are set from now on become visible. */
--- a/src/main/java/org/yuccagw/standins/weights/WeightStoreSettings.java
+++ b/src/main/java/org/yuccagw/standins/weights/WeightStoreSettings.java
@@ -18,7 +18,9 @@
         versions = Set.copyOf(versions);
     }
 
-    /** Returns the defaults: versions of 1 MB at 8 MB/s. A swap takes 1/8 s alone, and eight concurrent swaps take 1 s. */
+    /**
+     * Returns the defaults: versions of 1 MB at 8 MB/s. A swap takes 1/8 s alone, and eight concurrent swaps take 1 s.
+     */
     public static WeightStoreSettings defaults() {
         return DEFAULTS;
     }
--- a/src/main/java/org/yuccagw/standins/weights/WeightStoreStandIn.java
+++ b/src/main/java/org/yuccagw/standins/weights/WeightStoreStandIn.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.ByteStream;
-import org.yuccagw.standins.http.PacedLink;
+import org.yuccagw.standins.http.RateLimitedLink;
 import org.yuccagw.standins.http.ServiceFaults;
 import org.yuccagw.standins.http.StandIn;
 import org.yuccagw.standins.http.StandInCall;
@@ -12,8 +12,8 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * Stand-in for the weight store, on one address. Concurrent readers share its rate: each reserves the link for one chunk
- * at a time, so that all get equal shares. The bytes of all weights are zeros.
+ * Stand-in for the weight store, on one address. Concurrent readers share its rate: each reserves the link for one
+ * chunk at a time, so that all get equal shares. The bytes of all weights are zeros.
  */
 public final class WeightStoreStandIn implements StandIn {
     private static final int NOT_FOUND = 404;
@@ -21,13 +21,13 @@
 
     private final WeightStoreSettings settings;
     private final StandInServer server = StandInServer.create("weight-store");
-    private final PacedLink link;
+    private final RateLimitedLink link;
     private int readers;
     private int peakReaders;
 
     private WeightStoreStandIn(WeightStoreSettings settings) {
         this.settings = settings;
-        this.link = PacedLink.of(settings.bytesPerSecond());
+        this.link = RateLimitedLink.of(settings.bytesPerSecond());
         server.on("GET", "/v1/weights/{model}/{version}", this::readWeights)
                 .withRecord(this::record)
                 .listen(settings.port());
@@ -48,8 +48,8 @@
     }
 
     @Override
-    public void order(ServiceFaults faults) {
-        server.order(faults);
+    public void injectFaults(ServiceFaults faults) {
+        server.injectFaults(faults);
     }
 
     @Override
--- a/src/test/java/org/yuccagw/daemon/StepLoadTest.java
+++ b/src/test/java/org/yuccagw/daemon/StepLoadTest.java
@@ -120,11 +120,11 @@
                         PlatformDocuments.CONFIGURATION,
                         PlatformDocuments.configuration(1)
                                 .route("/draft/", "streaming", "engines", 15_000, 1)
-                                .wanted(Kind.DRAFT.targetMillis, 2)
+                                .latencyTarget(Kind.DRAFT.targetMillis, 2)
                                 .route("/note/", "streaming", "engines", 15_000, 2)
-                                .wanted(Kind.NOTE.targetMillis, 1)
+                                .latencyTarget(Kind.NOTE.targetMillis, 1)
                                 .route("/grade/", "streaming", "engines", 3_000, 1)
-                                .wanted(Kind.GRADE.targetMillis, 0)
+                                .latencyTarget(Kind.GRADE.targetMillis, 0)
                                 .engines("engines", VirtualFleet.MODEL)
                                 .bytes());
         for (int index = 1; index <= ENGINES; index++) {
--- a/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
+++ b/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueCall;
 import org.yuccagw.standins.http.ServiceFaults;
@@ -26,13 +26,13 @@
     private static final long LONG_SECONDS = 60;
 
     private KeyValueStandIn service;
-    private HttpCaller caller;
+    private HttpClient caller;
     private KeyValueClient client;
 
     @BeforeMethod
     public void startServiceAndClient() throws IOException {
         service = KeyValueStandIn.start(KeyValueSettings.defaults());
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         client = KeyValueClient.of(caller, service.address());
     }
 
@@ -84,7 +84,7 @@
     // writes again, or tells an operator that the edit failed though it is in force.
     @Test
     public void aWriteWhoseAnswerIsLostIsNeverReportedAsRefused() throws Exception {
-        service.order(WriteFaults.dropAnswers("lost", 1));
+        service.injectFaults(WriteFaults.dropAnswers("lost", 1));
         assertTrue(call(swap("lost", KeyValueCall.ABSENT, "x")) instanceof KeyValueAnswer.Lost);
         KeyValueAnswer.Found found = (KeyValueAnswer.Found) call(new KeyValueCall.Read("lost"));
         assertEquals(found.items().size(), 1);
@@ -114,14 +114,14 @@
     // moment that it tries to come back.
     @Test
     public void whileTheServiceIsGoneFewCallsAreSentAndItIsFoundAgain() throws Exception {
-        service.order(new ServiceFaults(true, false, 0));
+        service.injectFaults(new ServiceFaults(true, false, 0));
         for (int attempt = 0; attempt < 50; attempt++) {
             KeyValueAnswer answer = call(new KeyValueCall.Read("key"));
             assertTrue(answer instanceof KeyValueAnswer.Refused || answer instanceof KeyValueAnswer.Lost);
         }
         assertTrue(client.isDown());
         assertTrue(client.callsRefusedHere() > client.callsSent(), client.callsSent() + " were sent");
-        service.order(ServiceFaults.none());
+        service.injectFaults(ServiceFaults.none());
         Awaitility.await()
                 .atMost(Duration.ofSeconds(LONG_SECONDS))
                 .until(() -> call(new KeyValueCall.Read("key")) instanceof KeyValueAnswer.Found);
--- a/src/test/java/org/yuccagw/standins/engine/EngineStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/engine/EngineStandInTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.standins.http.StandInJson;
 import org.yuccagw.standins.http.TestCaller;
@@ -25,8 +25,8 @@
 
 public class EngineStandInTest {
     private static final String PROMPT = "one two three four five six seven eight ".repeat(40) + "marker-a-1";
-    private static final EngineSettings SETTINGS = EngineSettings.usual("engine-1", "model", WeightVersion.of("v1"))
-            .withCosts(EngineCosts.usual().faster(10))
+    private static final EngineSettings SETTINGS = EngineSettings.defaults("engine-1", "model", WeightVersion.of("v1"))
+            .withCosts(EngineCosts.defaults().withSpeedFactor(10))
             .withLags(new EngineSettings.Lags(Duration.ZERO, Duration.ZERO, 0));
 
     private EngineStandIn engine;
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void aWholeAnswerHasTheExpectedWordsAndItsUsage() throws Exception {
+    public void aFullAnswerHasTheExpectedWordsAndTheUsage() throws Exception {
         JsonNode answer = json(complete(PROMPT, 5, false));
         assertEquals(answer.path("choices").get(0).path("text").asText(), EngineStandIn.expectedAnswer(PROMPT, 5));
         assertEquals(answer.path("usage").path("completion_tokens").asLong(), 5);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void aStreamCarriesNumberedTokensUsageAndAnEndMark() throws Exception {
+    public void aStreamHasNumberedTokensTheUsageAndAnEndMarker() throws Exception {
         SseText answer = SseText.of(complete(PROMPT, 5, true));
         assertEquals(answer.text(), EngineStandIn.expectedAnswer(PROMPT, 5));
         assertEquals(answer.ids(), List.of(1, 2, 3, 4, 5));
@@ -62,42 +62,42 @@
     }
 
     @Test
-    public void aPromptWithAPartOfTheAnswerGoesOnWithTheSameWords() throws Exception {
-        String whole = EngineStandIn.expectedAnswer(PROMPT, 8);
-        String part = EngineStandIn.expectedAnswer(PROMPT, 3);
-        SseText rest = SseText.of(complete(PROMPT + part, 5, true));
-        assertEquals(part + rest.text(), whole);
+    public void aPromptWithTheBeginningOfTheAnswerIsContinuedWithTheSameWords() throws Exception {
+        String fullAnswer = EngineStandIn.expectedAnswer(PROMPT, 8);
+        String beginning = EngineStandIn.expectedAnswer(PROMPT, 3);
+        SseText rest = SseText.of(complete(PROMPT + beginning, 5, true));
+        assertEquals(beginning + rest.text(), fullAnswer);
     }
 
     @Test
-    public void aChatGoesOnWithTheSameWords() throws Exception {
-        String whole = EngineStandIn.expectedChatAnswer(PROMPT, 8);
-        String part = EngineStandIn.expectedChatAnswer(PROMPT, 3);
+    public void aChatIsContinuedWithTheSameWords() throws Exception {
+        String fullAnswer = EngineStandIn.expectedChatAnswer(PROMPT, 8);
+        String beginning = EngineStandIn.expectedChatAnswer(PROMPT, 3);
         ObjectNode body = StandInJson.object().put("model", "model").put("max_tokens", 5);
         body.put("continue_final_message", true);
         body.putArray("messages")
                 .add(StandInJson.object().put("role", "user").put("content", PROMPT))
-                .add(StandInJson.object().put("role", "assistant").put("content", part));
+                .add(StandInJson.object().put("role", "assistant").put("content", beginning));
         JsonNode answer = json(caller.call("POST", "/v1/chat/completions", body));
         String rest =
                 answer.path("choices").get(0).path("message").path("content").asText();
-        assertEquals(part + rest, whole);
+        assertEquals(beginning + rest, fullAnswer);
     }
 
     @Test
-    public void aSecondRunReusesTheBlocksOfItsSaltOnly() throws Exception {
+    public void aSecondRunReusesOnlyTheBlocksOfItsSalt() throws Exception {
         complete(PROMPT, 1, false);
         assertTrue(cachedTokens(complete(PROMPT, 1, false)) > 300);
-        HttpAnswer other =
+        HttpResponse other =
                 caller.call("POST", "/v1/completions", body(PROMPT, 1, false).put("cache_salt", "other"));
         assertEquals(cachedTokens(other), 0);
     }
 
-    // The reader's connection ends in the middle. The stream goes on by itself and is read again from where the reader
-    // was, whether or not it has finished meanwhile.
+    // The connection of the reader closes before the end of the answer. The run continues, and the stream can be read
+    // again from the position of the reader, whether or not the run has finished in the meantime.
     @Test
-    public void aStreamIsResumedBehindAnyToken() throws Exception {
-        HttpAnswer first = complete(PROMPT, 20, true);
+    public void aStreamCanBeResumedAfterAnyToken() throws Exception {
+        HttpResponse first = complete(PROMPT, 20, true);
         String stream = first.header("X-Stream-Id");
         SseText rest = SseText.of(caller.call("GET", "/v1/streams/" + stream + "?from=15"));
         assertEquals(rest.ids(), List.of(16, 17, 18, 19, 20));
@@ -106,8 +106,8 @@
     }
 
     @Test
-    public void aCancelledStreamIsForgottenAndItsReaderCut() throws Exception {
-        CompletableFuture<HttpAnswer> reading =
+    public void aCancelledStreamIsRemovedAndItsReaderDisconnected() throws Exception {
+        CompletableFuture<HttpResponse> reading =
                 caller.send("POST", "/v1/completions", StandInJson.bytes(body(PROMPT, 100_000, true)));
         await().until(() -> engine.runs().size() == 1);
         String path = "/v1/streams/" + engine.runs().get(0).stream();
@@ -118,12 +118,12 @@
     }
 
     @Test
-    public void refusalsThatSayNotRunLeaveNoRun() throws Exception {
-        HttpAnswer wrong =
+    public void requestsRejectedAsNotRunStartNoRun() throws Exception {
+        HttpResponse wrong =
                 caller.call("POST", "/v1/completions", body(PROMPT, 1, false).put("weight_version", "v2"));
         assertEquals(wrong.status(), 409);
         engine.setLeaving(true);
-        HttpAnswer leaving = complete(PROMPT, 1, false);
+        HttpResponse leaving = complete(PROMPT, 1, false);
         assertEquals(leaving.status(), 503);
         assertEquals(json(leaving).path("error").path("code").asText(), "leaving");
         assertEquals(
@@ -131,10 +131,11 @@
         assertEquals(engine.runs().size(), 0);
     }
 
-    // One request crashes the engine that runs it: every connection ends, nothing listens any more. What really ran
-    // stays to be read at the control address.
+    // A request crashes the engine that runs it: all connections and the listener are closed. The record of started
+    // runs
+    // must still be available at the control address.
     @Test
-    public void aCrashMarkerEndsTheEngineOnceItRuns() throws Exception {
+    public void aRequestWithTheCrashMarkerTerminatesTheEngine() throws Exception {
         expectThrows(ExecutionException.class, () -> complete(PROMPT + " marker-crash", 5, false));
         expectThrows(ExecutionException.class, () -> complete(PROMPT, 5, false));
         TestCaller control = TestCaller.to(engine.controlAddress());
@@ -144,7 +145,7 @@
     }
 
     @Test
-    public void cacheEventsAreLateAndLostOnesLeaveAGap() throws Exception {
+    public void cacheEventsAreDelayedAndLostEventsLeaveAGap() throws Exception {
         caller.call(
                 "POST", "/knobs", StandInJson.object().put("event_lag_ms", 0).put("event_lost_every", 2));
         complete("first " + PROMPT, 1, false);
@@ -164,8 +165,8 @@
     }
 
     @Test
-    public void exportedBlocksComeBackByImportAfterEviction() throws Exception {
-        CacheStoreStandIn store = CacheStoreStandIn.start(CacheStoreSettings.usual("store-1"));
+    public void exportedBlocksAreImportedAfterEviction() throws Exception {
+        CacheStoreStandIn store = CacheStoreStandIn.start(CacheStoreSettings.defaults("store-1"));
         complete(PROMPT, 1, false);
         JsonNode exported = export(store);
         int blocks = exported.path("exported").size();
@@ -178,22 +179,22 @@
         store.stop();
     }
 
-    // The link falls silent in the middle of an import. The answer comes at the deadline and says which blocks are
-    // late.
+    // The store stops sending during an import. The import must be answered at the deadline, with the missing blocks
+    // reported as late.
     @Test
     public void anImportEndsAtItsDeadline() throws Exception {
-        CacheStoreStandIn store = CacheStoreStandIn.start(CacheStoreSettings.usual("store-1"));
+        CacheStoreStandIn store = CacheStoreStandIn.start(CacheStoreSettings.defaults("store-1"));
         complete(PROMPT, 1, false);
         JsonNode exported = export(store);
         engine.evictAll();
-        TestCaller toStore = TestCaller.to(store.address());
-        toStore.call(
+        TestCaller storeClient = TestCaller.to(store.address());
+        storeClient.call(
                 "POST",
                 "/knobs",
                 StandInJson.object().set("reads", StandInJson.object().put("silent", 1)));
         JsonNode imported = json(caller.call("POST", "/v1/cache/import", importOrder(store, exported, 500)));
         assertEquals(imported.path("failed").findValuesAsText("reason"), List.of("late"));
-        toStore.call(
+        storeClient.call(
                 "POST",
                 "/knobs",
                 StandInJson.object().set("reads", StandInJson.object().put("damaged", 1)));
@@ -201,27 +202,27 @@
         imported = json(caller.call("POST", "/v1/cache/import", importOrder(store, exported, 30_000)));
         assertEquals(imported.path("failed").findValuesAsText("reason"), List.of("damaged"));
         assertEquals(engine.wrongBytesCommitted(), 0);
-        toStore.stop();
+        storeClient.stop();
         store.stop();
     }
 
     @Test
-    public void anOrderWithAnOldFencingNumberIsRefusedByAnEngineThatChecks() throws Exception {
+    public void anOrderWithAnOldFencingNumberIsRejectedIfTheEngineChecksFencing() throws Exception {
         assertEquals(order("load_version", "v2", 7).status(), 200);
         await().until(() -> state().path("version").asText().equals("v2"));
-        HttpAnswer stale = order("load_version", "v1", 6);
+        HttpResponse stale = order("load_version", "v1", 6);
         assertEquals(json(stale).path("error").path("code").asText(), "stale_fencing");
         assertEquals(state().path("fencing").asLong(), 7);
         assertEquals(engine.cached().size(), 0);
     }
 
     @Test
-    public void oneOrderAtATimeAndNoNewWorkWhileLoading() throws Exception {
+    public void furtherOrdersAndRequestsAreRejectedWhileLoading() throws Exception {
         engine.stop();
         engine = EngineStandIn.start(SETTINGS.withLoadTime(Duration.ofMinutes(10)));
         caller = TestCaller.to(engine.address());
         assertEquals(order("load_adapter", "a", 1).status(), 200);
-        HttpAnswer busy = order("change_role", "prefill", 2);
+        HttpResponse busy = order("change_role", "prefill", 2);
         assertEquals(json(busy).path("error").path("code").asText(), "busy");
         assertEquals(complete(PROMPT, 1, false).status(), 503);
     }
@@ -230,7 +231,7 @@
         return json(caller.call("GET", "/v1/state"));
     }
 
-    private HttpAnswer order(String order, String value, long fencing) throws Exception {
+    private HttpResponse order(String order, String value, long fencing) throws Exception {
         return caller.call(
                 "POST",
                 "/v1/orders",
@@ -252,11 +253,11 @@
         return order;
     }
 
-    private static long cachedTokens(HttpAnswer answer) {
+    private static long cachedTokens(HttpResponse answer) {
         return json(answer).path("usage").path("cached_tokens").asLong();
     }
 
-    private HttpAnswer complete(String prompt, int tokens, boolean stream) throws Exception {
+    private HttpResponse complete(String prompt, int tokens, boolean stream) throws Exception {
         return caller.call("POST", "/v1/completions", body(prompt, tokens, stream));
     }
 
--- a/src/test/java/org/yuccagw/standins/engine/SseText.java
+++ b/src/test/java/org/yuccagw/standins/engine/SseText.java
@@ -4,10 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.standins.http.StandInJson;
 
-/** A streamed answer taken apart; for tests only. */
+/** A parsed SSE stream of an answer, for tests only. */
 public final class SseText {
     private static final String ID = "id: ";
     private static final String DATA = "data: ";
@@ -19,18 +19,18 @@
 
     private SseText() {}
 
-    public static SseText of(HttpAnswer answer) {
+    public static SseText of(HttpResponse answer) {
         return of(answer.text());
     }
 
-    /** Reads the whole lines; a last line without its end is left out. */
+    /** Parses the complete lines of a stream; a last line without a newline is ignored. */
     public static SseText of(String stream) {
-        SseText read = new SseText();
+        SseText parsed = new SseText();
         int end = stream.lastIndexOf('\n');
         if (end > 0) {
-            stream.substring(0, end).lines().forEach(read::line);
+            stream.substring(0, end).lines().forEach(parsed::parseLine);
         }
-        return read;
+        return parsed;
     }
 
     public String text() {
@@ -49,22 +49,22 @@
         return usage;
     }
 
-    /** Whether the end mark came. */
+    /** Returns whether the end marker has been received. */
     public boolean isWhole() {
         return whole;
     }
 
-    private void line(String line) {
+    private void parseLine(String line) {
         if (line.startsWith(ID)) {
             ids.add(Integer.parseInt(line.substring(ID.length())));
         } else if (line.equals(DATA + "[DONE]")) {
             whole = true;
         } else if (line.startsWith(DATA)) {
-            data(StandInJson.parse(line.substring(DATA.length()).getBytes(StandardCharsets.UTF_8)));
+            parseData(StandInJson.parse(line.substring(DATA.length()).getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    private void data(JsonNode chunk) {
+    private void parseData(JsonNode chunk) {
         JsonNode choice = chunk.path("choices").path(0);
         text.append(
                 choice.path("text").asText(choice.path("delta").path("content").asText("")));
--- a/src/test/java/org/yuccagw/standins/keyvalue/KeyValueStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/keyvalue/KeyValueStandInTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.standins.http.ServiceFaults;
 import org.yuccagw.standins.http.StandInJson;
 import org.yuccagw.standins.http.TestCaller;
@@ -43,7 +43,7 @@
     @Test
     public void aWriteTakesEffectOnlyAtTheExpectedRevision() throws Exception {
         assertEquals(put("a", 0).status(), 200);
-        HttpAnswer conflict = put("a", 0);
+        HttpResponse conflict = put("a", 0);
         assertEquals(conflict.status(), 412);
         assertEquals(json(conflict).path("items").get(0).path("revision").asLong(), 1);
         assertEquals(put("a", 1).status(), 200);
@@ -79,7 +79,7 @@
 
     @Test
     public void aWatchWaitsForAChangeUnderItsPrefix() throws Exception {
-        CompletableFuture<HttpAnswer> watch =
+        CompletableFuture<HttpResponse> watch =
                 caller.send("GET", "/kv-watch?pathPrefix=a&after=0&waitMs=30000", new byte[0]);
         put("b", 0);
         assertFalse(watch.isDone());
@@ -105,11 +105,12 @@
         assertEquals(service.callsByKind().get("refused"), Long.valueOf(1));
     }
 
-    // Guards against a wrong fault: the connection closes before the answer, although the write took effect, so that the
+    // Guards against a wrong fault: the connection closes before the answer, although the write took effect, so that
+    // the
     // outcome is unknown to the caller.
     @Test
     public void anInjectedFaultDropsTheAnswerOfAWriteThatTookEffect() throws Exception {
-        service.order(WriteFaults.dropAnswers("a", 1));
+        service.injectFaults(WriteFaults.dropAnswers("a", 1));
         expectThrows(ExecutionException.class, () -> put("a", 0));
         assertEquals(items("a").size(), 1);
         assertEquals(put("a", 1).status(), 200);
@@ -119,8 +120,8 @@
     // time of its effect, so that it fails instead of overwriting the later write.
     @Test
     public void aDelayedWriteIsCheckedAgainstTheRevisionAtTheTimeOfItsEffect() throws Exception {
-        service.order(WriteFaults.delays("a", 1, 300));
-        CompletableFuture<HttpAnswer> delayed =
+        service.injectFaults(WriteFaults.delays("a", 1, 300));
+        CompletableFuture<HttpResponse> delayed =
                 caller.send("POST", "/kv-txn", StandInJson.bytes(transaction("a", 0, VALUE, 0)));
         await().until(() -> service.callsByKind().getOrDefault("write", 0L) == 1);
         assertEquals(put("a", 0).status(), 200);
@@ -129,7 +130,7 @@
 
     @Test
     public void theRecordIsAnsweredWhileTheServiceIsDown() throws Exception {
-        service.order(new ServiceFaults(true, false, 0));
+        service.injectFaults(new ServiceFaults(true, false, 0));
         expectThrows(ExecutionException.class, () -> put("a", 0));
         JsonNode record = json(caller.call("GET", "/record"));
         assertEquals(record.path("revision").asLong(), 0);
@@ -140,7 +141,8 @@
         assertEquals(put("a", 0).status(), 200);
     }
 
-    // A watcher was disconnected for longer than the service keeps its history. Without the error it would continue with
+    // A watcher was disconnected for longer than the service keeps its history. Without the error it would continue
+    // with
     // keys that have been removed.
     @Test
     public void aWatchFromBeforeTheRetainedHistoryFails() throws Exception {
@@ -162,11 +164,11 @@
         assertEquals(items("b").size(), 0);
     }
 
-    private HttpAnswer put(String key, long revision) throws Exception {
+    private HttpResponse put(String key, long revision) throws Exception {
         return put(key, revision, VALUE, 0);
     }
 
-    private HttpAnswer put(String key, long revision, byte[] value, long lease) throws Exception {
+    private HttpResponse put(String key, long revision, byte[] value, long lease) throws Exception {
         return caller.call("POST", "/kv-txn", transaction(key, revision, value, lease));
     }
 
--- a/src/test/java/org/yuccagw/standins/plain/PlainServiceStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/plain/PlainServiceStandInTest.java
@@ -40,12 +40,12 @@
 
     @Test
     public void injectedFaultsFailCallsBeforeOrAfterTheirEffect() throws Exception {
-        service.order(PlainFaults.none().withRefused(1, 429));
+        service.injectFaults(PlainFaults.none().withRefused(1, 429));
         assertEquals(caller.call("POST", "/a", BODY).status(), 429);
-        service.order(PlainFaults.none().withCutBefore(1));
+        service.injectFaults(PlainFaults.none().withCutBefore(1));
         expectThrows(ExecutionException.class, () -> caller.call("POST", "/a", BODY));
         assertEquals(service.calls().size(), 0);
-        service.order(PlainFaults.none().withCutAfter(1));
+        service.injectFaults(PlainFaults.none().withCutAfter(1));
         expectThrows(ExecutionException.class, () -> caller.call("POST", "/a", BODY));
         assertEquals(service.calls().size(), 1);
         assertEquals(caller.call("POST", "/a", BODY).status(), 200);
