--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -24,7 +24,7 @@
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.ErrorKind;
@@ -57,7 +57,7 @@
     private final ServingServices services;
     private final ActiveRequests activeRequests;
     private final Undertow server;
-    private final Regions regions;
+    private final DomainRegions regions;
     private volatile boolean closingConnections;
     private volatile boolean refusingNewStreams;
     private volatile boolean refusingNewRequests;
--- a/src/main/java/org/yuccagw/bench/demo/Demo.java
+++ b/src/main/java/org/yuccagw/bench/demo/Demo.java
@@ -16,7 +16,7 @@
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
 import org.yuccagw.client.ClientSettings;
-import org.yuccagw.client.Completion;
+import org.yuccagw.client.CompletionRequest;
 import org.yuccagw.client.CompletionAnswer;
 import org.yuccagw.client.YuccagwClient;
 import org.yuccagw.core.error.ErrorKind;
@@ -128,7 +128,7 @@
     }
 
     private static Visit visit(YuccagwClient client, String prompt) throws YuccagwException {
-        Completion completion = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(ANSWER_TOKENS);
+        CompletionRequest completion = CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(ANSWER_TOKENS);
         FirstPiece first = new FirstPiece(System.nanoTime());
         CompletionAnswer answer = client.complete(completion, first);
         return new Visit(
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -55,7 +55,7 @@
     private final HttpClient http;
     private final Directory directory;
     private final RetryPolicy policy;
-    private final Completion completion;
+    private final CompletionRequest completion;
     private final Consumer<String> pieces;
     private final XnioIoThread thread;
     private final CompletableFuture<CompletionAnswer> result = new CompletableFuture<>();
@@ -75,7 +75,7 @@
             HttpClient http,
             Directory directory,
             RetryPolicy policy,
-            Completion completion,
+            CompletionRequest completion,
             Consumer<String> pieces) {
         this.settings = settings;
         this.http = http;
@@ -91,7 +91,7 @@
             HttpClient http,
             Directory directory,
             RetryPolicy policy,
-            Completion completion,
+            CompletionRequest completion,
             Consumer<String> pieces) {
         return new ClientCall(settings, http, directory, policy, completion, pieces);
     }
--- a/src/main/java/org/yuccagw/client/YuccagwClient.java
+++ b/src/main/java/org/yuccagw/client/YuccagwClient.java
@@ -45,7 +45,7 @@
      * @param pieces gets each piece of text once, in order, as it comes
      * @throws YuccagwException the final error; its kind tells whether the request ran and who may send it again
      */
-    public CompletionAnswer complete(Completion completion, Consumer<String> pieces) throws YuccagwException {
+    public CompletionAnswer complete(CompletionRequest completion, Consumer<String> pieces) throws YuccagwException {
         try {
             return begin(completion, pieces).get();
         } catch (ExecutionException e) {
@@ -60,7 +60,7 @@
     }
 
     /** Begins to complete a prompt; the future fails with a {@link YuccagwException}. */
-    public CompletableFuture<CompletionAnswer> begin(Completion completion, Consumer<String> pieces) {
+    public CompletableFuture<CompletionAnswer> begin(CompletionRequest completion, Consumer<String> pieces) {
         ClientCall call = ClientCall.of(settings, http, directory, policy, completion, pieces);
         return call.begin();
     }
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -66,7 +66,7 @@
     private final HttpClient platform;
     private final CallerServer callers;
     private final AdminServer admin;
-    private final EntrySecurity security;
+    private final EntryTls security;
     private final Traces traces;
     private final RunRegistry runs;
     private final CountDownLatch end = new CountDownLatch(1);
@@ -74,7 +74,7 @@
 
     private EntryDaemon(EntrySettings settings) throws YuccagwException, IOException {
         self = identity(settings);
-        security = EntrySecurity.start(settings);
+        security = EntryTls.start(settings);
         traces = Traces.start(settings);
         Metrics metrics = Metrics.create();
         runs = RunRegistry.create();
@@ -84,7 +84,7 @@
         platform = HttpClient.start(CONTROL_IO_THREADS);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
         ControlComponents components = ControlComponents.of(self);
-        ControlInputs inputs = new ControlInputs();
+        DeferredControlInput inputs = new DeferredControlInput();
         ImportClient imports = ImportClient.of(platform, inputs);
         peers = PeerTransport.of(self, components.codec(), this::peerAddress, inputs::offer, security.peers());
         control = ControlRunner.of(
@@ -114,7 +114,7 @@
                 traces.tracer(),
                 new EntryMetrics(metrics),
                 runs);
-        callers = CallerServer.start(services, worker, security.caller(), new PrefetchHints());
+        callers = CallerServer.start(services, worker, security.caller(), new PrefetchEventFactory());
         admin = AdminServer.start(settings, security.admin(), control::snapshot, control, metrics, traces, this::drain);
         addGauges(metrics, keyValue);
         tellLoad();
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -27,11 +27,11 @@
 import org.yuccagw.core.notice.NoticesSnapshot;
 import org.yuccagw.core.peers.PeersSnapshot;
 import org.yuccagw.core.ratelimit.RateLimitsSnapshot;
-import org.yuccagw.platform.EngineCaller;
+import org.yuccagw.platform.EngineClient;
 import org.yuccagw.platform.KeyValueClient;
-import org.yuccagw.platform.PlatformDialect;
+import org.yuccagw.platform.PlatformWireProtocol;
 import org.yuccagw.platform.PlatformRecords;
-import org.yuccagw.platform.StoreCaller;
+import org.yuccagw.platform.StoreClient;
 
 /**
  * One entry on the users' platform: the control thread with its core, one I/O thread for traffic, and the addresses for
@@ -84,7 +84,7 @@
         platform = HttpClient.onWorker(worker);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
         GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
-        ControlInputs inputs = new ControlInputs();
+        DeferredControlInput inputs = new DeferredControlInput();
         peers = PeerTransport.of(
                 self,
                 GatewayComponents.codec(),
@@ -97,8 +97,8 @@
                 peers,
                 List.of(
                         decisions,
-                        EngineCaller.of(platform, settings.entry(), System::nanoTime),
-                        StoreCaller.of(platform)));
+                        EngineClient.of(platform, settings.entry(), System::nanoTime),
+                        StoreClient.of(platform)));
         inputs.connect(control);
         peers.start();
         control.start();
@@ -107,7 +107,7 @@
                         control::snapshot,
                         control,
                         traffic,
-                        PlatformDialect.create(),
+                        PlatformWireProtocol.create(),
                         decisions,
                         metrics,
                         settings.domain(),
--- a/src/main/java/org/yuccagw/daemon/PrefetchHints.java
+++ b/src/main/java/org/yuccagw/daemon/PrefetchEventFactory.java
@@ -11,7 +11,7 @@
 import org.yuccagw.core.control.ControlEvent;
 
 /** Makes the event for a caller's hint that a prompt will be asked for soon. */
-final class PrefetchHints implements Prefetcher {
+final class PrefetchEventFactory implements Prefetcher {
     @Override
     public ControlEvent prefetch(Workspace workspace, Service service, CompletionBody body) {
         ModelSettings model = service.model().orElseThrow();
--- a/src/main/java/org/yuccagw/platform/EndpointNotices.java
+++ b/src/main/java/org/yuccagw/platform/EndpointNoticeReader.java
@@ -13,7 +13,7 @@
 import org.yuccagw.core.notice.RateLimit;
 
 /** What heads of answers say of the endpoint. */
-final class EndpointNotices {
+final class EndpointNoticeReader {
     private static final int TOO_MANY = 429;
     private static final int UNAVAILABLE = 503;
     private static final String YES = "1";
@@ -27,7 +27,7 @@
             PlatformNames.RATE_LIMIT,
             PlatformNames.LEAVING);
 
-    private EndpointNotices() {}
+    private EndpointNoticeReader() {}
 
     static EndpointNotice read(int status, HeaderMap headers) {
         boolean turnsAway = status == UNAVAILABLE || status == TOO_MANY;
--- a/src/main/java/org/yuccagw/platform/EngineCaller.java
+++ b/src/main/java/org/yuccagw/platform/EngineClient.java
@@ -24,7 +24,7 @@
  * <p>The time of the lease is looked at on the I/O thread as the last thing before an order leaves: a process that
  * stood still between the decision and the sending must not order beside the next holder.
  */
-public final class EngineCaller implements ActionHandler {
+public final class EngineClient implements ActionHandler {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(900);
     /** Running requests go on with the newer weights. */
@@ -34,14 +34,14 @@
     private final EntryId self;
     private final LongSupplier nanoTime;
 
-    private EngineCaller(HttpClient caller, EntryId self, LongSupplier nanoTime) {
+    private EngineClient(HttpClient caller, EntryId self, LongSupplier nanoTime) {
         this.caller = caller;
         this.self = self;
         this.nanoTime = nanoTime;
     }
 
-    public static EngineCaller of(HttpClient caller, EntryId self, LongSupplier nanoTime) {
-        return new EngineCaller(caller, self, nanoTime);
+    public static EngineClient of(HttpClient caller, EntryId self, LongSupplier nanoTime) {
+        return new EngineClient(caller, self, nanoTime);
     }
 
     @Override
@@ -94,7 +94,7 @@
 
     private static void hearNotice(EngineCall call, HttpResponse answer, ControlInput input) {
         if (answer != null) {
-            EndpointNotices.heard(call.endpoint().incarnation(), answer).ifPresent(input::offer);
+            EndpointNoticeReader.heard(call.endpoint().incarnation(), answer).ifPresent(input::offer);
         }
     }
 
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformWireProtocol.java
@@ -15,16 +15,16 @@
 import org.yuccagw.core.placing.PlacementDecision;
 
 /** How callers and endpoints of the platform spell requests and answers. */
-public final class PlatformDialect implements WireProtocol {
-    private PlatformDialect() {}
+public final class PlatformWireProtocol implements WireProtocol {
+    private PlatformWireProtocol() {}
 
-    public static PlatformDialect create() {
-        return new PlatformDialect();
+    public static PlatformWireProtocol create() {
+        return new PlatformWireProtocol();
     }
 
     @Override
     public CallerHead readCallerHead(HeaderMap headers) throws YuccagwException {
-        return CallerHeads.read(headers);
+        return CallerHeadReader.read(headers);
     }
 
     @Override
@@ -34,41 +34,41 @@
             PlacementDecision.Placed placed,
             Duration left,
             long afterEvent) {
-        return EndpointHeads.request(head, workspace, placed, left, afterEvent);
+        return EndpointHeaders.request(head, workspace, placed, left, afterEvent);
     }
 
     @Override
     public EndpointAnswerHead readAnswerStart(int status, HeaderMap headers, RequestId request, EndpointId expected) {
-        return EndpointHeads.answer(status, headers, request, expected);
+        return EndpointHeaders.answer(status, headers, request, expected);
     }
 
     @Override
     public HeaderMap answerHeaders(HeaderMap endpointHeaders) {
-        return EndpointHeads.forwarded(endpointHeaders);
+        return EndpointHeaders.forwarded(endpointHeaders);
     }
 
     @Override
     public String formatRetryAfter(Duration wait) {
-        return EndpointHeads.retryAfter(wait);
+        return EndpointHeaders.retryAfter(wait);
     }
 
     @Override
     public boolean isReadinessPath(String path) {
-        return EntryPages.isReadiness(path);
+        return EntryResources.isReadiness(path);
     }
 
     @Override
     public boolean isDirectoryPath(String path) {
-        return EntryPages.isDirectory(path);
+        return EntryResources.isDirectory(path);
     }
 
     @Override
     public String domainParameter() {
-        return EntryPages.domainParameter();
+        return EntryResources.domainParameter();
     }
 
     @Override
     public String directoryBody(List<EntryContact> entries, Duration timeToLive) {
-        return EntryPages.directory(entries, timeToLive);
+        return EntryResources.directory(entries, timeToLive);
     }
 }
--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreClient.java
@@ -23,18 +23,18 @@
 import org.yuccagw.core.stores.StoreCall;
 
 /** Asks cache stores for their events and lists, and frees parts there. */
-public final class StoreCaller implements ActionHandler {
+public final class StoreClient implements ActionHandler {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration ANSWER_MARGIN = Duration.ofMillis(600);
     private static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
     private final HttpClient caller;
 
-    private StoreCaller(HttpClient caller) {
+    private StoreClient(HttpClient caller) {
         this.caller = caller;
     }
 
-    public static StoreCaller of(HttpClient caller) {
-        return new StoreCaller(caller);
+    public static StoreClient of(HttpClient caller) {
+        return new StoreClient(caller);
     }
 
     @Override
@@ -108,7 +108,7 @@
                 input.offer(new StoreAnswer.Silent(store, failure.toString()));
                 return;
             }
-            EndpointNotice notice = EndpointNotices.read(answer.status(), answer.headers());
+            EndpointNotice notice = EndpointNoticeReader.read(answer.status(), answer.headers());
             if (notice.hasContent()) {
                 input.offer(new StoreAnswer.Noticed(store, notice));
             }
--- a/src/main/java/org/yuccagw/standins/engine/AnswerRun.java
+++ b/src/main/java/org/yuccagw/standins/engine/AnswerRun.java
@@ -17,7 +17,7 @@
     private final PromptRequest request;
     private final Caller caller;
     private final String version;
-    private final AnswerText text;
+    private final CompletionFormat text;
     private final AnswerJson json;
     private final List<String> words = new ArrayList<>();
     private final List<ByteStream> readers = new ArrayList<>();
@@ -36,7 +36,7 @@
         this.request = request;
         this.caller = caller;
         this.version = version;
-        this.text = AnswerText.after(request.answerPrefix());
+        this.text = CompletionFormat.after(request.answerPrefix());
         this.json = new AnswerJson(stream, model, request.chat());
         this.unreadSinceNanos = System.nanoTime();
     }
--- a/src/main/java/org/yuccagw/standins/engine/AnswerText.java
+++ b/src/main/java/org/yuccagw/standins/engine/CompletionFormat.java
@@ -10,7 +10,7 @@
  * receives the prompt with the beginning of its answer appended therefore continues with the same words as the first
  * engine, and tests can compute the full answer to any prompt.
  */
-public final class AnswerText {
+public final class CompletionFormat {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
     private static final List<String> WORDS = List.of(
@@ -49,18 +49,18 @@
 
     private long hash = FNV_OFFSET_BASIS;
 
-    private AnswerText() {}
+    private CompletionFormat() {}
 
     /** Returns the generator of the answer to this text. */
-    static AnswerText after(String text) {
-        AnswerText answer = new AnswerText();
+    static CompletionFormat after(String text) {
+        CompletionFormat answer = new CompletionFormat();
         answer.updateHash(text);
         return answer;
     }
 
     /** Returns the first {@code tokens} words of the answer to this text. */
     public static String words(String text, int tokens) {
-        AnswerText answer = after(text);
+        CompletionFormat answer = after(text);
         StringBuilder words = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
             words.append(answer.nextWord());
--- a/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
@@ -67,12 +67,12 @@
 
     /** Returns the full answer of every stand-in engine to this completions prompt. */
     public static String expectedAnswer(String promptText, int tokens) {
-        return AnswerText.words(promptText, tokens);
+        return CompletionFormat.words(promptText, tokens);
     }
 
     /** Returns the full answer of every stand-in engine to a chat of one message with the role {@code user}. */
     public static String expectedChatAnswer(String userContent, int tokens) {
-        return AnswerText.words(ChatText.beforeAnswer(ChatText.message("user", userContent)), tokens);
+        return CompletionFormat.words(ChatText.beforeAnswer(ChatText.message("user", userContent)), tokens);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
+++ b/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
@@ -22,7 +22,7 @@
 public final class PlainServiceStandIn implements StandIn {
     private final String name;
     private final StandInServer server;
-    private final List<PlainCall> executedCalls = new ArrayList<>();
+    private final List<PlainRequest> executedCalls = new ArrayList<>();
     private PlainFaults faults = PlainFaults.none();
 
     private PlainServiceStandIn(String name, int port) {
@@ -74,7 +74,7 @@
     }
 
     /** Returns all calls that took effect, in the order of execution. */
-    public synchronized List<PlainCall> calls() {
+    public synchronized List<PlainRequest> calls() {
         return List.copyOf(executedCalls);
     }
 
@@ -90,7 +90,7 @@
             call.closeConnection();
             return;
         }
-        PlainCall executed = recordCall(call);
+        PlainRequest executed = recordCall(call);
         if (current.cutAfter() > 0) {
             faults = current.withCutAfter(current.cutAfter() - 1);
             call.closeConnection();
@@ -100,9 +100,9 @@
         server.timer().schedule(() -> call.reply(answer), current.answerMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private PlainCall recordCall(StandInCall call) {
+    private PlainRequest recordCall(StandInCall call) {
         String body = new String(call.body(), StandardCharsets.UTF_8);
-        PlainCall executed = new PlainCall(
+        PlainRequest executed = new PlainRequest(
                 name,
                 executedCalls.size() + 1L,
                 call.method(),
--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
@@ -36,13 +36,13 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.platform.GatewaySettingsReader;
-import org.yuccagw.platform.PlatformDialect;
+import org.yuccagw.platform.PlatformWireProtocol;
 import org.yuccagw.platform.PlatformRecords;
 import org.yuccagw.standins.platform.PlatformDocuments;
 import org.yuccagw.standins.platform.SmallDeployment;
 
 /** Callers who have left before an entry that is behind comes to their requests. */
-public class CallerGoneTest {
+public class CallerDisconnectTest {
     private static final int CALLERS = 20;
     private static final Duration LONG = Duration.ofSeconds(30);
 
@@ -82,7 +82,7 @@
                         () -> snapshot,
                         this::place,
                         HttpClient.onWorker(worker),
-                        PlatformDialect.create(),
+                        PlatformWireProtocol.create(),
                         DecisionLog.start(),
                         Metrics.create(),
                         settings.domain(),
--- a/src/test/java/org/yuccagw/daemon/WholePathTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndToEndTest.java
@@ -16,14 +16,14 @@
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
 import org.yuccagw.client.ClientSettings;
-import org.yuccagw.client.Completion;
+import org.yuccagw.client.CompletionRequest;
 import org.yuccagw.client.CompletionAnswer;
 import org.yuccagw.client.YuccagwClient;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.IdempotencyKey;
 import org.yuccagw.standins.engine.EngineStandIn;
 
-public class WholePathTest {
+public class EndToEndTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = LocalCatalogue.workspaceKey("statistics");
 
@@ -60,7 +60,7 @@
         String prompt = "Explain cell 7 of the notebook. ".repeat(20);
         StringBuilder streamed = new StringBuilder();
         CompletionAnswer answer =
-                client.complete(Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
+                client.complete(CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
         assertEquals(answer.text(), EngineStandIn.expectedAnswer(prompt, 20));
         assertEquals(streamed.toString(), answer.text());
         assertEquals(answer.answerTokens(), 20);
@@ -124,7 +124,7 @@
     @Test
     public void aKeyedCompletionRunsOnceForTheClientLibrary() throws Exception {
         IdempotencyKey key = YuccagwClient.newKey();
-        Completion once = Completion.of(LocalCatalogue.MODEL, "call the referee")
+        CompletionRequest once = CompletionRequest.of(LocalCatalogue.MODEL, "call the referee")
                 .withMaxTokens(4)
                 .once(key);
         CompletionAnswer first = client.complete(once, piece -> {});
@@ -137,7 +137,7 @@
     @Test
     public void aPromptThatReturnsAfterEvictionIsMostlyReused() throws Exception {
         String prompt = "The whole notebook context of the budget tables. ".repeat(100);
-        Completion question = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
+        CompletionRequest question = CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
         client.complete(question, piece -> {});
         client.complete(question, piece -> {});
         long wholeBlocks = prompt.length() / 64 * 1024L;
@@ -155,7 +155,7 @@
     }
 
     /** Asked at intervals over the lag of cache events: an entry that hasn't heard of the eviction imports nothing. */
-    private boolean returnsReused(Completion question) throws YuccagwException {
+    private boolean returnsReused(CompletionRequest question) throws YuccagwException {
         CompletionAnswer answer = client.complete(question, piece -> {});
         boolean mostly = answer.cachedTokens() > answer.promptTokens() * 3 / 4 && storeBytesRead() > 0;
         deployment.engines().forEach(EngineStandIn::evictAll);
--- a/src/test/java/org/yuccagw/platform/StoreCallerTest.java
+++ b/src/test/java/org/yuccagw/platform/StoreClientTest.java
@@ -33,7 +33,7 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /** The calls to a managed cache store over a real socket, against a store that holds a few parts. */
-public class StoreCallerTest {
+public class StoreClientTest {
     private static final long LONG_SECONDS = 60;
     private static final int CONFLICT = 409;
 
@@ -43,7 +43,7 @@
     private long epoch;
     private StandInServer server;
     private HttpClient caller;
-    private StoreCaller calls;
+    private StoreClient calls;
     private CacheStore store;
 
     @BeforeMethod
@@ -61,7 +61,7 @@
                 .on("POST", "/kv-free", this::free)
                 .listen(0);
         caller = HttpClient.start(1);
-        calls = StoreCaller.of(caller);
+        calls = StoreClient.of(caller);
         store = new CacheStore(
                 StoreId.of("store"), server.address(), FailureDomain.of("a"), 10_000, 1_000, 12, true, 1);
     }
