--- a/src/main/java/org/yuccagw/bench/local/LocalDeployment.java
+++ b/src/main/java/org/yuccagw/bench/local/LocalDeployment.java
@@ -65,15 +65,15 @@
                 ? HttpClient.start(
                         1, ReloadingTls.clientContext(plan.tls().get().trusted()))
                 : HttpClient.start(1);
-        keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         vmList = VmListStandIn.start(0, 0);
-        weights = WeightStoreStandIn.start(WeightStoreSettings.usual());
+        weights = WeightStoreStandIn.start(WeightStoreSettings.defaults());
         plain = PlainServiceStandIn.start(LocalCatalogue.PLAIN + "-1", 0);
         for (int i = 0; i < plan.engines(); i++) {
             engines.add(EngineStandIn.start(engineSettings(i)));
         }
         for (int i = 1; i <= 2; i++) {
-            stores.add(CacheStoreStandIn.start(CacheStoreSettings.usual("store-" + i)));
+            stores.add(CacheStoreStandIn.start(CacheStoreSettings.defaults("store-" + i)));
         }
         for (int i = 0; i < plan.entries(); i++) {
             settings.add(entrySettings(i));
@@ -219,7 +219,7 @@
     }
 
     private EngineSettings engineSettings(int index) {
-        return EngineSettings.usual("engine-" + (index + 1), LocalCatalogue.MODEL, LocalCatalogue.VERSION)
+        return EngineSettings.defaults("engine-" + (index + 1), LocalCatalogue.MODEL, LocalCatalogue.VERSION)
                 .withCosts(plan.costs())
                 .withFencingCheck(true)
                 .withLags(new EngineSettings.Lags(plan.loadLag(), plan.loadLag(), 0));
--- a/src/main/java/org/yuccagw/bench/local/Rehearsal.java
+++ b/src/main/java/org/yuccagw/bench/local/Rehearsal.java
@@ -21,7 +21,7 @@
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
 import org.yuccagw.standins.keyvalue.KeyValueStandIn;
 import org.yuccagw.standins.platform.SmallDeployment;
-import org.yuccagw.standins.platform.WillingEndpoint;
+import org.yuccagw.standins.platform.SuccessEndpoint;
 
 /**
  * Starts two entries against a stand-in of the key-value service and sends them some requests, all on loopback.
@@ -54,7 +54,7 @@
 
     /** Runs it to its end, within seconds. */
     public static void run() throws YuccagwException, IOException, InterruptedException {
-        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         HttpClient caller = HttpClient.start(1);
         GatewaySettings settings = settings("rehearsal-1", keyValue);
         GatewaySettings otherSettings = settings("rehearsal-2", keyValue);
@@ -62,7 +62,7 @@
         long startedNanos = System.nanoTime();
         GatewayDaemon daemon = GatewayDaemon.start(settings);
         GatewayDaemon other = GatewayDaemon.start(otherSettings);
-        WillingEndpoint endpoint = WillingEndpoint.start();
+        SuccessEndpoint endpoint = SuccessEndpoint.start();
         SmallDeployment deployment = SmallDeployment.at(endpoint.address());
         deployment.publish(keyValue);
         long until = System.nanoTime() + LONGEST_START.toNanos();
--- a/src/main/java/org/yuccagw/bench/local/RequestCost.java
+++ b/src/main/java/org/yuccagw/bench/local/RequestCost.java
@@ -106,8 +106,10 @@
 
     /** Both ways at each number of streams, after a warm-up of both. */
     public static List<Cost> measure(int requests) throws YuccagwException {
-        EngineCosts fast =
-                EngineCosts.usual().faster(SPEED).withBatch(BATCH, BATCH).withBlockTokens(LocalCatalogue.BLOCK_TOKENS);
+        EngineCosts fast = EngineCosts.defaults()
+                .withSpeedFactor(SPEED)
+                .withBatch(BATCH, BATCH)
+                .withBlockTokens(LocalCatalogue.BLOCK_TOKENS);
         LocalDeployment deployment =
                 LocalDeployment.start(LocalPlan.usual().withEntries(1).withEngines(1, fast));
         try {
--- a/src/main/java/org/yuccagw/bench/routing/Deployment.java
+++ b/src/main/java/org/yuccagw/bench/routing/Deployment.java
@@ -38,7 +38,7 @@
     static final int READS_AT_ONCE = 4;
 
     /** A large model: 2,500 prompt tokens a second, 30 ms an iteration, 131,072 tokens of cache. */
-    static final EngineCosts ENGINE = EngineCosts.usual()
+    static final EngineCosts ENGINE = EngineCosts.defaults()
             .withPrefill(2_500, 512)
             .withIteration(Duration.ofMillis(30), Duration.ofMillis(1))
             .withBlockTokens(BLOCK_TOKENS)
--- a/src/main/java/org/yuccagw/standins/engine/AnswerShape.java
+++ b/src/main/java/org/yuccagw/standins/engine/AnswerJson.java
@@ -4,22 +4,23 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.yuccagw.standins.http.StandInJson;
 
-/** The JSON of answers, in the shape that callers of completions and chat-completions interfaces know. */
-final class AnswerShape {
+/** Creates the JSON of answers in the format of the completions and chat-completions interfaces. */
+final class AnswerJson {
     private static final String FINISH_REASON = "length";
 
     private final String id;
     private final String model;
     private final boolean chat;
 
-    AnswerShape(String id, String model, boolean chat) {
+    AnswerJson(String id, String model, boolean chat) {
         this.id = id;
         this.model = model;
         this.chat = chat;
     }
 
+    /** Token counts of a request; the cached tokens are a part of the prompt tokens. */
     record Usage(long promptTokens, long completionTokens, long cachedTokens) {
-        private ObjectNode json() {
+        private ObjectNode toJson() {
             return StandInJson.object()
                     .put("prompt_tokens", promptTokens)
                     .put("completion_tokens", completionTokens)
@@ -29,7 +30,7 @@
     }
 
     JsonNode chunk(String word) {
-        ObjectNode answer = head(chat ? "chat.completion.chunk" : "text_completion");
+        ObjectNode answer = envelope(chat ? "chat.completion.chunk" : "text_completion");
         ObjectNode choice = choice(answer);
         if (chat) {
             choice.putObject("delta").put("content", word);
@@ -41,7 +42,7 @@
     }
 
     JsonNode lastChunk(Usage usage) {
-        ObjectNode answer = head(chat ? "chat.completion.chunk" : "text_completion");
+        ObjectNode answer = envelope(chat ? "chat.completion.chunk" : "text_completion");
         ObjectNode choice = choice(answer);
         if (chat) {
             choice.putObject("delta");
@@ -49,12 +50,12 @@
             choice.put("text", "");
         }
         choice.put("finish_reason", FINISH_REASON);
-        answer.set("usage", usage.json());
+        answer.set("usage", usage.toJson());
         return answer;
     }
 
-    JsonNode whole(String text, Usage usage) {
-        ObjectNode answer = head(chat ? "chat.completion" : "text_completion");
+    JsonNode fullAnswer(String text, Usage usage) {
+        ObjectNode answer = envelope(chat ? "chat.completion" : "text_completion");
         ObjectNode choice = choice(answer);
         if (chat) {
             choice.putObject("message").put("role", "assistant").put("content", text);
@@ -62,14 +63,14 @@
             choice.put("text", text);
         }
         choice.put("finish_reason", FINISH_REASON);
-        answer.set("usage", usage.json());
+        answer.set("usage", usage.toJson());
         return answer;
     }
 
-    private ObjectNode head(String object) {
+    private ObjectNode envelope(String objectType) {
         return StandInJson.object()
                 .put("id", "cmpl-" + id)
-                .put("object", object)
+                .put("object", objectType)
                 .put("model", model);
     }
 
--- a/src/main/java/org/yuccagw/standins/engine/BlockBytes.java
+++ b/src/main/java/org/yuccagw/standins/engine/BlockBytes.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 import org.yuccagw.core.cache.BlockKey;
 
-/** The bytes of a block when it is moved: a function of its key, so that wrong bytes can be told. */
+/** The bytes of a block during a transfer. They are a function of its key, so that wrong bytes can be detected. */
 final class BlockBytes {
     private BlockBytes() {}
 
--- a/src/main/java/org/yuccagw/standins/engine/BlockExport.java
+++ b/src/main/java/org/yuccagw/standins/engine/BlockExport.java
@@ -17,101 +17,104 @@
 import org.yuccagw.standins.http.StandInJson;
 
 /**
- * Writes cached blocks to a store and seals each, a few at a time. A block that isn't cached, or that the store doesn't
- * take, is skipped; once the store is full, so are all that follow.
+ * Writes cached blocks to a store and seals each of them, with a limited number of concurrent writes. A block that
+ * isn't cached or that the store rejects is skipped. Once the store is full, all remaining blocks are skipped.
  */
 final class BlockExport {
-    private static final int AT_ONCE = 4;
-    private static final int FULL = 507;
+    private static final int MAX_CONCURRENT_WRITES = 4;
+    private static final int INSUFFICIENT_STORAGE = 507;
 
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final NetworkAddress store;
     private final String writer;
     private final Source source;
     private final Consumer<JsonNode> reply;
-    private final Deque<BlockKey> waiting = new ArrayDeque<>();
+    private final Deque<BlockKey> queue = new ArrayDeque<>();
     private final ObjectNode answer = StandInJson.object();
     private final ArrayNode exported = answer.putArray("exported");
     private final ArrayNode skipped = answer.putArray("skipped");
-    private boolean full;
-    private int active;
+    private boolean storeFull;
+    private int activeWrites;
 
     /**
-     * Where the bytes come from and what a test wants to happen on the way.
+     * The source of the blocks, with a hook for fault injection.
      *
-     * @param isCached whether the engine still has the block
-     * @param beforeSeal runs between write and seal; false gives the block up unsealed
+     * @param isCached returns whether the block is still in the cache of the engine
+     * @param blockBytes the size of a block in bytes
+     * @param beforeSeal called between the write and the seal; if it returns false, the block stays unsealed and the
+     *     export isn't answered
      */
     record Source(Predicate<BlockKey> isCached, int blockBytes, BooleanSupplier beforeSeal) {}
 
-    private BlockExport(HttpClient caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
-        this.caller = caller;
+    private BlockExport(HttpClient httpClient, JsonNode order, Source source, Consumer<JsonNode> reply) {
+        this.httpClient = httpClient;
         this.store = NetworkAddress.parse(order.path("store").asText());
         this.writer = order.path("writer").asText();
         this.source = source;
         this.reply = reply;
-        order.path("blocks").forEach(key -> waiting.add(BlockKey.parse(key.asText())));
+        order.path("blocks").forEach(key -> queue.add(BlockKey.parse(key.asText())));
     }
 
-    static void start(HttpClient caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
-        new BlockExport(caller, order, source, reply).next();
+    static void start(HttpClient httpClient, JsonNode order, Source source, Consumer<JsonNode> reply) {
+        new BlockExport(httpClient, order, source, reply).startNext();
     }
 
-    private synchronized void next() {
-        while (active < AT_ONCE && !waiting.isEmpty()) {
-            BlockKey key = waiting.poll();
-            if (full || !source.isCached().test(key)) {
+    private synchronized void startNext() {
+        while (activeWrites < MAX_CONCURRENT_WRITES && !queue.isEmpty()) {
+            BlockKey key = queue.poll();
+            if (storeFull || !source.isCached().test(key)) {
                 skipped.add(key.toString());
             } else {
-                active++;
+                activeWrites++;
                 write(key);
             }
         }
-        if (active == 0) {
-            reply.accept(answer.put("full", full));
+        if (activeWrites == 0) {
+            reply.accept(answer.put("full", storeFull));
         }
     }
 
     private void write(BlockKey key) {
         byte[] bytes = BlockBytes.of(key, source.blockBytes());
         String path = "/v1/blocks/" + key + "?writer=" + writer;
-        caller.send(HttpRequest.of("PUT", store, path, bytes)).whenComplete((written, failure) -> {
-            if (failure != null || !written.isSuccess()) {
-                skip(key, failure == null && written.status() == FULL);
+        httpClient.send(HttpRequest.of("PUT", store, path, bytes)).whenComplete((writeResponse, failure) -> {
+            if (failure != null || !writeResponse.isSuccess()) {
+                skip(key, failure == null && writeResponse.status() == INSUFFICIENT_STORAGE);
             } else if (source.beforeSeal().getAsBoolean()) {
-                seal(key, bytes, written);
+                seal(key, bytes, writeResponse);
             }
         });
     }
 
-    private void seal(BlockKey key, byte[] bytes, HttpResponse written) {
-        long generation = StandInJson.parse(written.body()).path("generation").asLong();
+    private void seal(BlockKey key, byte[] bytes, HttpResponse writeResponse) {
+        long generation =
+                StandInJson.parse(writeResponse.body()).path("generation").asLong();
         long checksum = Hashing.crc32c().hashBytes(bytes).padToLong();
         String path = "/v1/blocks/" + key + "/seal?generation=" + generation + "&length=" + bytes.length + "&checksum="
                 + checksum;
-        caller.send(HttpRequest.of("POST", store, path)).whenComplete((answered, failure) -> {
-            if (failure != null || !answered.isSuccess()) {
+        httpClient.send(HttpRequest.of("POST", store, path)).whenComplete((sealResponse, failure) -> {
+            if (failure != null || !sealResponse.isSuccess()) {
                 skip(key, false);
             } else {
-                done(key, generation, bytes.length, checksum);
+                onSealed(key, generation, bytes.length, checksum);
             }
         });
     }
 
-    private synchronized void done(BlockKey key, long generation, int length, long checksum) {
+    private synchronized void onSealed(BlockKey key, long generation, int length, long checksum) {
         exported.addObject()
                 .put("key", key.toString())
                 .put("generation", generation)
                 .put("length", length)
                 .put("checksum", checksum);
-        active--;
-        next();
+        activeWrites--;
+        startNext();
     }
 
-    private synchronized void skip(BlockKey key, boolean storeIsFull) {
-        full |= storeIsFull;
+    private synchronized void skip(BlockKey key, boolean rejectedAsFull) {
+        storeFull |= rejectedAsFull;
         skipped.add(key.toString());
-        active--;
-        next();
+        activeWrites--;
+        startNext();
     }
 }
--- a/src/main/java/org/yuccagw/standins/engine/ChatText.java
+++ b/src/main/java/org/yuccagw/standins/engine/ChatText.java
@@ -1,16 +1,18 @@
 package org.yuccagw.standins.engine;
 
-/** How the messages of a chat become one text: role, newline, content and newline of each. */
+/** Renders the messages of a chat as one text: for each message its role, a newline, its content and a newline. */
 public final class ChatText {
+    /** The line that starts an answer. */
     static final String ANSWER_ROLE = "assistant\n";
 
     private ChatText() {}
 
+    /** Renders one message. */
     public static String message(String role, String content) {
         return role + "\n" + content + "\n";
     }
 
-    /** The text that the answer to these rendered messages follows. */
+    /** Returns the text that precedes the answer to these rendered messages. */
     public static String beforeAnswer(String renderedMessages) {
         return renderedMessages + ANSWER_ROLE;
     }
--- a/src/main/java/org/yuccagw/standins/engine/EngineLoad.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineLoad.java
@@ -1,11 +1,11 @@
 package org.yuccagw.standins.engine;
 
 /**
- * What an engine has to do.
+ * The load of an engine. The components are the fields of its JSON.
  *
- * @param running sequences in the batch
- * @param waiting requests in the queue
- * @param waitingPrefillTokens prompt tokens not yet processed, of waiting and running ones; before the queue's own
- *     cache hits are known
+ * @param running the number of sequences in the batch
+ * @param waiting the number of queued requests
+ * @param waitingPrefillTokens the prompt tokens still to be prefilled, of queued and running requests. Cache hits of
+ *     queued requests aren't deducted, as they are determined on admission to the batch
  */
 public record EngineLoad(int running, int waiting, long waitingPrefillTokens) {}
--- a/src/main/java/org/yuccagw/standins/engine/EngineSettings.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineSettings.java
@@ -5,21 +5,21 @@
 import org.yuccagw.core.id.WeightVersion;
 
 /**
- * Settings of an engine.
+ * Settings of a stand-in engine.
  *
- * @param name of the endpoint
- * @param incarnation of its VM
- * @param port 0 takes a free one
- * @param model name that requests carry
- * @param version weight version it runs first
- * @param adapter adapter it runs first, empty for none
- * @param costs what its work costs
- * @param checksFencing whether it refuses orders with an old fencing number
- * @param lags how late its reports are
- * @param streamKeep how long it keeps a stream that nobody reads
- * @param bytesPerToken cache bytes of one token when a block is moved
- * @param loadTime what loading weights or an adapter takes beside the weight store
- * @param crashMarker a request whose prompt contains this text ends the engine when it starts to run
+ * @param name the name of the endpoint
+ * @param incarnation the incarnation of its VM
+ * @param port the port to listen on; 0 selects a free one
+ * @param model the name of the model in requests
+ * @param version the initial weight version
+ * @param adapter the initial adapter; empty for none
+ * @param costs the costs of its work
+ * @param checksFencing whether it rejects orders with an old fencing number
+ * @param lags the lags and losses of its reports
+ * @param streamRetention how long it retains a stream without readers
+ * @param bytesPerToken the cache bytes of one token when a block is transferred
+ * @param loadTime the duration of loading weights or an adapter, in addition to the transfer from the weight store
+ * @param crashMarker a text in the prompt that crashes the engine when the request is admitted to the batch
  */
 public record EngineSettings(
         String name,
@@ -31,29 +31,29 @@
         EngineCosts costs,
         boolean checksFencing,
         Lags lags,
-        Duration streamKeep,
+        Duration streamRetention,
         int bytesPerToken,
         Duration loadTime,
         Optional<String> crashMarker) {
-    private static final int USUAL_BYTES_PER_TOKEN = 64;
+    private static final int DEFAULT_BYTES_PER_TOKEN = 64;
 
     /**
-     * How late and how complete the reports are.
+     * Lags and losses of the reports of an engine.
      *
-     * @param load age of the load that is reported
-     * @param events time until a cache event can be read
-     * @param lostEvery every so many cache events one is lost, 0 for never
+     * @param load the age of the reported load
+     * @param events the delay until a cache event becomes visible
+     * @param lostEvery one of this many cache events is lost; 0 for none
      */
     public record Lags(Duration load, Duration events, int lostEvery) {
-        private static final Lags USUAL = new Lags(Duration.ofMillis(200), Duration.ofMillis(200), 0);
+        private static final Lags DEFAULTS = new Lags(Duration.ofMillis(200), Duration.ofMillis(200), 0);
 
-        public static Lags usual() {
-            return USUAL;
+        public static Lags defaults() {
+            return DEFAULTS;
         }
     }
 
-    /** The usual costs, lags of 0.2 s, no fencing check, 64 bytes a token. */
-    public static EngineSettings usual(String name, String model, WeightVersion version) {
+    /** Returns the defaults: default costs, lags of 0.2 s, no fencing check and 64 bytes per token. */
+    public static EngineSettings defaults(String name, String model, WeightVersion version) {
         return new EngineSettings(
                 name,
                 1,
@@ -61,11 +61,11 @@
                 model,
                 version,
                 "",
-                EngineCosts.usual(),
+                EngineCosts.defaults(),
                 false,
-                Lags.usual(),
+                Lags.defaults(),
                 Duration.ofSeconds(30),
-                USUAL_BYTES_PER_TOKEN,
+                DEFAULT_BYTES_PER_TOKEN,
                 Duration.ofMillis(100),
                 Optional.empty());
     }
@@ -81,7 +81,7 @@
                 costs,
                 checksFencing,
                 lags,
-                streamKeep,
+                streamRetention,
                 bytesPerToken,
                 loadTime,
                 crashMarker);
@@ -98,7 +98,7 @@
                 costs,
                 checksFencing,
                 lags,
-                streamKeep,
+                streamRetention,
                 bytesPerToken,
                 loadTime,
                 crashMarker);
@@ -115,13 +115,13 @@
                 newCosts,
                 checksFencing,
                 lags,
-                streamKeep,
+                streamRetention,
                 bytesPerToken,
                 loadTime,
                 crashMarker);
     }
 
-    public EngineSettings withFencingCheck(boolean checks) {
+    public EngineSettings withFencingCheck(boolean newChecksFencing) {
         return new EngineSettings(
                 name,
                 incarnation,
@@ -130,9 +130,9 @@
                 version,
                 adapter,
                 costs,
-                checks,
+                newChecksFencing,
                 lags,
-                streamKeep,
+                streamRetention,
                 bytesPerToken,
                 loadTime,
                 crashMarker);
@@ -149,13 +149,13 @@
                 costs,
                 checksFencing,
                 newLags,
-                streamKeep,
+                streamRetention,
                 bytesPerToken,
                 loadTime,
                 crashMarker);
     }
 
-    public EngineSettings withStreamKeep(Duration keep) {
+    public EngineSettings withStreamRetention(Duration newStreamRetention) {
         return new EngineSettings(
                 name,
                 incarnation,
@@ -166,13 +166,13 @@
                 costs,
                 checksFencing,
                 lags,
-                keep,
+                newStreamRetention,
                 bytesPerToken,
                 loadTime,
                 crashMarker);
     }
 
-    public EngineSettings withBytesPerToken(int bytes) {
+    public EngineSettings withBytesPerToken(int newBytesPerToken) {
         return new EngineSettings(
                 name,
                 incarnation,
@@ -183,13 +183,13 @@
                 costs,
                 checksFencing,
                 lags,
-                streamKeep,
-                bytes,
+                streamRetention,
+                newBytesPerToken,
                 loadTime,
                 crashMarker);
     }
 
-    public EngineSettings withLoadTime(Duration time) {
+    public EngineSettings withLoadTime(Duration newLoadTime) {
         return new EngineSettings(
                 name,
                 incarnation,
@@ -200,9 +200,9 @@
                 costs,
                 checksFencing,
                 lags,
-                streamKeep,
+                streamRetention,
                 bytesPerToken,
-                time,
+                newLoadTime,
                 crashMarker);
     }
 
@@ -217,7 +217,7 @@
                 costs,
                 checksFencing,
                 lags,
-                streamKeep,
+                streamRetention,
                 bytesPerToken,
                 loadTime,
                 Optional.of(marker));
--- a/src/main/java/org/yuccagw/standins/engine/LoadHistory.java
+++ b/src/main/java/org/yuccagw/standins/engine/LoadHistory.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** The load as it was a while ago. */
+/** A history of the load, from which the load is reported with a lag. */
 final class LoadHistory {
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
     private long lagNanos;
@@ -14,22 +14,22 @@
         samples.add(new Sample(Long.MIN_VALUE, new EngineLoad(0, 0, 0)));
     }
 
-    void setLag(long nanos) {
-        lagNanos = nanos;
+    void setLag(long newLagNanos) {
+        lagNanos = newLagNanos;
     }
 
-    void add(long now, EngineLoad load) {
-        samples.addLast(new Sample(now, load));
-        forgetUntil(now - lagNanos);
+    void add(long nowNanos, EngineLoad load) {
+        samples.addLast(new Sample(nowNanos, load));
+        discardBefore(nowNanos - lagNanos);
     }
 
-    EngineLoad at(long now) {
-        forgetUntil(now - lagNanos);
+    EngineLoad reportedAt(long nowNanos) {
+        discardBefore(nowNanos - lagNanos);
         return samples.peekFirst().load();
     }
 
-    /** Drops all but the last sample that is at least that old. */
-    private void forgetUntil(long nanos) {
+    /** Discards samples up to this time, except for the last of them. */
+    private void discardBefore(long nanos) {
         while (samples.size() > 1) {
             Sample first = samples.pollFirst();
             if (samples.peekFirst().nanos() > nanos) {
--- a/src/main/java/org/yuccagw/standins/engine/PromptRequest.java
+++ b/src/main/java/org/yuccagw/standins/engine/PromptRequest.java
@@ -5,23 +5,23 @@
 import java.util.Optional;
 
 /**
- * A completions or chat-completions request as the engine reads it.
+ * A parsed completions or chat-completions request.
  *
- * @param keyText text whose bytes name the cache blocks
- * @param answerStart text that the answer follows
- * @param chat whether the answer has the chat shape
- * @param version weight version it insists on
+ * @param keyText the text from whose bytes the keys of the cache blocks are computed
+ * @param answerPrefix the text that precedes the answer
+ * @param chat whether the answer has the chat format
+ * @param version the weight version that the request requires, if any
  */
 record PromptRequest(
         String keyText,
-        String answerStart,
+        String answerPrefix,
         boolean chat,
         int answerTokens,
         boolean stream,
         int priority,
         String salt,
         Optional<String> version) {
-    private static final int USUAL_TOKENS = 16;
+    private static final int DEFAULT_ANSWER_TOKENS = 16;
 
     static PromptRequest completions(JsonNode body) {
         if (!body.path("prompt").isTextual()) {
@@ -39,26 +39,26 @@
         StringBuilder text = new StringBuilder();
         messages.forEach(message -> text.append(ChatText.message(
                 message.path("role").asText(), message.path("content").asText())));
-        boolean goesOn = body.path("continue_final_message").asBoolean(false);
-        // The newline behind the last message isn't part of an answer that goes on.
-        String start = goesOn ? text.substring(0, text.length() - 1) : text + ChatText.ANSWER_ROLE;
-        return of(body, text.toString(), start, true);
+        boolean continuesMessage = body.path("continue_final_message").asBoolean(false);
+        // The newline after the last message isn't part of an answer that is continued.
+        String answerPrefix = continuesMessage ? text.substring(0, text.length() - 1) : text + ChatText.ANSWER_ROLE;
+        return of(body, text.toString(), answerPrefix, true);
     }
 
     long promptTokens() {
         int bytes = keyText.getBytes(StandardCharsets.UTF_8).length;
-        int perToken = org.yuccagw.core.cache.BlockChain.BYTES_PER_TOKEN;
-        return Math.max(1, (bytes + perToken - 1) / perToken);
+        int bytesPerToken = org.yuccagw.core.cache.BlockChain.BYTES_PER_TOKEN;
+        return Math.max(1, (bytes + bytesPerToken - 1) / bytesPerToken);
     }
 
-    private static PromptRequest of(JsonNode body, String keyText, String start, boolean chat) {
-        int tokens = body.path("max_tokens").asInt(USUAL_TOKENS);
+    private static PromptRequest of(JsonNode body, String keyText, String answerPrefix, boolean chat) {
+        int tokens = body.path("max_tokens").asInt(DEFAULT_ANSWER_TOKENS);
         if (tokens < 1) {
             throw new IllegalArgumentException("field 'max_tokens' has to be at least 1");
         }
         return new PromptRequest(
                 keyText,
-                start,
+                answerPrefix,
                 chat,
                 tokens,
                 body.path("stream").asBoolean(false),
--- a/src/main/java/org/yuccagw/standins/http/ByteStream.java
+++ b/src/main/java/org/yuccagw/standins/http/ByteStream.java
@@ -9,49 +9,50 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * An answer whose bytes come over time. Any thread may write; the bytes go out on the connection's I/O thread, in
- * order, as fast as the reader takes them.
+ * An answer that is sent incrementally. Any thread may write. The bytes are queued without bound and sent in order on
+ * the connection's I/O thread, as fast as the reader accepts them.
  */
 public final class ByteStream {
     private final HttpServerExchange exchange;
     private final StreamSinkChannel channel;
-    private final Queue<ByteBuffer> buffers = new ArrayDeque<>();
-    private boolean ended;
-    private boolean over;
+    private final Queue<ByteBuffer> queue = new ArrayDeque<>();
+    private boolean endRequested;
+    private boolean closed;
 
     private ByteStream(HttpServerExchange exchange) {
         this.exchange = exchange;
         this.channel = exchange.getResponseChannel();
-        this.channel.getWriteSetter().set(sink -> pump());
+        this.channel.getWriteSetter().set(sink -> writeQueued());
     }
 
-    static ByteStream begin(HttpServerExchange exchange) {
+    static ByteStream start(HttpServerExchange exchange) {
         ByteStream stream = new ByteStream(exchange);
-        stream.pump();
+        stream.writeQueued();
         return stream;
     }
 
+    /** Queues bytes to be sent. */
     public void write(byte[] bytes) {
         exchange.getIoThread().execute(() -> {
-            buffers.add(ByteBuffer.wrap(bytes));
-            pump();
+            queue.add(ByteBuffer.wrap(bytes));
+            writeQueued();
         });
     }
 
-    /** Ends the answer once all bytes went out. */
+    /** Ends the answer after all queued bytes have been sent. */
     public void end() {
         exchange.getIoThread().execute(() -> {
-            ended = true;
-            pump();
+            endRequested = true;
+            writeQueued();
         });
     }
 
-    /** Closes the connection at once, in the middle of the answer. */
-    public void cut() {
+    /** Closes the connection at once, without sending the rest of the answer. */
+    public void abort() {
         IoUtils.safeClose(exchange.getConnection());
     }
 
-    /** Calls back, on an I/O thread, when the connection goes or the answer is complete. */
+    /** Registers a callback that runs on an I/O thread once the answer is complete or the connection is closed. */
     public void onClose(Runnable callback) {
         exchange.addExchangeCompleteListener((completed, next) -> {
             callback.run();
@@ -59,22 +60,22 @@
         });
     }
 
-    private void pump() {
-        if (over) {
+    private void writeQueued() {
+        if (closed) {
             return;
         }
         try {
-            while (!buffers.isEmpty()) {
-                ByteBuffer buffer = buffers.peek();
+            while (!queue.isEmpty()) {
+                ByteBuffer buffer = queue.peek();
                 if (channel.write(buffer) == 0) {
                     channel.resumeWrites();
                     return;
                 }
                 if (!buffer.hasRemaining()) {
-                    buffers.remove();
+                    queue.remove();
                 }
             }
-            if (ended) {
+            if (endRequested) {
                 channel.shutdownWrites();
             }
             if (!channel.flush()) {
@@ -82,13 +83,13 @@
                 return;
             }
             channel.suspendWrites();
-            if (ended) {
-                over = true;
+            if (endRequested) {
+                closed = true;
                 exchange.endExchange();
             }
         } catch (IOException e) {
-            // The reader has gone: nobody is left to be told.
-            over = true;
+            // The reader has closed the connection, so the error can't be reported to it.
+            closed = true;
             IoUtils.safeClose(exchange.getConnection());
             exchange.endExchange();
         }
--- a/src/main/java/org/yuccagw/standins/http/ServiceFaults.java
+++ b/src/main/java/org/yuccagw/standins/http/ServiceFaults.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Faults that every stand-in can be ordered to show, as the fields of {@code POST /knobs}.
+ * Faults that can be injected into every stand-in, set by the fields of {@code POST /knobs}.
  *
- * @param down each call's connection is closed without an answer and without effect
- * @param silent calls have no effect and are never answered, their connections stay open
- * @param delayMillis time before a call is looked at
+ * @param down whether the connection of each call is closed without an answer or an effect
+ * @param silent whether calls have no effect and no answer while their connections stay open
+ * @param delayMillis the delay before a call is handled
  */
 public record ServiceFaults(boolean down, boolean silent, long delayMillis) {
     private static final ServiceFaults NONE = new ServiceFaults(false, false, 0);
@@ -16,7 +16,7 @@
         return NONE;
     }
 
-    /** Takes over the fields that are present. */
+    /** Returns these faults with the fields that are present in the knobs replaced. */
     ServiceFaults with(JsonNode knobs) {
         return new ServiceFaults(
                 knobs.path("down").asBoolean(down),
--- a/src/main/java/org/yuccagw/standins/http/StandInServer.java
+++ b/src/main/java/org/yuccagw/standins/http/StandInServer.java
@@ -29,28 +29,28 @@
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
- * The HTTP side of a stand-in, on loopback, with one I/O thread and one timer thread.
+ * The HTTP server of a stand-in, on the loopback interface, with one I/O thread and one timer thread.
  *
- * <p>It listens at two addresses. The service address serves the stand-in's own protocol and shows the ordered faults;
- * {@link #kill} closes it with all its connections, as the death of the process would. The control address outlives
- * that: tests read {@code GET /record} and order faults by {@code POST /knobs} there. Both work at the service address
- * too, whatever the faults.
+ * <p>It listens at two addresses. The service address serves the protocol of the stand-in and is subject to the
+ * injected faults; {@link #kill} closes it with all its connections, as a crash of the process would. The control
+ * address stays open after that: tests read {@code GET /record} and inject faults by {@code POST /knobs} there. Both
+ * paths work at the service address too, whatever faults are injected.
  */
 public final class StandInServer {
     private static final String LOOPBACK = "127.0.0.1";
     private static final int NOT_FOUND = 404;
 
     private final String name;
-    private final RoutingHandler routes = Handlers.routing();
-    private final RoutingHandler control = Handlers.routing();
-    private final Map<String, LongAdder> calls = new ConcurrentHashMap<>();
+    private final RoutingHandler serviceRoutes = Handlers.routing();
+    private final RoutingHandler controlRoutes = Handlers.routing();
+    private final Map<String, LongAdder> callCounters = new ConcurrentHashMap<>();
     private final Set<ServerConnection> connections = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService timer;
     private final XnioWorker worker;
     private volatile ServiceFaults faults = ServiceFaults.none();
-    private Supplier<ObjectNode> record = StandInJson::object;
-    private Consumer<JsonNode> knobs = ignored -> {};
-    private Undertow service;
+    private Supplier<ObjectNode> recordSupplier = StandInJson::object;
+    private Consumer<JsonNode> knobsConsumer = ignored -> {};
+    private Undertow serviceServer;
     private Undertow controlServer;
 
     private StandInServer(String name) throws IOException {
@@ -69,58 +69,61 @@
                         .set(Options.THREAD_DAEMON, true)
                         .set(Options.TCP_NODELAY, true)
                         .getMap());
-        control.get("/record", receive(call -> call.reply(wholeRecord())));
-        control.post("/knobs", receive(this::turn));
-        control.setFallbackHandler(receive(call -> call.replyError(NOT_FOUND, "not_found", "unknown path")));
-        routes.get("/record", receive(call -> call.reply(wholeRecord())));
-        routes.post("/knobs", receive(this::turn));
-        routes.setFallbackHandler(receive(call -> call.replyError(NOT_FOUND, "not_found", "unknown path")));
+        controlRoutes.get("/record", receiveBody(call -> call.reply(fullRecord())));
+        controlRoutes.post("/knobs", receiveBody(this::applyKnobs));
+        controlRoutes.setFallbackHandler(receiveBody(call -> call.replyError(NOT_FOUND, "not_found", "unknown path")));
+        serviceRoutes.get("/record", receiveBody(call -> call.reply(fullRecord())));
+        serviceRoutes.post("/knobs", receiveBody(this::applyKnobs));
+        serviceRoutes.setFallbackHandler(receiveBody(call -> call.replyError(NOT_FOUND, "not_found", "unknown path")));
     }
 
-    /** A server that doesn't listen yet. */
+    /** Creates a server that doesn't listen yet. */
     public static StandInServer create(String name) {
         try {
             return new StandInServer(name);
         } catch (IOException e) {
-            throw new UncheckedIOException("no I/O threads for " + name, e);
+            throw new UncheckedIOException("failed to create the I/O threads of " + name, e);
         }
     }
 
-    /** Serves a method and path template such as {@code /v1/leases/{lease}}; the handler must not block. */
+    /**
+     * Registers a handler for a method and a path template such as {@code /v1/leases/{lease}}. The handler must not
+     * block.
+     */
     public StandInServer on(String method, String path, Consumer<StandInCall> handler) {
-        routes.add(method, path, receive(faulty(method + " " + path, handler)));
+        serviceRoutes.add(method, path, receiveBody(withFaults(method + " " + path, handler)));
         return this;
     }
 
-    /** Serves every path that has no handler of its own. */
-    public StandInServer onAnythingElse(Consumer<StandInCall> handler) {
-        HttpHandler receiving = receive(faulty("*", handler));
-        routes.setFallbackHandler(receiving);
-        routes.setInvalidMethodHandler(receiving);
+    /** Registers a handler for all methods and paths that have no handler of their own. */
+    public StandInServer onOtherPaths(Consumer<StandInCall> handler) {
+        HttpHandler fallback = receiveBody(withFaults("*", handler));
+        serviceRoutes.setFallbackHandler(fallback);
+        serviceRoutes.setInvalidMethodHandler(fallback);
         return this;
     }
 
-    /** What {@code GET /record} answers, beside the counts of calls. */
+    /** Sets the supplier of the fields of {@code GET /record}, to which the name and the call counts are added. */
     public StandInServer withRecord(Supplier<ObjectNode> supplier) {
-        record = supplier;
+        recordSupplier = supplier;
         return this;
     }
 
-    /** Takes the fields of {@code POST /knobs} that aren't {@link ServiceFaults}. */
+    /** Sets the consumer of {@code POST /knobs}, for the fields other than those of {@link ServiceFaults}. */
     public StandInServer withKnobs(Consumer<JsonNode> consumer) {
-        knobs = consumer;
+        knobsConsumer = consumer;
         return this;
     }
 
-    /** Listens on loopback; port 0 takes a free one. */
+    /** Starts listening on the loopback interface; port 0 selects a free one. */
     public StandInServer listen(int port) {
-        service = listen(port, track(routes));
-        controlServer = listen(0, control);
+        serviceServer = listen(port, trackConnections(serviceRoutes));
+        controlServer = listen(0, controlRoutes);
         return this;
     }
 
     public NetworkAddress address() {
-        return addressOf(service);
+        return addressOf(serviceServer);
     }
 
     public NetworkAddress controlAddress() {
@@ -135,20 +138,24 @@
         return worker;
     }
 
-    public void order(ServiceFaults ordered) {
-        faults = ordered;
+    /** Replaces the injected faults. */
+    public void injectFaults(ServiceFaults newFaults) {
+        faults = newFaults;
     }
 
-    /** Calls so far by method and path template. */
+    /** Returns the number of calls since the start by method and path template. */
     public Map<String, Long> callCounts() {
         Map<String, Long> counts = new TreeMap<>();
-        calls.forEach((call, count) -> counts.put(call, count.sum()));
+        callCounters.forEach((call, count) -> counts.put(call, count.sum()));
         return counts;
     }
 
-    /** Dies as a process would: no listener, every connection closed. The control address stays. */
+    /**
+     * Simulates a crash: closes the listener and all connections of the service address. The control address stays
+     * open.
+     */
     public void kill() {
-        service.stop();
+        serviceServer.stop();
         connections.forEach(IoUtils::safeClose);
     }
 
@@ -175,7 +182,7 @@
         return NetworkAddress.of(LOOPBACK, bound.getPort());
     }
 
-    private HttpHandler track(HttpHandler handler) {
+    private HttpHandler trackConnections(HttpHandler handler) {
         return exchange -> {
             ServerConnection connection = exchange.getConnection();
             if (connections.add(connection)) {
@@ -185,45 +192,45 @@
         };
     }
 
-    private HttpHandler receive(Consumer<StandInCall> handler) {
+    private HttpHandler receiveBody(Consumer<StandInCall> handler) {
         return exchange -> exchange.getRequestReceiver().receiveFullBytes((received, body) -> {
             StandInCall call = new StandInCall(received, body);
-            // Dispatched, so that the exchange stays open after the handler returns and may be answered later.
-            received.dispatch(SameThreadExecutor.INSTANCE, () -> call.guarded(handler));
+            // Dispatching keeps the exchange open after the handler returns, so that it can be answered later.
+            received.dispatch(SameThreadExecutor.INSTANCE, () -> call.handle(handler));
         });
     }
 
-    private Consumer<StandInCall> faulty(String label, Consumer<StandInCall> handler) {
+    private Consumer<StandInCall> withFaults(String label, Consumer<StandInCall> handler) {
         return call -> {
-            calls.computeIfAbsent(label, key -> new LongAdder()).increment();
-            ServiceFaults now = faults;
-            if (now.down()) {
-                call.cut();
-            } else if (!now.silent()) {
-                handleAfter(now.delayMillis(), call, handler);
+            callCounters.computeIfAbsent(label, key -> new LongAdder()).increment();
+            ServiceFaults current = faults;
+            if (current.down()) {
+                call.closeConnection();
+            } else if (!current.silent()) {
+                handleAfter(current.delayMillis(), call, handler);
             }
         };
     }
 
-    private void handleAfter(long millis, StandInCall call, Consumer<StandInCall> handler) {
-        if (millis <= 0) {
+    private void handleAfter(long delayMillis, StandInCall call, Consumer<StandInCall> handler) {
+        if (delayMillis <= 0) {
             handler.accept(call);
             return;
         }
-        timer.schedule(() -> call.onIoThread(() -> call.guarded(handler)), millis, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> call.onIoThread(() -> call.handle(handler)), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private ObjectNode wholeRecord() {
-        ObjectNode whole = record.get();
-        whole.put("name", name);
-        whole.set("calls", StandInJson.tree(callCounts()));
-        return whole;
+    private ObjectNode fullRecord() {
+        ObjectNode full = recordSupplier.get();
+        full.put("name", name);
+        full.set("calls", StandInJson.tree(callCounts()));
+        return full;
     }
 
-    private void turn(StandInCall call) {
-        JsonNode asked = call.json();
-        faults = faults.with(asked);
-        knobs.accept(asked);
+    private void applyKnobs(StandInCall call) {
+        JsonNode requested = call.json();
+        faults = faults.with(requested);
+        knobsConsumer.accept(requested);
         call.reply(StandInJson.object());
     }
 }
--- a/src/main/java/org/yuccagw/standins/platform/PlatformDocuments.java
+++ b/src/main/java/org/yuccagw/standins/platform/PlatformDocuments.java
@@ -7,15 +7,15 @@
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.StandInJson;
 
-/** Documents that operators and endpoints write into the key-value service, for tests that play their part. */
+/** Documents that operators and endpoints write to the key-value service, for tests that simulate them. */
 public final class PlatformDocuments {
-    /** Where the configuration lies. */
+    /** The key of the configuration. */
     public static final String CONFIGURATION = "op/config";
 
-    /** Memory of every engine, in tokens. */
+    /** The cache memory of each engine, in tokens. */
     public static final long ENGINE_TOKENS = 50_000;
 
-    /** When endpoints started that have started once, as Unix time in milliseconds. */
+    /** The start time of endpoints that have started once, as Unix time in milliseconds. */
     public static final long FIRST_START_MILLIS = 1_000;
 
     private final ObjectNode root = StandInJson.object();
@@ -28,12 +28,12 @@
         root.putObject("limits").put("maxBodyBytes", 1 << 20).put("headerTimeoutMs", 2_000);
     }
 
-    /** A configuration to which routes and services are added. */
+    /** Creates a configuration without routes and services. */
     public static PlatformDocuments configuration(long version) {
         return new PlatformDocuments(version);
     }
 
-    /** A route of the host {@code a.example}; {@code kind} in the platform's word. */
+    /** Adds a route of the host {@code a.example}; {@code kind} is a value of the platform's field of this name. */
     public PlatformDocuments route(String prefix, String kind, String service, int timeoutMillis, int attempts) {
         ObjectNode route = ((ArrayNode) root.path("routes")).addObject();
         route.put("name", prefix).put("host", "a.example").put("pathPrefix", prefix);
@@ -42,38 +42,38 @@
         return this;
     }
 
-    /** Lets the streams of the last route be resumed at another endpoint. */
+    /** Makes the streams of the last route resumable at another endpoint. */
     public PlatformDocuments resumable() {
         last("routes").put("resumable", true).put("sessionAffinity", true).put("gapAimMs", 200);
         return this;
     }
 
-    /** Binds the requests of the last route to regions. */
-    public PlatformDocuments homes(String... regions) {
-        ArrayNode homes = last("routes").putArray("allowedRegions");
-        List.of(regions).forEach(homes::add);
+    /** Restricts the requests of the last route to regions. */
+    public PlatformDocuments allowedRegions(String... regions) {
+        ArrayNode allowedRegions = last("routes").putArray("allowedRegions");
+        List.of(regions).forEach(allowedRegions::add);
         return this;
     }
 
-    /** Sets the target and the priority of the last route. */
-    public PlatformDocuments wanted(int targetMillis, int priority) {
+    /** Sets the latency target and the priority of the last route. */
+    public PlatformDocuments latencyTarget(int targetMillis, int priority) {
         last("routes").put("targetLatencyMs", targetMillis).put("priority", priority);
         return this;
     }
 
-    /** A service of plain endpoints. */
+    /** Adds a service of plain endpoints. */
     public PlatformDocuments plain(String service) {
         ((ArrayNode) root.path("services")).addObject().put("name", service);
         return this;
     }
 
-    /** Bounds what cold endpoints of the last service bear. */
-    public PlatformDocuments cold(double lastsSeconds, double perSecond) {
-        last("services").put("coldStartS", lastsSeconds).put("coldPerS", perSecond);
+    /** Sets the duration of a cold start and the request rate of cold endpoints for the last service. */
+    public PlatformDocuments coldStart(double durationSeconds, double perSecond) {
+        last("services").put("coldStartS", durationSeconds).put("coldPerS", perSecond);
         return this;
     }
 
-    /** A service of model engines. */
+    /** Adds a service of model engines. */
     public PlatformDocuments engines(String service, String model) {
         ObjectNode engine = ((ArrayNode) root.path("services"))
                 .addObject()
@@ -84,9 +84,9 @@
         return this;
     }
 
-    /** A managed cache store. */
+    /** Adds a managed cache store. */
     public PlatformDocuments store(
-            String name, NetworkAddress address, String domain, long tokens, double firstMillis) {
+            String name, NetworkAddress address, String domain, long tokens, double startLatencyMillis) {
         ((ArrayNode) root.path("services"))
                 .addObject()
                 .put("name", name)
@@ -96,11 +96,11 @@
                 .put("linkMbps", 1_000)
                 .put("maxInflight", 12)
                 .put("managed", true)
-                .put("first_ms", firstMillis);
+                .put("first_ms", startLatencyMillis);
         return this;
     }
 
-    /** A workspace with one key. */
+    /** Adds a workspace with one key. */
     public PlatformDocuments workspace(String name, String key, boolean isolated) {
         ArrayNode all = workspaces.isEmpty() ? root.putArray("tenants") : (ArrayNode) root.path("tenants");
         workspaces.add(name);
@@ -114,38 +114,39 @@
         return (ObjectNode) all.get(all.size() - 1);
     }
 
+    /** Returns the configuration as JSON. */
     public byte[] bytes() {
         return StandInJson.bytes(root);
     }
 
-    /** The key of an endpoint's registration. */
+    /** Returns the key of the registration of an endpoint. */
     public static String endpointKey(String id) {
         return "servers/" + id;
     }
 
-    /** The registration of a plain endpoint at its first start. */
+    /** Returns the registration of a plain endpoint after its first start. */
     public static byte[] endpoint(String service, NetworkAddress address, String domain, boolean leaving) {
         return endpoint(service, address, domain, leaving, FIRST_START_MILLIS);
     }
 
-    /** The registration of a plain endpoint that started at a time. */
+    /** Returns the registration of a plain endpoint with a start time. */
     public static byte[] endpoint(
             String service, NetworkAddress address, String domain, boolean leaving, long startedMillis) {
         return StandInJson.bytes(registration(service, address, domain, leaving, startedMillis));
     }
 
-    /** The registration of a model engine at its first start. */
+    /** Returns the registration of a model engine after its first start. */
     public static byte[] engine(String service, NetworkAddress address, String domain, String model, long version) {
         return engine(service, address, domain, model, version, FIRST_START_MILLIS);
     }
 
-    /** The registration of a model engine that started at a time. */
+    /** Returns the registration of a model engine with a start time. */
     public static byte[] engine(
             String service, NetworkAddress address, String domain, String model, long version, long startedMillis) {
         return engine(service, address, domain, model, version, startedMillis, 0);
     }
 
-    /** The registration of a model engine that stays cold for a while. */
+    /** Returns the registration of a model engine with a start time and a remaining cold start duration. */
     public static byte[] engine(
             String service,
             NetworkAddress address,
@@ -153,24 +154,24 @@
             String model,
             long version,
             long startedMillis,
-            long coldMillis) {
+            long remainingColdMillis) {
         ObjectNode registration = registration(service, address, domain, false, startedMillis);
-        registration.put("coldLeftMs", coldMillis);
+        registration.put("coldLeftMs", remainingColdMillis);
         registration.putArray("models").addObject().put("name", model).put("version", version);
         return StandInJson.bytes(registration);
     }
 
-    /** The key whose presence says that a failure domain is evacuated. */
+    /** Returns the key whose presence marks a failure domain as evacuated. */
     public static String evacuationKey(String domain) {
         return "op/evacuate/" + domain;
     }
 
-    /** The key under which weights of a model are named. */
+    /** Returns the key of the requested weight version of a model. */
     public static String weightsKey(String model) {
         return "op/version/" + model;
     }
 
-    /** Names weights of a model. */
+    /** Returns the document that requests a weight version of a model. */
     public static byte[] weights(String model, long version) {
         return StandInJson.bytes(StandInJson.object().put("model", model).put("version", version));
     }
--- a/src/main/java/org/yuccagw/standins/platform/SmallDeployment.java
+++ b/src/main/java/org/yuccagw/standins/platform/SmallDeployment.java
@@ -11,20 +11,20 @@
 import org.yuccagw.standins.keyvalue.KeyValueStandIn;
 
 /**
- * The configuration, settings and requests of a small deployment: a route to one plain endpoint and one for prompts to
- * one engine, beside one cache store.
+ * The configuration, settings and requests of a small deployment: one route to a plain endpoint, one route for prompts
+ * to an engine, and one cache store.
  */
 public final class SmallDeployment {
-    /** Asks whether an entry takes requests. */
+    /** Path that returns whether an entry accepts requests. */
     public static final String READINESS = "/readyz";
 
-    /** Asks which entries to use. */
+    /** Path that returns the entries for callers in domain {@code a}. */
     public static final String DIRECTORY = "/resolve?name=a.example&zone=a";
 
-    /** Prefix of the route. */
+    /** Path prefix of the route to the plain endpoint. */
     public static final String PLAIN = "/plain/";
 
-    /** Prefix of the route for prompts. */
+    /** Path prefix of the route for prompts. */
     public static final String PROMPTS = "/prompts/";
 
     private static final String HOST = "a.example";
@@ -36,18 +36,20 @@
 
     private static final int LOWEST_PORT = 10_000;
 
-    /** Linux gives connections the ports from 32768 on unless told otherwise. */
-    private static final int LOWEST_PORT_OF_THE_KERNEL = 32_768;
+    /** By default, Linux assigns ports from 32768 on to outgoing connections. */
+    private static final int LOWEST_EPHEMERAL_PORT = 32_768;
 
-    /** All tests together start 35 entries with four ports each and ask for 40 ports more: 180, doubled. */
-    private static final int PORTS_OF_ONE_PROCESS = 400;
+    /**
+     * Twice the need of all tests, rounded up: 35 entries with four ports each, and 40 further ports, are 180 ports.
+     */
+    private static final int PORTS_PER_PROCESS = 400;
 
-    private static final int PROCESSES = (LOWEST_PORT_OF_THE_KERNEL - LOWEST_PORT) / PORTS_OF_ONE_PROCESS;
+    private static final int PORT_BLOCKS = (LOWEST_EPHEMERAL_PORT - LOWEST_PORT) / PORTS_PER_PROCESS;
 
-    private static final int FIRST_PORT_OF_THIS_PROCESS =
-            LOWEST_PORT + (int) (ProcessHandle.current().pid() % PROCESSES) * PORTS_OF_ONE_PROCESS;
+    private static final int FIRST_PORT =
+            LOWEST_PORT + (int) (ProcessHandle.current().pid() % PORT_BLOCKS) * PORTS_PER_PROCESS;
 
-    private static int portsTried;
+    private static int triedPorts;
 
     private final NetworkAddress endpoint;
 
@@ -55,12 +57,12 @@
         this.endpoint = endpoint;
     }
 
-    /** A deployment whose endpoints and store all listen there. */
+    /** Returns a deployment whose endpoints and store all have this address. */
     public static SmallDeployment at(NetworkAddress endpoint) {
         return new SmallDeployment(endpoint);
     }
 
-    /** Writes the configuration and the endpoints' registrations. */
+    /** Writes the configuration and the registrations of the endpoints. */
     public void publish(KeyValueStandIn keyValue) {
         keyValue.put(PlatformDocuments.CONFIGURATION, configuration());
         keyValue.put(
@@ -70,38 +72,40 @@
                 PlatformDocuments.engine("engines", endpoint, DOMAIN, MODEL, 1));
     }
 
-    /** Settings of an entry; the ports are for peers, callers, readiness and directory. */
+    /**
+     * Returns the settings of an entry; the ports are those of peers, callers, readiness and directory, in this order.
+     */
     public static byte[] settings(String entry, NetworkAddress keyValue, List<Integer> ports) {
         ObjectNode root = StandInJson.object();
-        ObjectNode told = root.putObject("platform");
-        told.put("nodeName", entry).put("zone", DOMAIN).put("ip", LOOPBACK);
-        told.putArray("portRange").add(ports.get(0));
-        told.putObject("listenAddrs")
+        ObjectNode platform = root.putObject("platform");
+        platform.put("nodeName", entry).put("zone", DOMAIN).put("ip", LOOPBACK);
+        platform.putArray("portRange").add(ports.get(0));
+        platform.putObject("listenAddrs")
                 .put("front", LOOPBACK + ":" + ports.get(1))
                 .put("ready", LOOPBACK + ":" + ports.get(2))
                 .put("directory", LOOPBACK + ":" + ports.get(3));
-        told.putObject("bounds");
-        told.putObject("platform").put("address", keyValue.toString());
+        platform.putObject("bounds");
+        platform.putObject("platform").put("address", keyValue.toString());
         return StandInJson.bytes(root);
     }
 
     /**
-     * Ports that are free, each handed out once by this process.
+     * Returns free ports, each of which is returned only once by this process.
      *
-     * <p>They lie below those that the kernel chooses by itself: one of these may go to any connection between this
-     * call and the moment when an entry listens, and then the entry can't start. Processes that run side by side begin
-     * in different blocks, by their process number.
+     * <p>The ports lie below the ephemeral ports. The kernel could assign an ephemeral port to a connection between
+     * this call and the start of an entry, which would then fail to listen. Concurrent processes use different blocks
+     * of ports, selected by their process id.
      *
-     * @throws IOException when the block has no free ports left
+     * @throws IOException if the block of this process has no free port left
      */
     public static synchronized List<Integer> freePorts(int count) throws IOException {
         List<Integer> ports = new ArrayList<>();
         while (ports.size() < count) {
-            if (portsTried == PORTS_OF_ONE_PROCESS) {
-                throw new IOException("no free port left from " + FIRST_PORT_OF_THIS_PROCESS);
+            if (triedPorts == PORTS_PER_PROCESS) {
+                throw new IOException("no free port left from " + FIRST_PORT);
             }
-            int port = FIRST_PORT_OF_THIS_PROCESS + portsTried;
-            portsTried++;
+            int port = FIRST_PORT + triedPorts;
+            triedPorts++;
             if (isFree(port)) {
                 ports.add(port);
             }
@@ -112,13 +116,13 @@
     private static boolean isFree(int port) {
         try (ServerSocket socket = new ServerSocket(port)) {
             return socket.isBound();
-        } catch (IOException taken) {
-            // Not an error: something listens there, so the next one is tried.
+        } catch (IOException portInUse) {
+            // The port is in use, which is no error: the caller tries the next port.
             return false;
         }
     }
 
-    /** A request as a caller sends it. */
+    /** Returns a request of a caller. */
     public static HttpRequest request(NetworkAddress entry, String path) {
         return HttpRequest.get(entry, path)
                 .withHeader("Host", HOST)
@@ -126,7 +130,7 @@
                 .withHeader("Yuccagw-Deadline-Ms", "500");
     }
 
-    /** A prompt of two parts as a caller sends it. */
+    /** Returns a request of a caller with a prompt of two parts. */
     public static HttpRequest prompt(NetworkAddress entry, String path) {
         return request(entry, path)
                 .withHeader("Yuccagw-Model", MODEL)
--- a/src/main/java/org/yuccagw/standins/platform/package-info.java
+++ b/src/main/java/org/yuccagw/standins/platform/package-info.java
@@ -1,2 +1,2 @@
-/** What operators and endpoints of the users' platform would write, in its own protocol. */
+/** Simulated operators and endpoints of the users' platform, with the documents and headers of its protocol. */
 package org.yuccagw.standins.platform;
--- a/src/main/java/org/yuccagw/standins/store/CacheStoreStandIn.java
+++ b/src/main/java/org/yuccagw/standins/store/CacheStoreStandIn.java
@@ -11,7 +11,7 @@
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.ByteStream;
-import org.yuccagw.standins.http.PacedLink;
+import org.yuccagw.standins.http.RateLimitedLink;
 import org.yuccagw.standins.http.ServiceFaults;
 import org.yuccagw.standins.http.StandIn;
 import org.yuccagw.standins.http.StandInCall;
@@ -19,21 +19,23 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /**
- * A cache store on one address: blocks in memory and on "disk" (memory too, with a delay), behind one link.
+ * Stand-in for a cache store, on one address, with blocks in a memory and a disk tier behind one link. The disk tier is
+ * simulated in memory with a read latency.
  *
- * <p>{@code POST /knobs} takes beside the usual faults {@code link_bytes_per_second}, {@code full} and {@code reads}.
+ * <p>{@code POST /knobs} accepts {@code link_bytes_per_second}, {@code full} and {@code reads} in addition to the
+ * fields of {@link ServiceFaults}.
  */
 public final class CacheStoreStandIn implements StandIn {
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
-    private static final int FULL = 507;
-    private static final int USUAL_PAGE = 1_000;
-    private static final long CUT_AFTER_MILLIS = 20;
+    private static final int INSUFFICIENT_STORAGE = 507;
+    private static final int DEFAULT_PAGE_SIZE = 1_000;
+    private static final long ABORT_DELAY_MILLIS = 20;
 
     private final CacheStoreSettings settings;
     private final StandInServer server;
-    private final BlockShelf shelf;
-    private final PacedLink link;
+    private final BlockTable blockTable;
+    private final RateLimitedLink link;
     private ReadFaults readFaults = ReadFaults.none();
     private boolean full;
     private long readBytes;
@@ -42,8 +44,8 @@
     private CacheStoreStandIn(CacheStoreSettings settings) {
         this.settings = settings;
         this.server = StandInServer.create(settings.name());
-        this.shelf = new BlockShelf(settings.memoryBytes(), settings.diskBytes());
-        this.link = PacedLink.of(settings.linkBytesPerSecond());
+        this.blockTable = new BlockTable(settings.memoryBytes(), settings.diskBytes());
+        this.link = RateLimitedLink.of(settings.linkBytesPerSecond());
         server.on("PUT", "/v1/blocks/{block}", this::write)
                 .on("POST", "/v1/blocks/{block}/seal", this::seal)
                 .on("GET", "/v1/blocks/{block}", this::read)
@@ -51,10 +53,10 @@
                 .on("DELETE", "/v1/blocks/{block}", this::delete)
                 .on("POST", "/v1/blocks/{block}/move", this::move)
                 .on("GET", "/v1/unsealed", this::unsealed)
-                .on("GET", "/v1/blocks", this::page)
+                .on("GET", "/v1/blocks", this::listSealed)
                 .on("GET", "/v1/status", call -> call.reply(status()))
                 .withRecord(this::status)
-                .withKnobs(this::turn)
+                .withKnobs(this::applyKnobs)
                 .listen(settings.port());
     }
 
@@ -77,35 +79,37 @@
         server.stop();
     }
 
-    /** Dies with everything in it. */
+    /** Simulates a crash: closes the listener and all connections. All blocks are lost. */
     public void kill() {
         server.kill();
     }
 
     @Override
-    public void order(ServiceFaults faults) {
-        server.order(faults);
+    public void injectFaults(ServiceFaults faults) {
+        server.injectFaults(faults);
     }
 
-    public synchronized void order(ReadFaults faults) {
+    /** Replaces the faults to inject into the next reads of blocks. */
+    public synchronized void injectFaults(ReadFaults faults) {
         readFaults = faults;
     }
 
-    /** Whether each write is answered as if there were no room. */
-    public synchronized void setFull(boolean answerFull) {
-        full = answerFull;
+    /** Sets whether all writes are rejected as if the store was full. */
+    public synchronized void setFull(boolean newFull) {
+        full = newFull;
     }
 
+    /** Sets the rate of the link for transfers that start from now on. */
     public void setLink(double bytesPerSecond) {
-        link.setRate(bytesPerSecond);
+        link.setBytesPerSecond(bytesPerSecond);
     }
 
-    /** Bytes of blocks that readers were sent. */
+    /** Returns the bytes of blocks that were sent to readers. */
     public synchronized long readBytes() {
         return readBytes;
     }
 
-    /** Bytes of blocks that writers sent. */
+    /** Returns the bytes of blocks that were received from writers. */
     public synchronized long writtenBytes() {
         return writtenBytes;
     }
@@ -116,10 +120,10 @@
 
     private synchronized void write(StandInCall call) {
         String writer = call.required("writer");
-        Optional<HeldBlock> written =
-                full ? Optional.empty() : shelf.write(System.nanoTime(), key(call), writer, call.body());
+        Optional<StoredBlock> written =
+                full ? Optional.empty() : blockTable.write(System.nanoTime(), key(call), writer, call.body());
         if (written.isEmpty()) {
-            call.replyError(FULL, "full", "no tier has room for " + call.body().length + " bytes");
+            call.replyError(INSUFFICIENT_STORAGE, "full", "no tier has room for " + call.body().length + " bytes");
             return;
         }
         writtenBytes += call.body().length;
@@ -128,7 +132,7 @@
     }
 
     private synchronized void seal(StandInCall call) {
-        switch (shelf.seal(key(call), call.number("generation"), call.number("length"), call.number("checksum"))) {
+        switch (blockTable.seal(key(call), call.number("generation"), call.number("length"), call.number("checksum"))) {
             case DONE -> call.reply(StandInJson.object());
             case WRONG -> call.replyError(CONFLICT, "mismatch", "length or checksum differ from the bytes written");
             default -> call.replyError(NOT_FOUND, "unknown", "there is no such generation");
@@ -136,21 +140,21 @@
     }
 
     private synchronized void read(StandInCall call) {
-        Optional<HeldBlock> found = shelf.beginRead(key(call), call.number("generation"));
+        Optional<StoredBlock> found = blockTable.beginRead(key(call), call.number("generation"));
         if (found.isEmpty()) {
             call.replyError(NOT_FOUND, "unknown", "that generation isn't sealed here");
             return;
         }
-        HeldBlock block = found.get();
+        StoredBlock block = found.get();
         if (readFaults.silent() > 0) {
             readFaults = new ReadFaults(readFaults.damaged(), readFaults.cut(), readFaults.silent() - 1);
             return;
         }
-        long delay = block.tier() == Tier.DISK ? settings.diskDelay().toNanos() : 0;
-        afterLink(block.bytes().length, delay, () -> call.onIoThread(() -> send(call, block)));
+        long latencyNanos = block.tier() == Tier.DISK ? settings.diskDelay().toNanos() : 0;
+        afterLink(block.bytes().length, latencyNanos, () -> call.onIoThread(() -> send(call, block)));
     }
 
-    private synchronized void send(StandInCall call, HeldBlock block) {
+    private synchronized void send(StandInCall call, StoredBlock block) {
         call.withHeader("X-Generation", Long.toString(block.generation()));
         call.withHeader("X-Checksum", Long.toString(block.checksum()));
         call.withHeader("X-Tier", block.tier().text());
@@ -161,7 +165,7 @@
         if (readFaults.cut() > 0) {
             readFaults = new ReadFaults(readFaults.damaged(), readFaults.cut() - 1, readFaults.silent());
             stream.write(Arrays.copyOf(bytes, bytes.length / 2));
-            server.timer().schedule(stream::cut, CUT_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+            server.timer().schedule(stream::abort, ABORT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         if (readFaults.damaged() > 0) {
@@ -174,32 +178,32 @@
         stream.end();
     }
 
-    private synchronized void endRead(HeldBlock block) {
-        shelf.endRead(block);
+    private synchronized void endRead(StoredBlock block) {
+        blockTable.endRead(block);
     }
 
-    private void afterLink(long bytes, long delayNanos, Runnable task) {
-        long wait = link.reserve(System.nanoTime(), bytes) + delayNanos;
-        server.timer().schedule(task, wait, TimeUnit.NANOSECONDS);
+    private void afterLink(long bytes, long latencyNanos, Runnable task) {
+        long waitNanos = link.reserve(System.nanoTime(), bytes) + latencyNanos;
+        server.timer().schedule(task, waitNanos, TimeUnit.NANOSECONDS);
     }
 
     private synchronized void lookup(StandInCall call) {
         List<BlockKey> keys = new ArrayList<>();
         call.json().path("blocks").forEach(key -> keys.add(BlockKey.parse(key.asText())));
         ObjectNode answer = StandInJson.object();
-        describe(shelf.lookup(keys), answer.putArray("found"));
+        appendBlocks(blockTable.lookup(keys), answer.putArray("found"));
         call.reply(answer);
     }
 
     private synchronized void delete(StandInCall call) {
-        shelf.delete(key(call), call.number("generation"));
+        blockTable.delete(key(call), call.number("generation"));
         call.reply(StandInJson.object());
     }
 
     private synchronized void move(StandInCall call) {
-        switch (shelf.move(key(call), call.number("generation"), Tier.parse(call.required("tier")))) {
+        switch (blockTable.move(key(call), call.number("generation"), Tier.parse(call.required("tier")))) {
             case DONE -> call.reply(StandInJson.object());
-            case FULL -> call.replyError(FULL, "full", "that tier has no room");
+            case FULL -> call.replyError(INSUFFICIENT_STORAGE, "full", "that tier has no room");
             default -> call.replyError(NOT_FOUND, "unknown", "that generation isn't sealed here");
         }
     }
@@ -207,27 +211,28 @@
     private synchronized void unsealed(StandInCall call) {
         ObjectNode answer = StandInJson.object();
         ArrayNode list = answer.putArray("blocks");
-        long now = System.nanoTime();
-        for (HeldBlock block : shelf.unsealed()) {
+        long nowNanos = System.nanoTime();
+        for (StoredBlock block : blockTable.unsealed()) {
             list.addObject()
                     .put("key", block.key().toString())
                     .put("generation", block.generation())
                     .put("writer", block.writer())
-                    .put("age", TimeUnit.NANOSECONDS.toMillis(now - block.writtenNanos()));
+                    .put("age", TimeUnit.NANOSECONDS.toMillis(nowNanos - block.writtenNanos()));
         }
         call.reply(answer);
     }
 
-    private synchronized void page(StandInCall call) {
+    private synchronized void listSealed(StandInCall call) {
         Optional<BlockKey> after =
                 call.parameter("after").filter(text -> !text.isEmpty()).map(BlockKey::parse);
         ObjectNode answer = StandInJson.object();
-        describe(shelf.page(after, (int) call.number("limit", USUAL_PAGE)), answer.putArray("found"));
+        appendBlocks(
+                blockTable.listSealed(after, (int) call.number("limit", DEFAULT_PAGE_SIZE)), answer.putArray("found"));
         call.reply(answer);
     }
 
-    private static void describe(List<HeldBlock> blocks, ArrayNode list) {
-        for (HeldBlock block : blocks) {
+    private static void appendBlocks(List<StoredBlock> found, ArrayNode list) {
+        for (StoredBlock block : found) {
             list.addObject()
                     .put("key", block.key().toString())
                     .put("generation", block.generation())
@@ -240,16 +245,16 @@
     private synchronized ObjectNode status() {
         ObjectNode status = StandInJson.object().put("store", settings.name());
         for (Tier tier : Tier.values()) {
-            status.putObject(tier.text()).put("used", shelf.used(tier)).put("capacity", shelf.capacity(tier));
+            status.putObject(tier.text()).put("used", blockTable.used(tier)).put("capacity", blockTable.capacity(tier));
         }
         return status.put("read_bytes", readBytes)
                 .put("written_bytes", writtenBytes)
-                .put("link_bytes_per_second", (long) link.rate());
+                .put("link_bytes_per_second", (long) link.bytesPerSecond());
     }
 
-    private synchronized void turn(JsonNode knobs) {
+    private synchronized void applyKnobs(JsonNode knobs) {
         if (knobs.has("link_bytes_per_second")) {
-            link.setRate(knobs.path("link_bytes_per_second").asDouble());
+            link.setBytesPerSecond(knobs.path("link_bytes_per_second").asDouble());
         }
         full = knobs.path("full").asBoolean(full);
         if (knobs.has("reads")) {
--- a/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
+++ b/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
@@ -56,10 +56,10 @@
 
     @BeforeMethod
     public void start() throws Exception {
-        engine = EngineStandIn.start(EngineSettings.usual("engine-1", "model", VERSION)
-                .withCosts(EngineCosts.usual().faster(10))
+        engine = EngineStandIn.start(EngineSettings.defaults("engine-1", "model", VERSION)
+                .withCosts(EngineCosts.defaults().withSpeedFactor(10))
                 .withLags(new EngineSettings.Lags(Duration.ZERO, Duration.ZERO, 0)));
-        store = CacheStoreStandIn.start(CacheStoreSettings.usual("store-0"));
+        store = CacheStoreStandIn.start(CacheStoreSettings.defaults("store-0"));
         httpClient = HttpClient.start(2);
         events.clear();
         importClient = ImportClient.of(httpClient, events::add);
@@ -119,7 +119,7 @@
     public void aBlockWithAWrongChecksumIsNotCommitted() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
-        store.order(new ReadFaults(1, 0, 0));
+        store.injectFaults(new ReadFaults(1, 0, 0));
         assertEquals(importNow(plan(stored, TIMEOUT, false)).blocks(), stored.size() - 1);
         EngineCacheUpdate.ImportEnded ended = awaitEvent(EngineCacheUpdate.ImportEnded.class);
         assertEquals(ended.failed().size(), 1);
@@ -147,7 +147,7 @@
     public void anImportOverASilentLinkEndsAtTheDeadline() throws Exception {
         List<StoredBlock> stored = export();
         engine.evictAll();
-        store.order(new ReadFaults(0, 0, stored.size()));
+        store.injectFaults(new ReadFaults(0, 0, stored.size()));
         ImportOutcome outcome = importNow(plan(stored, SHORT_DEADLINE, false));
         assertEquals(outcome.blocks(), 0);
         assertTrue(awaitEvent(EngineCacheUpdate.ImportEnded.class).failed().stream()
@@ -231,7 +231,7 @@
         return BlockChain.keys(
                 SALT,
                 PROMPT.getBytes(StandardCharsets.UTF_8),
-                EngineCosts.usual().blockTokens());
+                EngineCosts.defaults().blockTokens());
     }
 
     private ImportPlan plan(List<StoredBlock> stored, Duration deadline, boolean joins) {
--- a/src/test/java/org/yuccagw/adapters/endpoint/PlatformActionsTest.java
+++ b/src/test/java/org/yuccagw/adapters/endpoint/PlatformActionsTest.java
@@ -48,7 +48,7 @@
     public void startEngineThatChecksFencing() throws IOException {
         events.clear();
         httpClient = HttpClient.start(1);
-        engine = EngineStandIn.start(EngineSettings.usual(ENDPOINT.value(), "assistant", WeightVersion.of("v1"))
+        engine = EngineStandIn.start(EngineSettings.defaults(ENDPOINT.value(), "assistant", WeightVersion.of("v1"))
                 .withFencingCheck(true));
         address = engine.address();
         orderSender = OrderSender.of(httpClient, () -> NOW_NANOS);
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -42,7 +42,7 @@
                         PlatformDocuments.configuration(1)
                                 .route("/model/", "streaming", "engines", 5_000, 2)
                                 .resumable()
-                                .homes(homes)
+                                .allowedRegions(homes)
                                 .engines("engines", VirtualFleet.MODEL)
                                 .bytes());
         for (String engine : ENGINES) {
--- a/src/test/java/org/yuccagw/process/GatewayProcessTest.java
+++ b/src/test/java/org/yuccagw/process/GatewayProcessTest.java
@@ -103,7 +103,7 @@
         for (Process process : processes) {
             process.waitFor();
         }
-        keyValue.order(new ServiceFaults(true, false, 0));
+        keyValue.injectFaults(new ServiceFaults(true, false, 0));
         processes.clear();
         for (GatewaySettings entry : settings) {
             launch(entry.entry().value());
@@ -111,7 +111,7 @@
         GatewaySettings first = settings.get(0);
         await().atMost(TIMEOUT).until(() -> status(first.readiness(), SmallDeployment.READINESS) == 503);
         assertEquals(status(first.callers(), SmallDeployment.PLAIN + "x"), 503);
-        keyValue.order(ServiceFaults.none());
+        keyValue.injectFaults(ServiceFaults.none());
         for (GatewaySettings entry : settings) {
             await().atMost(TIMEOUT).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
         }
--- a/src/test/java/org/yuccagw/standins/engine/EngineModelTest.java
+++ b/src/test/java/org/yuccagw/standins/engine/EngineModelTest.java
@@ -15,20 +15,20 @@
 import org.yuccagw.core.id.WeightVersion;
 
 public class EngineModelTest {
-    private static final WeightVersion OLD = WeightVersion.of("old");
-    private static final WeightVersion NEW = WeightVersion.of("new");
-    private static final EngineCosts COSTS = EngineCosts.usual();
+    private static final WeightVersion OLD_VERSION = WeightVersion.of("old");
+    private static final WeightVersion NEW_VERSION = WeightVersion.of("new");
+    private static final EngineCosts COSTS = EngineCosts.defaults();
 
     private List<EngineEvent> events;
 
     @BeforeMethod
-    public void forget() {
+    public void clearEvents() {
         events = new ArrayList<>();
     }
 
     @Test
-    public void theFirstTokenCostsTheUncachedPromptAndEachFurtherOneAnIteration() {
-        EngineModel model = EngineModel.of(COSTS, OLD);
+    public void theFirstTokenTakesThePrefillOfTheUncachedPromptAndEachFurtherTokenOneIteration() {
+        EngineModel model = EngineModel.of(COSTS, OLD_VERSION);
         List<BlockKey> blocks = blocks("a", 125);
         model.importBlocks(0, blocks.subList(0, 100));
         model.submit(0, new EngineRequest(1, 0, blocks, 2_000, 2));
@@ -42,8 +42,8 @@
     }
 
     @Test
-    public void aSecondRunOfAPromptFindsItsBlocks() {
-        EngineModel model = EngineModel.of(COSTS, OLD);
+    public void aSecondRunOfAPromptReusesItsBlocks() {
+        EngineModel model = EngineModel.of(COSTS, OLD_VERSION);
         run(model, new EngineRequest(1, 0, blocks("a", 10), 165, 3));
         run(model, new EngineRequest(2, 0, blocks("a", 10), 165, 3));
         assertEquals(finished(1).cachedTokens(), 0);
@@ -51,16 +51,16 @@
     }
 
     @Test
-    public void anotherSaltFindsNothing() {
-        EngineModel model = EngineModel.of(COSTS, OLD);
+    public void blocksAreNotReusedWithAnotherSalt() {
+        EngineModel model = EngineModel.of(COSTS, OLD_VERSION);
         run(model, new EngineRequest(1, 0, blocks("a", 10), 165, 3));
         run(model, new EngineRequest(2, 0, blocks("b", 10), 165, 3));
         assertEquals(finished(2).cachedTokens(), 0);
     }
 
     @Test
-    public void theLeastRecentlyUsedBlocksGoFirstAndTheEndOfAPromptBeforeItsStart() {
-        EngineModel model = EngineModel.of(COSTS.withCacheBlocks(10), OLD);
+    public void theLeastRecentlyUsedBlocksAreEvictedFirstAndTheEndOfAPromptBeforeItsStart() {
+        EngineModel model = EngineModel.of(COSTS.withCacheBlocks(10), OLD_VERSION);
         run(model, new EngineRequest(1, 0, blocks("a", 8), 128, 1));
         run(model, new EngineRequest(2, 0, blocks("b", 6), 96, 1));
         assertEquals(model.cachedPrefixBlocks(blocks("a", 8)), 4);
@@ -76,7 +76,7 @@
 
     @Test
     public void blocksOfARunningSequenceAreNotEvicted() {
-        EngineModel model = EngineModel.of(COSTS.withCacheBlocks(4), OLD);
+        EngineModel model = EngineModel.of(COSTS.withCacheBlocks(4), OLD_VERSION);
         model.importBlocks(0, blocks("a", 4));
         model.submit(0, new EngineRequest(1, 0, blocks("a", 4), 70, 100));
         assertEquals(model.importBlocks(1, blocks("b", 4)), List.of());
@@ -84,8 +84,8 @@
     }
 
     @Test
-    public void lowerPrioritiesLeaveTheQueueFirst() {
-        EngineModel model = EngineModel.of(COSTS.withBatch(1, 10), OLD);
+    public void requestsWithLowerPriorityNumbersAreAdmittedFirst() {
+        EngineModel model = EngineModel.of(COSTS.withBatch(1, 10), OLD_VERSION);
         model.submit(0, new EngineRequest(1, 5, List.of(), 10, 2));
         model.submit(0, new EngineRequest(2, 5, List.of(), 10, 2));
         model.submit(0, new EngineRequest(3, 1, List.of(), 10, 2));
@@ -99,28 +99,29 @@
     }
 
     @Test
-    public void aFullQueueRefuses() {
-        EngineModel model = EngineModel.of(COSTS.withBatch(1, 1), OLD);
+    public void aFullQueueRejectsRequests() {
+        EngineModel model = EngineModel.of(COSTS.withBatch(1, 1), OLD_VERSION);
         assertTrue(model.submit(0, new EngineRequest(1, 0, List.of(), 10, 2)));
         assertTrue(model.submit(0, new EngineRequest(2, 0, List.of(), 10, 2)));
         assertFalse(model.submit(0, new EngineRequest(3, 0, List.of(), 10, 2)));
     }
 
     @Test
-    public void aLongPromptIsProcessedInChunksAndOthersKeepGettingTokens() {
-        EngineModel model = EngineModel.of(COSTS, OLD);
+    public void aLongPromptIsProcessedInChunksWhileOtherSequencesGenerateTokens() {
+        EngineModel model = EngineModel.of(COSTS, OLD_VERSION);
         model.submit(0, new EngineRequest(1, 0, List.of(), 1, 1_000));
         model.submit(0, new EngineRequest(2, 0, List.of(), 20_480, 1));
         model.advanceTo(Duration.ofSeconds(60).toNanos(), events::add);
-        long firstTokenOfLong = tokenTimes(2).get(0);
-        long meanwhile =
-                tokenTimes(1).stream().filter(time -> time < firstTokenOfLong).count();
-        assertEquals(meanwhile, 10);
+        long firstTokenOfLongPrompt = tokenTimes(2).get(0);
+        long tokensBefore = tokenTimes(1).stream()
+                .filter(time -> time < firstTokenOfLongPrompt)
+                .count();
+        assertEquals(tokensBefore, 10);
     }
 
     @Test
-    public void aCancelledRequestHasNoFurtherEventsAndFreesItsPlace() {
-        EngineModel model = EngineModel.of(COSTS.withBatch(1, 5), OLD);
+    public void aCancelledRequestHasNoFurtherEventsAndFreesItsSlot() {
+        EngineModel model = EngineModel.of(COSTS.withBatch(1, 5), OLD_VERSION);
         model.submit(0, new EngineRequest(1, 0, blocks("a", 4), 64, 1_000));
         model.submit(0, new EngineRequest(2, 0, List.of(), 10, 1));
         model.advanceTo(Duration.ofMillis(100).toNanos(), events::add);
@@ -134,12 +135,12 @@
     }
 
     @Test
-    public void aSwitchOfVersionsEmptiesTheCacheAndRunningSequencesStoreNothing() {
-        EngineModel model = EngineModel.of(COSTS, OLD);
+    public void aSwitchOfVersionsClearsTheCacheAndRunningSequencesStoreNoBlocks() {
+        EngineModel model = EngineModel.of(COSTS, OLD_VERSION);
         run(model, new EngineRequest(1, 0, blocks("a", 4), 64, 1));
         long now = Duration.ofSeconds(20).toNanos();
         model.submit(now, new EngineRequest(2, 0, blocks("c", 4), 64, 10));
-        model.switchVersion(now, NEW);
+        model.switchVersion(now, NEW_VERSION);
         assertEquals(model.cached(), List.of());
         model.advanceTo(now + Duration.ofSeconds(5).toNanos(), events::add);
         assertEquals(finished(2).id(), 2);
--- a/src/test/java/org/yuccagw/standins/http/TestCaller.java
+++ b/src/test/java/org/yuccagw/standins/http/TestCaller.java
@@ -9,15 +9,15 @@
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.NetworkAddress;
 
-/** Calls one address and waits for the answer; for tests only. */
+/** HTTP client of one address with blocking calls, for tests only. */
 public final class TestCaller {
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final NetworkAddress address;
 
-    private TestCaller(HttpClient caller, NetworkAddress address) {
-        this.caller = caller;
+    private TestCaller(HttpClient httpClient, NetworkAddress address) {
+        this.httpClient = httpClient;
         this.address = address;
     }
 
@@ -26,11 +26,11 @@
     }
 
     public void stop() {
-        caller.stop();
+        httpClient.stop();
     }
 
     public CompletableFuture<HttpResponse> send(String method, String path, byte[] body) {
-        return caller.send(HttpRequest.of(method, address, path, body).withTimeouts(LONG, LONG));
+        return httpClient.send(HttpRequest.of(method, address, path, body).withTimeouts(TIMEOUT, TIMEOUT));
     }
 
     public HttpResponse call(String method, String path, byte[] body) throws Exception {
--- a/src/test/java/org/yuccagw/standins/plain/PlainServiceStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/plain/PlainServiceStandInTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void everyCallIsCarriedOutAndRecorded() throws Exception {
+    public void everyCallIsExecutedAndRecorded() throws Exception {
         assertEquals(json(caller.call("POST", "/a/b?c=d", BODY)).path("path").asText(), "/a/b?c=d");
         caller.call("POST", "/a/b?c=d", BODY);
         assertEquals(service.calls().size(), 2);
@@ -39,13 +39,13 @@
     }
 
     @Test
-    public void callsCanBeOrderedToFailBeforeOrAfterTheirEffect() throws Exception {
-        service.order(PlainFaults.none().withRefused(1, 429));
+    public void injectedFaultsFailCallsBeforeOrAfterTheirEffect() throws Exception {
+        service.injectFaults(PlainFaults.none().withRefused(1, 429));
         assertEquals(caller.call("POST", "/a", BODY).status(), 429);
-        service.order(PlainFaults.none().withCutBefore(1));
+        service.injectFaults(PlainFaults.none().withCutBefore(1));
         expectThrows(ExecutionException.class, () -> caller.call("POST", "/a", BODY));
         assertEquals(service.calls().size(), 0);
-        service.order(PlainFaults.none().withCutAfter(1));
+        service.injectFaults(PlainFaults.none().withCutAfter(1));
         expectThrows(ExecutionException.class, () -> caller.call("POST", "/a", BODY));
         assertEquals(service.calls().size(), 1);
         assertEquals(caller.call("POST", "/a", BODY).status(), 200);
--- a/src/test/java/org/yuccagw/standins/store/CacheStoreStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/store/CacheStoreStandInTest.java
@@ -30,7 +30,7 @@
 
     @BeforeMethod
     public void start() throws Exception {
-        store = CacheStoreStandIn.start(CacheStoreSettings.usual("store-1").withCapacity(1_500, 1_000));
+        store = CacheStoreStandIn.start(CacheStoreSettings.defaults("store-1").withCapacity(1_500, 1_000));
         caller = TestCaller.to(store.address());
     }
 
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void aBlockIsReadOnlyOnceItIsSealed() throws Exception {
+    public void aBlockIsReadableOnlyAfterItIsSealed() throws Exception {
         long generation = write(KEY);
         assertEquals(read(KEY, generation).status(), 404);
         assertEquals(lookup().size(), 0);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void aSealWithAnotherChecksumIsRefused() throws Exception {
+    public void aSealWithAWrongChecksumIsRejected() throws Exception {
         long generation = write(KEY);
         assertEquals(seal(KEY, generation, CHECKSUM + 1).status(), 409);
         assertEquals(read(KEY, generation).status(), 404);
@@ -79,14 +79,17 @@
                 507);
     }
 
-    // An operator's eviction deletes a block while an engine reads it over a slow link. The reader would be handed
-    // zeros or another block's bytes if the memory were used again before the read ended.
+    // Guards against reuse of a block's memory during a read: an operator's eviction deletes a block while an engine
+    // reads
+    // it over a slow link. If the memory were reused before the read ends, the reader would receive zeros or the bytes
+    // of
+    // another block.
     @Test
-    public void aDeleteLetsAReadInProgressFinish() throws Exception {
+    public void aReadInProgressFinishesAfterTheBlockIsDeleted() throws Exception {
         long generation = write(KEY);
         seal(KEY, generation, CHECKSUM);
         store.setLink(4_000);
-        CompletableFuture<HttpResponse> slow =
+        CompletableFuture<HttpResponse> slowRead =
                 caller.send("GET", "/v1/blocks/" + KEY + "?generation=" + generation, new byte[0]);
         await().until(() -> calls("GET /v1/blocks/{block}") == 1);
         assertEquals(
@@ -94,7 +97,7 @@
                         .status(),
                 200);
         assertEquals(read(KEY, generation).status(), 404);
-        assertEquals(slow.get(30, TimeUnit.SECONDS).body(), BYTES);
+        assertEquals(slowRead.get(30, TimeUnit.SECONDS).body(), BYTES);
         await().until(() -> json(caller.call("GET", "/v1/status"))
                         .path("memory")
                         .path("used")
@@ -111,7 +114,7 @@
     }
 
     @Test
-    public void pagesListTheSealedBlocksInTheOrderOfKeys() throws Exception {
+    public void sealedBlocksAreListedInPagesOrderedByKey() throws Exception {
         seal(KEY, write(KEY), CHECKSUM);
         BlockKey second = BlockKey.of(1, 3);
         seal(second, write(second), CHECKSUM);
@@ -123,17 +126,17 @@
     }
 
     @Test
-    public void readsCanBeOrderedToComeDamagedOrCut() throws Exception {
+    public void injectedFaultsDamageOrAbortReads() throws Exception {
         long generation = write(KEY);
         seal(KEY, generation, CHECKSUM);
-        order("damaged");
+        injectReadFault("damaged");
         assertTrue(!Arrays.equals(read(KEY, generation).body(), BYTES));
-        order("cut");
+        injectReadFault("cut");
         expectThrows(ExecutionException.class, () -> read(KEY, generation));
         assertEquals(read(KEY, generation).body(), BYTES);
     }
 
-    private void order(String fault) throws Exception {
+    private void injectReadFault(String fault) throws Exception {
         JsonNode knobs = StandInJson.object().set("reads", StandInJson.object().put(fault, 1));
         caller.call("POST", "/knobs", knobs);
     }
@@ -160,8 +163,8 @@
     }
 
     private JsonNode lookup() throws Exception {
-        JsonNode asked = StandInJson.object().set("blocks", StandInJson.tree(java.util.List.of(KEY.toString())));
-        return json(caller.call("POST", "/v1/lookup", asked)).path("found");
+        JsonNode request = StandInJson.object().set("blocks", StandInJson.tree(java.util.List.of(KEY.toString())));
+        return json(caller.call("POST", "/v1/lookup", request)).path("found");
     }
 
     private static byte[] bytes(int count) {
