--- a/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
@@ -27,7 +27,7 @@
     // still serves short requests of callers with an old directory, and finishes the answers that were begun before.
     @Test
     public void aStoppingEntryAcceptsNoStreamThatItMightCutAndFinishesItsRequests() throws Exception {
-        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         HttpClient caller = HttpClient.start(1);
         try (ScriptedEndpoint endpoint = new ScriptedEndpoint()) {
             writeConfiguration(keyValue, endpoint);
--- a/src/test/java/org/yuccagw/daemon/StepLoadTest.java
+++ b/src/test/java/org/yuccagw/daemon/StepLoadTest.java
@@ -124,11 +124,11 @@
                         PlatformDocuments.CONFIGURATION,
                         PlatformDocuments.configuration(1)
                                 .route("/draft/", "streaming", "engines", 15_000, 1)
-                                .wanted(PromptKind.DRAFT.targetMillis, 2)
+                                .latencyTarget(PromptKind.DRAFT.targetMillis, 2)
                                 .route("/note/", "streaming", "engines", 15_000, 2)
-                                .wanted(PromptKind.NOTE.targetMillis, 1)
+                                .latencyTarget(PromptKind.NOTE.targetMillis, 1)
                                 .route("/grade/", "streaming", "engines", 3_000, 1)
-                                .wanted(PromptKind.GRADE.targetMillis, 0)
+                                .latencyTarget(PromptKind.GRADE.targetMillis, 0)
                                 .engines("engines", VirtualFleet.MODEL)
                                 .bytes());
         for (int index = 1; index <= ENGINES; index++) {
--- a/src/test/java/org/yuccagw/daemon/VirtualFleet.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualFleet.java
@@ -136,7 +136,7 @@
                                 .resumable()
                                 .route("/plain/", "idempotent", "plain", 800, 2)
                                 .engines("engines", MODEL)
-                                .cold(COLD_SECONDS, COLD_REQUESTS_PER_SECOND)
+                                .coldStart(COLD_SECONDS, COLD_REQUESTS_PER_SECOND)
                                 .plain("plain")
                                 .bytes());
     }
--- a/src/test/java/org/yuccagw/faults/FaultProxyTest.java
+++ b/src/test/java/org/yuccagw/faults/FaultProxyTest.java
@@ -93,7 +93,7 @@
 
     @Test
     public void aCutEndsRequestsInProgress() throws Exception {
-        service.order(PlainFaults.none().withAnswerMillis(600_000));
+        service.injectFaults(PlainFaults.none().withAnswerMillis(600_000));
         CompletableFuture<HttpResponse> waiting = caller.send("GET", "/a", new byte[0]);
         await().until(() -> service.calls().size() == 1);
         proxy.cut();
--- a/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
+++ b/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
@@ -31,7 +31,7 @@
 
     @BeforeMethod
     public void startServiceAndClient() throws IOException {
-        service = KeyValueStandIn.start(KeyValueSettings.usual());
+        service = KeyValueStandIn.start(KeyValueSettings.defaults());
         httpClient = HttpClient.start(1);
         client = KeyValueClient.of(httpClient, service.address());
     }
@@ -89,7 +89,7 @@
     // would be repeated, or an edit that is in force would be reported to its operator as failed.
     @Test
     public void aWriteWhoseAnswerIsLostIsNeverReportedAsRefused() throws Exception {
-        service.order(WriteFaults.dropAnswers("lost", 1));
+        service.injectFaults(WriteFaults.dropAnswers("lost", 1));
         assertTrue(call(compareAndSwap("lost", KeyValueCall.ABSENT, "x")) instanceof KeyValueAnswer.Lost);
         KeyValueAnswer.Found found = (KeyValueAnswer.Found) call(new KeyValueCall.Read("lost"));
         assertEquals(found.items().size(), 1);
@@ -121,14 +121,14 @@
     // overload the service as soon as it restarts.
     @Test
     public void whileTheServiceIsDownFewCallsAreSentAndItsRecoveryIsDetected() throws Exception {
-        service.order(new ServiceFaults(true, false, 0));
+        service.injectFaults(new ServiceFaults(true, false, 0));
         for (int attempt = 0; attempt < 50; attempt++) {
             KeyValueAnswer answer = call(new KeyValueCall.Read("key"));
             assertTrue(answer instanceof KeyValueAnswer.Refused || answer instanceof KeyValueAnswer.Lost);
         }
         assertTrue(client.isDown());
         assertTrue(client.callsRefusedLocally() > client.callsSent(), client.callsSent() + " were sent");
-        service.order(ServiceFaults.none());
+        service.injectFaults(ServiceFaults.none());
         Awaitility.await()
                 .atMost(Duration.ofSeconds(TIMEOUT_SECONDS))
                 .until(() -> call(new KeyValueCall.Read("key")) instanceof KeyValueAnswer.Found);
--- a/src/test/java/org/yuccagw/platform/StoreClientTest.java
+++ b/src/test/java/org/yuccagw/platform/StoreClientTest.java
@@ -119,7 +119,7 @@
 
     @Test
     public void anUnreachableStoreIsReportedAsSuch() throws Exception {
-        server.order(new ServiceFaults(true, false, 0));
+        server.injectFaults(new ServiceFaults(true, false, 0));
         assertTrue(((StoreAnswer.Inspected) perform(new StoreCall.Inspect(store)))
                 .contents()
                 .isEmpty());
--- a/src/test/java/org/yuccagw/process/GatewayProcessTest.java
+++ b/src/test/java/org/yuccagw/process/GatewayProcessTest.java
@@ -44,7 +44,7 @@
     @BeforeMethod
     public void startTwoEntries() throws Exception {
         directory = Files.createTempDirectory("gateways");
-        keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
+        keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         caller = HttpClient.start(1);
         endpoint = new ScriptedEndpoint();
         SmallDeployment.at(endpoint.address()).publish(keyValue);
