--- a/src/main/java/org/yuccagw/cli/AdminClient.java
+++ b/src/main/java/org/yuccagw/cli/AdminClient.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.concurrent.ExecutionException;
 import javax.net.ssl.SSLContext;
-import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
--- a/src/main/java/org/yuccagw/client/Directory.java
+++ b/src/main/java/org/yuccagw/client/Directory.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.NetworkAddress;
 
 /**
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -13,12 +13,12 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
+import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.DomainRegions;
+import org.yuccagw.core.deployment.EngineTraits;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.ListedEndpoint;
@@ -465,8 +465,8 @@
         OptionalLong version = request.prompt().isPresent()
                 ? endpoint.versionOf(request.prompt().get().model())
                 : OptionalLong.empty();
-        Optional<String> salt =
-                request.prompt().map(prompt -> CacheSalt.of(request.workspace(), request.allowedRegions(), version.orElse(0)));
+        Optional<String> salt = request.prompt()
+                .map(prompt -> CacheSalt.of(request.workspace(), request.allowedRegions(), version.orElse(0)));
         Optional<CachePlan> cache = cachePlan(request, endpoint, version, salt);
         context.perform(Decision.of("placed")
                 .with("request", request.request())
--- a/src/main/java/org/yuccagw/core/placing/PlacementRequest.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementRequest.java
@@ -66,7 +66,8 @@
 
     /** Returns the regions in which the request may be served, by its route and its workspace. */
     AllowedRegions allowedRegions() {
-        return route.allowedRegions().intersect(workspace.map(WorkspaceAccess::allowedRegions).orElse(AllowedRegions.ANYWHERE));
+        return route.allowedRegions()
+                .intersect(workspace.map(WorkspaceAccess::allowedRegions).orElse(AllowedRegions.ANYWHERE));
     }
 
     boolean isRetry() {
--- a/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
+++ b/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
@@ -72,7 +72,9 @@
     private static String saltFor(PlacementRequest request, EndpointState endpoint) {
         String model = request.prompt().orElseThrow().model();
         return CacheSalt.of(
-                request.workspace(), request.allowedRegions(), endpoint.versionOf(model).orElse(0));
+                request.workspace(),
+                request.allowedRegions(),
+                endpoint.versionOf(model).orElse(0));
     }
 
     private static int tokensOf(List<PromptPart> parts) {
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -20,7 +20,6 @@
 import org.yuccagw.adapters.caller.BlockImporter;
 import org.yuccagw.adapters.caller.CallerServer;
 import org.yuccagw.adapters.caller.CallerServices;
-import org.yuccagw.adapters.caller.BlockImporter;
 import org.yuccagw.adapters.caller.RetryDecider;
 import org.yuccagw.adapters.caller.RunRegistry;
 import org.yuccagw.adapters.control.ControlRunner;
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -105,7 +105,8 @@
                 settings.bounds().orderSeparation());
         orders = WeightOrdersComponent.of(
                 duty, weights, this::announceOrderChange, placement::requestsOn, internalCalls);
-        RetiredPartsComponent retired = RetiredPartsComponent.of(duty::mayAct, weights, orders::lowestRunningVersion, stores);
+        RetiredPartsComponent retired =
+                RetiredPartsComponent.of(duty::mayAct, weights, orders::lowestRunningVersion, stores);
         components = List.of(
                 follow,
                 configuration,
--- a/src/main/java/org/yuccagw/platform/DeploymentReader.java
+++ b/src/main/java/org/yuccagw/platform/DeploymentReader.java
@@ -14,7 +14,6 @@
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
--- a/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
@@ -14,8 +14,8 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
@@ -72,8 +72,8 @@
     @Test(dataProvider = "wrongRequests")
     public void aWrongRequestIsRefusedWithItsOwnErrorAsNotRun(String path, String body, int status, String code)
             throws Exception {
-        HttpResponse answer =
-                deployment.send(HttpRequest.json("POST", entry, path, body).withHeader("Authorization", "Bearer " + KEY));
+        HttpResponse answer = deployment.send(
+                HttpRequest.json("POST", entry, path, body).withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), status, answer.text());
         assertError(answer.text(), code);
     }
--- a/src/test/java/org/yuccagw/daemon/EndToEndTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndToEndTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
@@ -59,8 +59,8 @@
     public void aStreamedAnswerArrivesCompletely() throws Exception {
         String prompt = "Explain cell 7 of the notebook. ".repeat(20);
         StringBuilder streamed = new StringBuilder();
-        CompletionResult answer =
-                client.complete(CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
+        CompletionResult answer = client.complete(
+                CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
         assertEquals(answer.text(), EngineStandIn.expectedAnswer(prompt, 20));
         assertEquals(streamed.toString(), answer.text());
         assertEquals(answer.completionTokens(), 20);
@@ -137,7 +137,8 @@
     @Test
     public void aRepeatedPromptIsMostlyReusedAfterItsEviction() throws Exception {
         String prompt = "The whole notebook context of the budget tables. ".repeat(100);
-        CompletionRequest completion = CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
+        CompletionRequest completion =
+                CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
         client.complete(completion, piece -> {});
         client.complete(completion, piece -> {});
         long fullBlockBytes = prompt.length() / 64 * 1024L;
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -105,7 +105,8 @@
         assertTrue(both.allows(Optional.of(Region.of("south"))));
         assertFalse(both.allows(Optional.of(Region.of("north"))));
         assertFalse(both.allows(Optional.of(Region.of("east"))));
-        AllowedRegions neither = AllowedRegions.in(List.of(Region.of("north"))).intersect(AllowedRegions.in(List.of(Region.of("east"))));
+        AllowedRegions neither =
+                AllowedRegions.in(List.of(Region.of("north"))).intersect(AllowedRegions.in(List.of(Region.of("east"))));
         assertTrue(neither.isRestricted());
         assertFalse(neither.allows(Optional.of(Region.of("north"))));
         assertEquals(AllowedRegions.ANYWHERE.intersect(route), route);
--- a/src/test/java/org/yuccagw/process/Deployment.java
+++ b/src/test/java/org/yuccagw/process/Deployment.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.bench.invariant.ObservedRun;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.StandInJson;
@@ -212,8 +212,8 @@
 
     /** Returns the caller addresses that the directory of the entry lists, sorted. */
     List<String> directory(EntryProcess entry) throws Exception {
-        HttpResponse answer =
-                http.send(HttpRequest.get(entry.directAddress(), "/v1/directory")).get(10, TimeUnit.SECONDS);
+        HttpResponse answer = http.send(HttpRequest.get(entry.directAddress(), "/v1/directory"))
+                .get(10, TimeUnit.SECONDS);
         return StandInJson.parse(answer.body()).path("entries").findValuesAsText("address").stream()
                 .sorted()
                 .toList();
