--- a/src/main/java/org/yuccagw/core/deployment/AllowedRegions.java
+++ b/src/main/java/org/yuccagw/core/deployment/PermittedRegions.java
@@ -14,31 +14,31 @@
  * south} and {@code south, east} leave {@code south}; {@code north} and {@code south} leave nothing, and such a request
  * can't be served.
  */
-public final class AllowedRegions {
+public final class PermittedRegions {
     /** Allows every region. */
-    public static final AllowedRegions ANYWHERE = new AllowedRegions(Optional.empty());
+    public static final PermittedRegions ANYWHERE = new PermittedRegions(Optional.empty());
 
     private final Optional<ImmutableSet<Region>> regions;
 
-    private AllowedRegions(Optional<ImmutableSet<Region>> regions) {
+    private PermittedRegions(Optional<ImmutableSet<Region>> regions) {
         this.regions = regions;
     }
 
     /** Allows these regions only; an empty list allows every region. */
-    public static AllowedRegions in(Iterable<Region> regions) {
+    public static PermittedRegions in(Iterable<Region> regions) {
         ImmutableSet<Region> named = ImmutableSet.copyOf(regions);
-        return named.isEmpty() ? ANYWHERE : new AllowedRegions(Optional.of(named));
+        return named.isEmpty() ? ANYWHERE : new PermittedRegions(Optional.of(named));
     }
 
     /** Returns the regions that both allow. */
-    public AllowedRegions intersect(AllowedRegions other) {
+    public PermittedRegions intersect(PermittedRegions other) {
         if (!isRestricted()) {
             return other;
         }
         if (!other.isRestricted()) {
             return this;
         }
-        return new AllowedRegions(Optional.of(
+        return new PermittedRegions(Optional.of(
                 Sets.intersection(regions.get(), other.regions.get()).immutableCopy()));
     }
 
@@ -64,7 +64,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof AllowedRegions that && regions.equals(that.regions);
+        return other instanceof PermittedRegions that && regions.equals(that.regions);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/core/deployment/Route.java
+++ b/src/main/java/org/yuccagw/core/deployment/Route.java
@@ -13,11 +13,11 @@
  * @param maxGap longest time between events of a stream that still counts as on time
  * @param priority 0 is the most urgent
  * @param shares at least one service
- * @param maxAttempts maximum number of endpoints that one request may run on
+ * @param attemptLimit maximum number of endpoints that one request may run on
  * @param open whether it is served without a key
  * @param hasReusablePrompts whether its requests contain prompts whose parts are sent again
  * @param resumable whether a stream may continue at another endpoint after its last event
- * @param allowedRegions the regions in which its requests may be served
+ * @param permittedRegions the regions in which its requests may be served
  */
 public record Route(
         String name,
@@ -29,11 +29,11 @@
         Duration maxGap,
         int priority,
         ImmutableList<ServiceShare> shares,
-        int maxAttempts,
+        int attemptLimit,
         boolean open,
         boolean hasReusablePrompts,
         boolean resumable,
-        AllowedRegions allowedRegions) {
+        PermittedRegions permittedRegions) {
 
     /** Returns whether a request may be retried although it may have run before. */
     public boolean repeatable() {
--- a/src/main/java/org/yuccagw/core/deployment/WorkspaceAccess.java
+++ b/src/main/java/org/yuccagw/core/deployment/WorkspaceAccess.java
@@ -10,11 +10,11 @@
  * @param keys bearer keys that callers may use
  * @param priority overrides that of the route if present; 0 is the most urgent
  * @param isolated whether it shares no cached part with any other workspace
- * @param allowedRegions the regions in which its requests may be served
+ * @param permittedRegions the regions in which its requests may be served
  */
 public record WorkspaceAccess(
         WorkspaceId id,
         ImmutableSet<String> keys,
         OptionalInt priority,
         boolean isolated,
-        AllowedRegions allowedRegions) {}
+        PermittedRegions permittedRegions) {}
--- a/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
+++ b/src/main/java/org/yuccagw/core/forward/ForwardMachine.java
@@ -465,7 +465,7 @@
     }
 
     private boolean mayRunAgain() {
-        return route.repeatable() && runs < route.maxAttempts() && sends < MAX_SENDS;
+        return route.repeatable() && runs < route.attemptLimit() && sends < MAX_SENDS;
     }
 
     private boolean hasTimeForRetry() {
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -11,11 +11,11 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import org.yuccagw.core.control.ControlContext;
-import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.DomainRegions;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.follow.NamedWeightsComponent;
@@ -101,13 +101,13 @@
      */
     List<EndpointState> forRequest(PlacementRequest request) {
         long now = context.nowNanos();
-        AllowedRegions allowedRegions = request.allowedRegions();
+        PermittedRegions permittedRegions = request.permittedRegions();
         List<EndpointState> ready = new ArrayList<>();
         List<EndpointState> full = new ArrayList<>();
         List<EndpointState> unreached = new ArrayList<>();
         boolean availableSoon = false;
         for (EndpointState endpoint : endpoints.all()) {
-            if (!isEligible(endpoint, request, allowedRegions)) {
+            if (!isEligible(endpoint, request, permittedRegions)) {
                 continue;
             }
             if (!acceptsAnother(endpoint, request)) {
@@ -131,10 +131,10 @@
      * allowed regions.
      */
     boolean isUnservable(PlacementRequest request) {
-        AllowedRegions allowedRegions = request.allowedRegions();
-        if (allowedRegions.isRestricted()
+        PermittedRegions permittedRegions = request.permittedRegions();
+        if (permittedRegions.isRestricted()
                 && usable(request.service())
-                        .noneMatch(each -> isIn(allowedRegions, each.listed().domain()))) {
+                        .noneMatch(each -> isIn(permittedRegions, each.listed().domain()))) {
             return true;
         }
         if (request.excluded().isEmpty()) {
@@ -186,7 +186,7 @@
         }
         boolean local = isLocal.test(request);
         return endpoints.all().stream()
-                .filter(endpoint -> isEligible(endpoint, request, request.allowedRegions()))
+                .filter(endpoint -> isEligible(endpoint, request, request.permittedRegions()))
                 .map(endpoint ->
                         notices.remainingRejectionTime(endpoint.listed().incarnation(), local))
                 .min(Comparator.naturalOrder())
@@ -198,7 +198,7 @@
             return List.of();
         }
         List<ListedEndpoint> eligible = endpoints.all().stream()
-                .filter(endpoint -> isEligible(endpoint, request, request.allowedRegions()))
+                .filter(endpoint -> isEligible(endpoint, request, request.permittedRegions()))
                 .map(EndpointState::listed)
                 .toList();
         boolean allLimited = eligible.stream().allMatch(endpoint -> rateLimits.isLimited(endpoint.incarnation()));
@@ -233,10 +233,10 @@
         return coldLimit.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
 
-    private boolean isEligible(EndpointState endpoint, PlacementRequest request, AllowedRegions allowedRegions) {
+    private boolean isEligible(EndpointState endpoint, PlacementRequest request, PermittedRegions permittedRegions) {
         return endpoint.listed().service().equals(request.service())
                 && endpoint.isUsable(context.nowNanos())
-                && isIn(allowedRegions, endpoint.listed().domain())
+                && isIn(permittedRegions, endpoint.listed().domain())
                 && !request.excluded().contains(endpoint.listed().id())
                 && runsAcceptableVersion(endpoint, request);
     }
@@ -257,7 +257,7 @@
         return outdatedFor.compareTo(weights.oldWeightsAllowed().minus(OUTDATED_WEIGHTS_MARGIN)) < 0;
     }
 
-    private boolean isIn(AllowedRegions allowedRegions, FailureDomain domain) {
-        return allowedRegions.allows(regions.of(domain));
+    private boolean isIn(PermittedRegions permittedRegions, FailureDomain domain) {
+        return permittedRegions.allows(regions.of(domain));
     }
 }
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -13,12 +13,12 @@
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.PeerReceived;
-import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.EngineTraits;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.ListedEndpoint;
@@ -466,7 +466,7 @@
                 ? endpoint.versionOf(request.prompt().get().model())
                 : OptionalLong.empty();
         Optional<String> salt = request.prompt()
-                .map(prompt -> CacheSalt.of(request.workspace(), request.allowedRegions(), version.orElse(0)));
+                .map(prompt -> CacheSalt.of(request.workspace(), request.permittedRegions(), version.orElse(0)));
         Optional<CachePlan> cache = cachePlan(request, endpoint, version, salt);
         context.perform(Decision.of("placed")
                 .with("request", request.request())
@@ -541,14 +541,14 @@
             return Optional.empty();
         }
         int heldPartCount = planner.heldPartCount(request, endpoint);
-        AllowedRegions allowedRegions = request.allowedRegions();
+        PermittedRegions permittedRegions = request.permittedRegions();
         FailureDomain domain = endpoint.listed().domain();
         return stores.plan(
                 request.prompt().get(),
                 salt.get(),
                 domain,
                 heldPartCount,
-                storeDomain -> !outdated && allowedRegions.allows(regions.of(storeDomain)));
+                storeDomain -> !outdated && permittedRegions.allows(regions.of(storeDomain)));
     }
 
     private void refuse(PlacementRequest request, YuccagwException error, String reason) {
--- a/src/main/java/org/yuccagw/core/placing/PlacementRequest.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementRequest.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.deployment.AllowedRegions;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.id.EndpointId;
@@ -65,9 +65,9 @@
     }
 
     /** Returns the regions in which the request may be served, by its route and its workspace. */
-    AllowedRegions allowedRegions() {
-        return route.allowedRegions()
-                .intersect(workspace.map(WorkspaceAccess::allowedRegions).orElse(AllowedRegions.ANYWHERE));
+    PermittedRegions permittedRegions() {
+        return route.permittedRegions()
+                .intersect(workspace.map(WorkspaceAccess::permittedRegions).orElse(PermittedRegions.ANYWHERE));
     }
 
     boolean isRetry() {
--- a/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
+++ b/src/main/java/org/yuccagw/core/placing/PrefillPlanner.java
@@ -73,7 +73,7 @@
         String model = request.prompt().orElseThrow().model();
         return CacheSalt.of(
                 request.workspace(),
-                request.allowedRegions(),
+                request.permittedRegions(),
                 endpoint.versionOf(model).orElse(0));
     }
 
--- a/src/main/java/org/yuccagw/core/retry/RetryPolicy.java
+++ b/src/main/java/org/yuccagw/core/retry/RetryPolicy.java
@@ -33,11 +33,11 @@
 public final class RetryPolicy {
     private static final int DEFAULT_MAX_ATTEMPTS = 4;
 
-    private final int maxAttempts;
+    private final int attemptLimit;
     private final Backoff backoff;
 
-    private RetryPolicy(int maxAttempts, Backoff backoff) {
-        this.maxAttempts = maxAttempts;
+    private RetryPolicy(int attemptLimit, Backoff backoff) {
+        this.attemptLimit = attemptLimit;
         this.backoff = backoff;
     }
 
@@ -49,14 +49,14 @@
     /**
      * Returns a policy with the given limits.
      *
-     * @param maxAttempts maximum number of attempts of one request over all layers, at least 1
-     * @throws IllegalArgumentException if {@code maxAttempts} is below 1
+     * @param attemptLimit maximum number of attempts of one request over all layers, at least 1
+     * @throws IllegalArgumentException if {@code attemptLimit} is below 1
      */
-    public static RetryPolicy of(int maxAttempts, Backoff backoff) {
-        if (maxAttempts < 1) {
-            throw new IllegalArgumentException("maximum number of attempts must be at least 1: " + maxAttempts);
+    public static RetryPolicy of(int attemptLimit, Backoff backoff) {
+        if (attemptLimit < 1) {
+            throw new IllegalArgumentException("maximum number of attempts must be at least 1: " + attemptLimit);
         }
-        return new RetryPolicy(maxAttempts, backoff);
+        return new RetryPolicy(attemptLimit, backoff);
     }
 
     /** Returns the decision, which depends only on the arguments and the state of {@code random}. */
@@ -69,7 +69,7 @@
         if (row.owner() != situation.layer() || !retryAllowed || earlierAttemptForbids) {
             return giveUp(row.error(), mayHaveRun, situation);
         }
-        if (situation.attempts() >= maxAttempts) {
+        if (situation.attempts() >= attemptLimit) {
             return giveUp(row.error(), mayHaveRun, situation);
         }
         if (row.spendsBudget() && !situation.budget().allowsRetry()) {
--- a/src/main/java/org/yuccagw/core/stores/CacheSalt.java
+++ b/src/main/java/org/yuccagw/core/stores/CacheSalt.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.yuccagw.core.deployment.AllowedRegions;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 
 /**
@@ -26,13 +26,13 @@
     /**
      * Returns the salt of a prompt.
      *
-     * @param allowedRegions the regions that the prompt's route and workspace allow
+     * @param permittedRegions the regions that the prompt's route and workspace allow
      * @param version the weight version
      */
-    public static String of(Optional<WorkspaceAccess> workspace, AllowedRegions allowedRegions, long version) {
+    public static String of(Optional<WorkspaceAccess> workspace, PermittedRegions permittedRegions, long version) {
         boolean isolated = workspace.map(WorkspaceAccess::isolated).orElse(false);
         String owner = isolated ? "w" + SEPARATOR + workspace.get().id() : "s";
-        String bound = allowedRegions.isRestricted() ? SEPARATOR + "@" + allowedRegions.name() : "";
+        String bound = permittedRegions.isRestricted() ? SEPARATOR + "@" + permittedRegions.name() : "";
         return owner + bound + SEPARATOR + version;
     }
 
--- a/src/main/java/org/yuccagw/platform/DeploymentReader.java
+++ b/src/main/java/org/yuccagw/platform/DeploymentReader.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalInt;
-import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
@@ -152,10 +152,10 @@
                 readAllowedRegions(workspace));
     }
 
-    private static AllowedRegions readAllowedRegions(JsonNode object) {
+    private static PermittedRegions readAllowedRegions(JsonNode object) {
         List<Region> regions = new ArrayList<>();
         object.path("allowedRegions").forEach(region -> regions.add(Region.of(region.asText())));
-        return AllowedRegions.in(regions);
+        return PermittedRegions.in(regions);
     }
 
     private static RequestLimits readLimits(JsonNode limits) {
--- a/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
@@ -16,12 +16,12 @@
 import org.yuccagw.core.control.ControlAction;
 import org.yuccagw.core.control.ControlInput;
 import org.yuccagw.core.control.Decision;
-import org.yuccagw.core.deployment.AllowedRegions;
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
@@ -140,7 +140,7 @@
                 true,
                 true,
                 false,
-                AllowedRegions.ANYWHERE);
+                PermittedRegions.ANYWHERE);
         return new PlacementRequest(
                 RequestId.of("r1"),
                 route,
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
-import org.yuccagw.core.deployment.AllowedRegions;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.Region;
@@ -99,28 +99,28 @@
 
     @Test
     public void theHomesOfRouteAndWorkspaceBothApply() {
-        AllowedRegions route = AllowedRegions.in(List.of(Region.of("north"), Region.of("south")));
-        AllowedRegions workspace = AllowedRegions.in(List.of(Region.of("south"), Region.of("east")));
-        AllowedRegions both = route.intersect(workspace);
+        PermittedRegions route = PermittedRegions.in(List.of(Region.of("north"), Region.of("south")));
+        PermittedRegions workspace = PermittedRegions.in(List.of(Region.of("south"), Region.of("east")));
+        PermittedRegions both = route.intersect(workspace);
         assertTrue(both.allows(Optional.of(Region.of("south"))));
         assertFalse(both.allows(Optional.of(Region.of("north"))));
         assertFalse(both.allows(Optional.of(Region.of("east"))));
-        AllowedRegions neither =
-                AllowedRegions.in(List.of(Region.of("north"))).intersect(AllowedRegions.in(List.of(Region.of("east"))));
+        PermittedRegions neither = PermittedRegions.in(List.of(Region.of("north")))
+                .intersect(PermittedRegions.in(List.of(Region.of("east"))));
         assertTrue(neither.isRestricted());
         assertFalse(neither.allows(Optional.of(Region.of("north"))));
-        assertEquals(AllowedRegions.ANYWHERE.intersect(route), route);
-        assertEquals(route.intersect(AllowedRegions.ANYWHERE), route);
+        assertEquals(PermittedRegions.ANYWHERE.intersect(route), route);
+        assertEquals(route.intersect(PermittedRegions.ANYWHERE), route);
         assertFalse(route.allows(Optional.empty()));
-        assertTrue(AllowedRegions.ANYWHERE.allows(Optional.empty()));
+        assertTrue(PermittedRegions.ANYWHERE.allows(Optional.empty()));
     }
 
     @Test
     public void theCacheOfBoundPromptsHasItsOwnSalt() {
-        AllowedRegions north = AllowedRegions.in(List.of(Region.of("north")));
+        PermittedRegions north = PermittedRegions.in(List.of(Region.of("north")));
         String bound = CacheSalt.of(Optional.empty(), north, 7);
-        assertFalse(bound.equals(CacheSalt.of(Optional.empty(), AllowedRegions.ANYWHERE, 7)));
+        assertFalse(bound.equals(CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 7)));
         assertEquals(bound, "s.@north.7");
-        assertEquals(CacheSalt.of(Optional.empty(), AllowedRegions.ANYWHERE, 7), "s.7");
+        assertEquals(CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 7), "s.7");
     }
 }
