--- a/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
+++ b/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
@@ -195,7 +195,7 @@
     }
 
     private void stores(AdminCall call) {
-        input.offer(new StoresRequested(known -> call.reply(views.stores(known))));
+        input.offer(new StoresRequested(statuses -> call.reply(views.stores(statuses))));
     }
 
     private void drain(AdminCall call) {
--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -98,7 +98,8 @@
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode shards = root.putArray("shards");
         snapshot.part(ShardsSnapshot.class)
-                .ifPresent(known -> known.owners()
+                .ifPresent(ownerships -> ownerships
+                        .owners()
                         .forEach((shard, ownership) -> shards.addObject()
                                 .put("shard", shard.value())
                                 .put("owner", ownership.owner().value())
@@ -109,10 +110,10 @@
         return root;
     }
 
-    ObjectNode stores(List<StoresRequested.StoreStatus> known) {
+    ObjectNode stores(List<StoresRequested.StoreStatus> statuses) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode stores = root.putArray("stores");
-        known.forEach(store -> writeStore(store, stores.addObject()));
+        statuses.forEach(store -> writeStore(store, stores.addObject()));
         return root;
     }
 
--- a/src/main/java/org/yuccagw/adapters/settings/GatewaySettings.java
+++ b/src/main/java/org/yuccagw/adapters/settings/GatewaySettings.java
@@ -43,19 +43,19 @@
      * The guarantees and requirements of the platform.
      *
      * @param retries limits of retries
-     * @param cold how far the requests of all entries may exceed the rate that cold endpoints sustain
+     * @param coldEndpoints how far the requests of all entries may exceed the rate that cold endpoints sustain
      * @param stopGrace time between the request to stop the process and its forced termination
-     * @param orderSeparation minimum time between orders to one engine from two successive holders of the duty
+     * @param minOrderSeparation minimum time between orders to one engine from two successive holders of the duty
      * @param oldWeightsAllowed time after newer weights are named during which requests may still start on older ones
      * @param directoryTimeToLive time for which callers may cache the directory
-     * @param keysUnconfirmed maximum time for which keys are accepted without confirmation, absent for no limit
+     * @param unconfirmedKeyTimeout maximum time for which keys are accepted without confirmation, absent for no limit
      */
     public record Bounds(
             RetryBounds retries,
-            ColdBounds cold,
+            ColdBounds coldEndpoints,
             Duration stopGrace,
-            Duration orderSeparation,
+            Duration minOrderSeparation,
             Duration oldWeightsAllowed,
             Duration directoryTimeToLive,
-            Optional<Duration> keysUnconfirmed) {}
+            Optional<Duration> unconfirmedKeyTimeout) {}
 }
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -70,7 +70,7 @@
         ownDomain = settings.domain();
         follow = KeyValueFollowComponent.of(
                 codec,
-                settings.bounds().keysUnconfirmed().isPresent()
+                settings.bounds().unconfirmedKeyTimeout().isPresent()
                         ? KeyValueFollowComponent.WatchRole.alwaysWatching()
                         : new Following());
         configuration = ConfigurationComponent.create();
@@ -87,7 +87,7 @@
         PlacementResponder responder = PlacementResponder.of(this::workOf, notices);
         placement = PlacementComponent.of(
                 new PlacementBounds(
-                        settings.bounds().retries(), settings.bounds().cold()),
+                        settings.bounds().retries(), settings.bounds().coldEndpoints()),
                 settings.regions(),
                 weights,
                 stores,
@@ -102,7 +102,7 @@
                 codec,
                 peers::allLeads,
                 follow::isReachable,
-                settings.bounds().orderSeparation());
+                settings.bounds().minOrderSeparation());
         orders = WeightOrdersComponent.of(duty, weights, this::announceOrders, placement::requestsOn, calls);
         RetiredPartsComponent retired = RetiredPartsComponent.of(duty::mayAct, weights, orders::lowestRunning, stores);
         components = List.of(
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -112,7 +112,7 @@
                         metrics,
                         settings.domain(),
                         settings.bounds().directoryTimeToLive(),
-                        settings.bounds().keysUnconfirmed()),
+                        settings.bounds().unconfirmedKeyTimeout()),
                 settings,
                 worker,
                 runs);
--- a/src/test/java/org/yuccagw/adapters/settings/BrokenFilesTest.java
+++ b/src/test/java/org/yuccagw/adapters/settings/InvalidFilesTest.java
@@ -15,7 +15,7 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /** Reads invalid files; the expected error message is in a file of the same name with the extension .message. */
-public class BrokenFilesTest {
+public class InvalidFilesTest {
     private static final Path RESOURCES = Path.of("src/test/resources/settings");
     private static final int FILES_PER_DIRECTORY = 10;
 
--- a/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
+++ b/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
@@ -35,8 +35,8 @@
         assertEquals(settings.peer(), NetworkAddress.of("10.1.0.19", 7580));
         assertEquals(
                 settings.seeds(), List.of(NetworkAddress.of("10.1.0.19", 7580), NetworkAddress.of("10.2.0.13", 7580)));
-        assertEquals(settings.bounds().orderSeparation(), Duration.ofSeconds(3));
-        assertTrue(settings.bounds().keysUnconfirmed().isEmpty());
+        assertEquals(settings.bounds().minOrderSeparation(), Duration.ofSeconds(3));
+        assertTrue(settings.bounds().unconfirmedKeyTimeout().isEmpty());
     }
 
     @Test
@@ -50,7 +50,7 @@
     @Test
     public void boundsOnColdEndpointsAreRead() throws YuccagwException {
         String told = TOLD.replace("\"bounds\": {", "\"bounds\": {\"coldOverage\": 1.5, \"coldSlack\": 5, ");
-        assertEquals(GatewaySettingsReader.parse(rendered(told)).bounds().cold(), new ColdBounds(1.5, 5));
+        assertEquals(GatewaySettingsReader.parse(rendered(told)).bounds().coldEndpoints(), new ColdBounds(1.5, 5));
     }
 
     @Test
