--- a/src/main/java/org/yuccagw/adapters/cache/CacheActions.java
+++ b/src/main/java/org/yuccagw/adapters/cache/CacheCommandHandler.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.CacheCommand;
 import org.yuccagw.core.cache.CacheCommand.StoreAddress;
@@ -26,22 +26,22 @@
  * <p>Whatever goes wrong becomes an event too: an error status, a body that isn't the expected JSON, a connection that
  * fails or falls silent. Every order has exactly one outcome, but for deletions, which need none.
  */
-public final class CacheActions implements ActionHandler {
+public final class CacheCommandHandler implements ActionHandler {
     private static final Duration CONNECT = Duration.ofSeconds(1);
     private static final Duration SHORT_ANSWER = Duration.ofSeconds(2);
     private static final int LANES = 8;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final ImportClient imports;
 
-    private CacheActions(HttpCaller caller, ImportClient imports) {
+    private CacheCommandHandler(HttpClient caller, ImportClient imports) {
         this.caller = caller;
         this.imports = imports;
     }
 
     /** Orders over this caller; prefetches go through the client that also imports for requests. */
-    public static CacheActions of(HttpCaller caller, ImportClient imports) {
-        return new CacheActions(caller, imports);
+    public static CacheCommandHandler of(HttpClient caller, ImportClient imports) {
+        return new CacheCommandHandler(caller, imports);
     }
 
     @Override
@@ -205,7 +205,7 @@
         return isExport ? query : query.withTimeouts(CONNECT, SHORT_ANSWER);
     }
 
-    private static Result read(HttpAnswer answer, Throwable failure) {
+    private static Result read(HttpResponse answer, Throwable failure) {
         if (failure != null) {
             return Result.failed(String.valueOf(failure.getMessage()));
         }
--- a/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
+++ b/src/main/java/org/yuccagw/adapters/cache/ImportClient.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.cache.CacheCommand;
@@ -41,17 +41,17 @@
     private static final Duration CONNECT = Duration.ofSeconds(1);
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final ControlInput input;
     private final List<Running> running = new ArrayList<>();
 
-    private ImportClient(HttpCaller caller, ControlInput input) {
+    private ImportClient(HttpClient caller, ControlInput input) {
         this.caller = caller;
         this.input = input;
     }
 
     /** Imports over this caller; what they show of stores and engines goes to the control core. */
-    public static ImportClient of(HttpCaller caller, ControlInput input) {
+    public static ImportClient of(HttpClient caller, ControlInput input) {
         return new ImportClient(caller, input);
     }
 
@@ -111,14 +111,14 @@
         return outcome;
     }
 
-    private void end(Job job, Running entry, HttpAnswer answer, Throwable failure, long millis) {
+    private void end(Job job, Running entry, HttpResponse answer, Throwable failure, long millis) {
         remove(entry);
         EngineCacheUpdate.ImportEnded ended = read(job, answer, failure, millis);
         input.offer(ended);
         entry.outcome().complete(new ImportOutcome(ended.imported(), ended.bytes(), millis));
     }
 
-    private static EngineCacheUpdate.ImportEnded read(Job job, HttpAnswer answer, Throwable failure, long millis) {
+    private static EngineCacheUpdate.ImportEnded read(Job job, HttpResponse answer, Throwable failure, long millis) {
         if (failure != null) {
             return none(job, millis, ImportFailure.LATE);
         }
--- a/src/main/java/org/yuccagw/adapters/caller/Follower.java
+++ b/src/main/java/org/yuccagw/adapters/caller/AnswerRelay.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.engine.PlainCall;
+import org.yuccagw.adapters.engine.PlainRequest;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.core.catalogue.Workspace;
@@ -27,7 +27,7 @@
  * <p>When the run has ended meanwhile or its entry can't be reached, the caller is told ALREADY_RUNNING: its next
  * repeat finds the kept answer or learns that the outcome is unknown. Nothing runs again either way.
  */
-final class Follower {
+final class AnswerRelay {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(60);
     private static final int NOT_FOUND = 404;
@@ -37,15 +37,15 @@
     private final CallerAnswer answer;
     private final XnioIoThread thread;
 
-    private Follower(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
+    private AnswerRelay(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
         this.services = services;
         this.workspace = workspace;
         this.answer = answer;
         this.thread = thread;
     }
 
-    static Follower of(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
-        return new Follower(services, workspace, answer, thread);
+    static AnswerRelay of(CallerServices services, Workspace workspace, CallerAnswer answer, XnioIoThread thread) {
+        return new AnswerRelay(services, workspace, answer, thread);
     }
 
     void follow(EntryId entry, RequestId request, String authorization) {
@@ -93,7 +93,7 @@
             started = true;
             Map<String, String> passedOn = new LinkedHashMap<>();
             for (HeaderValues values : headers) {
-                if (PlainCall.isPassedOn(values.getHeaderName())) {
+                if (PlainRequest.isPassedOn(values.getHeaderName())) {
                     passedOn.put(values.getHeaderName().toString(), values.getFirst());
                 }
             }
--- a/src/main/java/org/yuccagw/adapters/caller/Importer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/BlockImporter.java
@@ -6,7 +6,7 @@
 
 /** Orders an endpoint to import cache blocks from a store. Never blocks; the outcome comes once, on any thread. */
 @FunctionalInterface
-public interface Importer {
+public interface BlockImporter {
     void importBlocks(EndpointStatus endpoint, ImportPlan plan, String version, Consumer<Outcome> done);
 
     /** What arrived. */
--- a/src/main/java/org/yuccagw/adapters/caller/CallerAnswer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerAnswer.java
@@ -30,7 +30,7 @@
 
     private final CallerResponse response;
     private final Form form;
-    private final Optional<AnswerText> shape;
+    private final Optional<CompletionFormat> shape;
     private final String requestId;
     private final StringBuilder text = new StringBuilder();
     private final java.io.ByteArrayOutputStream plainBytes = new java.io.ByteArrayOutputStream();
@@ -46,7 +46,7 @@
         PLAIN
     }
 
-    CallerAnswer(CallerResponse response, Form form, Optional<AnswerText> shape, String requestId) {
+    CallerAnswer(CallerResponse response, Form form, Optional<CompletionFormat> shape, String requestId) {
         this.response = response;
         this.form = form;
         this.shape = shape;
@@ -89,7 +89,7 @@
             endPlain();
             return;
         }
-        AnswerText answerText = shape.orElseThrow();
+        CompletionFormat answerText = shape.orElseThrow();
         String whole = answerText.whole(text.toString(), usage.orElseThrow());
         byte[] bytes = whole.getBytes(StandardCharsets.UTF_8);
         if (bytes.length <= MOST_KEPT_BYTES) {
--- a/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerRun.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.engine.EngineBody;
-import org.yuccagw.adapters.engine.EngineLeg;
-import org.yuccagw.adapters.engine.PlainCall;
-import org.yuccagw.adapters.engine.PlainLeg;
+import org.yuccagw.adapters.engine.CompletionBody;
+import org.yuccagw.adapters.engine.EngineResponseListener;
+import org.yuccagw.adapters.engine.PlainRequest;
+import org.yuccagw.adapters.engine.PlainResponseListener;
 import org.yuccagw.adapters.http.HttpCall;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
@@ -63,7 +63,7 @@
     private final XnioIoThread thread;
     private final RequestProfile profile;
     private final Target target;
-    private final RunSpans spans;
+    private final RequestSpans spans;
     private final String authorization;
     private final RequestMachine machine;
     private final long startNanos = System.nanoTime();
@@ -85,8 +85,8 @@
             Workspace workspace,
             Service service,
             RequestClass requestClass,
-            Optional<EngineBody> engineBody,
-            Optional<PlainCall> plainCall) {
+            Optional<CompletionBody> engineBody,
+            Optional<PlainRequest> plainCall) {
         private String salt(String version) {
             String adapter = service.model().map(Service.ModelSettings::adapter).orElse("");
             return BlockChain.salt(workspace.cacheSecret(), service.name().value(), version, adapter);
@@ -109,7 +109,7 @@
         this.thread = thread;
         this.profile = profile;
         this.target = target;
-        this.spans = RunSpans.of(services.tracer(), span, profile.request().value());
+        this.spans = RequestSpans.of(services.tracer(), span, profile.request().value());
         this.machine = RequestMachine.of(profile, this);
     }
 
@@ -151,9 +151,9 @@
     }
 
     /** The shape of a model's answer, for a follower of the same request. */
-    Optional<AnswerText> shape() {
+    Optional<CompletionFormat> shape() {
         return target.engineBody()
-                .map(body -> new AnswerText("cmpl-" + profile.request(), body.model(), body.isChat()));
+                .map(body -> new CompletionFormat("cmpl-" + profile.request(), body.model(), body.isChat()));
     }
 
     boolean belongsTo(Workspace workspace) {
@@ -170,7 +170,7 @@
     @Override
     public void requestAdmission() {
         spans.begin("admission");
-        long promptTokens = target.engineBody().map(EngineBody::promptTokens).orElse(0L);
+        long promptTokens = target.engineBody().map(CompletionBody::promptTokens).orElse(0L);
         long answerTokens =
                 target.engineBody().map(body -> (long) body.maxTokens()).orElse(0L);
         services.control()
@@ -217,7 +217,7 @@
                 target.requestClass().name(),
                 version,
                 blocks(version.map(WeightVersion::value).orElse(target.currentVersion())),
-                target.engineBody().map(EngineBody::promptTokens).orElse(0L),
+                target.engineBody().map(CompletionBody::promptTokens).orElse(0L),
                 target.engineBody().map(body -> (long) body.maxTokens()).orElse(0L),
                 excluded,
                 alone);
@@ -301,12 +301,12 @@
                     .withHeader("Content-Type", "application/json")
                     .withHeader("X-Request-Id", profile.request().value())
                     .withHeader("traceparent", spans.traceParent());
-            open(leg, query, EngineLeg.sending(machine, leg));
+            open(leg, query, EngineResponseListener.sending(machine, leg));
         } else {
             HttpQuery query = target.plainCall()
                     .orElseThrow()
                     .toward(endpoint.address(), profile.request().value(), spans.traceParent());
-            open(leg, query, PlainLeg.of(machine, leg, profile.idempotent()));
+            open(leg, query, PlainResponseListener.of(machine, leg, profile.idempotent()));
         }
     }
 
@@ -315,7 +315,7 @@
         spans.event("resume from " + from + " at " + endpoint.id());
         HttpQuery query = HttpQuery.get(endpoint.address(), "/v1/streams/" + stream + "?from=" + from)
                 .overFreshConnection();
-        open(leg, query, EngineLeg.resuming(machine, leg));
+        open(leg, query, EngineResponseListener.resuming(machine, leg));
     }
 
     private void open(long leg, HttpQuery query, HttpStreamListener listener) {
@@ -371,7 +371,7 @@
         return services.retries()
                 .decide(
                         profile.service(),
-                        new RetryGate.RequestSoFar(
+                        new RetryDecider.RequestSoFar(
                                 failure, profile.idempotent(), mayHaveRunBefore, attemptsMade, remaining));
     }
 
@@ -420,7 +420,7 @@
                 endpoint.incarnation(),
                 head.stream(),
                 head.version(),
-                target.engineBody().map(EngineBody::isChat).orElse(false));
+                target.engineBody().map(CompletionBody::isChat).orElse(false));
         return token.sign(services.settings().tokenKeys().get(0));
     }
 
@@ -462,7 +462,7 @@
     @Override
     public void follow(EntryId entry, RequestId request) {
         outcome = "followed";
-        Follower.of(services, target.workspace(), answer, thread).follow(entry, request, authorization);
+        AnswerRelay.of(services, target.workspace(), answer, thread).follow(entry, request, authorization);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerServer.java
@@ -13,8 +13,8 @@
 import java.util.Optional;
 import javax.net.ssl.SSLContext;
 import org.xnio.XnioWorker;
-import org.yuccagw.adapters.engine.EngineBody;
-import org.yuccagw.adapters.engine.PlainCall;
+import org.yuccagw.adapters.engine.CompletionBody;
+import org.yuccagw.adapters.engine.PlainRequest;
 import org.yuccagw.adapters.http.BodyReader;
 import org.yuccagw.adapters.http.ErrorAnswers;
 import org.yuccagw.adapters.telemetry.TraceParent;
@@ -71,7 +71,7 @@
     /** Makes the event for a hint that a prompt will return soon. */
     @FunctionalInterface
     public interface Prefetcher {
-        ControlEvent prefetch(Workspace workspace, Service service, EngineBody body);
+        ControlEvent prefetch(Workspace workspace, Service service, CompletionBody body);
     }
 
     private CallerServer(
@@ -237,13 +237,13 @@
     private void complete(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, byte[] bytes)
             throws YuccagwException {
         String path = exchange.getRequestPath();
-        EngineBody body = EngineBody.read(bytes, path.equals(CHAT));
+        CompletionBody body = CompletionBody.read(bytes, path.equals(CHAT));
         Service service = modelService(catalogue, body.model());
         CallerRun.Target target = new CallerRun.Target(
                 workspace, service, classOf(catalogue, workspace, service), Optional.of(body), Optional.empty());
         RequestId request = RequestIds.next();
         RequestProfile profile = profile(exchange, catalogue, target, request, path, bytes, body.streamed());
-        AnswerText shape = new AnswerText("cmpl-" + request, body.model(), body.isChat());
+        CompletionFormat shape = new CompletionFormat("cmpl-" + request, body.model(), body.isChat());
         CallerAnswer.Form form = body.streamed() ? CallerAnswer.Form.STREAM : CallerAnswer.Form.WHOLE;
         start(exchange, profile, target, form, Optional.of(shape), CallerRun::begin);
     }
@@ -265,7 +265,7 @@
         }
         String query = exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString();
         withBody(exchange, bytes -> {
-            PlainCall call = new PlainCall(
+            PlainRequest call = new PlainRequest(
                     exchange.getRequestMethod().toString(), rest + query, exchange.getRequestHeaders(), bytes);
             CallerRun.Target target = new CallerRun.Target(
                     workspace, service, classOf(catalogue, workspace, service), Optional.empty(), Optional.of(call));
@@ -284,7 +284,7 @@
             RequestProfile profile,
             CallerRun.Target target,
             CallerAnswer.Form form,
-            Optional<AnswerText> shape,
+            Optional<CompletionFormat> shape,
             Beginning beginning) {
         Span span = services.tracer()
                 .spanBuilder("request")
@@ -373,11 +373,11 @@
                         exchange,
                         catalogue,
                         workspace,
-                        ResumeRequested.of(asked, services.settings().tokenKeys()));
+                        ResumeRequest.of(asked, services.settings().tokenKeys()));
             });
             return;
         }
-        ResumeRequested asked = ResumeRequested.of(
+        ResumeRequest asked = ResumeRequest.of(
                 exchange.getQueryParameters(), services.settings().tokenKeys());
         exchange.dispatch(io.undertow.util.SameThreadExecutor.INSTANCE, () -> {
             try {
@@ -396,7 +396,7 @@
         }
     }
 
-    private void resumeAt(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, ResumeRequested asked)
+    private void resumeAt(HttpServerExchange exchange, Catalogue catalogue, Workspace workspace, ResumeRequest asked)
             throws YuccagwException {
         ResumeToken token = asked.token();
         if (!token.workspace().equals(workspace.id())) {
@@ -419,8 +419,8 @@
                 target.requestClass().answerDeadline(),
                 catalogue.system().resumeGrace(),
                 Optional.of(point));
-        AnswerText shape =
-                new AnswerText("cmpl-" + token.request(), service.name().value(), token.chat());
+        CompletionFormat shape =
+                new CompletionFormat("cmpl-" + token.request(), service.name().value(), token.chat());
         EndpointStatus endpoint = endpointOf(token, service);
         start(
                 exchange,
@@ -453,9 +453,9 @@
         CallerAnswer.Form form = asked == null ? CallerAnswer.Form.STREAM : CallerAnswer.Form.valueOf(asked.getFirst());
         exchange.dispatch(io.undertow.util.SameThreadExecutor.INSTANCE, () -> {
             CallerResponse response = new CallerResponse(exchange, CallerResponse.IGNORED);
-            Optional<AnswerText> shape = services.runs().find(request).flatMap(CallerRun::shape);
+            Optional<CompletionFormat> shape = services.runs().find(request).flatMap(CallerRun::shape);
             CallerAnswer answer = new CallerAnswer(response, form, shape, request.value());
-            Follower.of(services, workspace, answer, exchange.getIoThread()).followHere(request);
+            AnswerRelay.of(services, workspace, answer, exchange.getIoThread()).followHere(request);
         });
     }
 
@@ -467,7 +467,7 @@
         } catch (IOException e) {
             throw ErrorKind.MALFORMED_BODY.raiseFrom(e, "not readable");
         }
-        EngineBody body = EngineBody.read(bytes, chat);
+        CompletionBody body = CompletionBody.read(bytes, chat);
         Service service = modelService(catalogue, body.model());
         services.control().offer(prefetcher.prefetch(workspace, service, body));
         exchange.setStatusCode(202);
--- a/src/main/java/org/yuccagw/adapters/caller/CallerServices.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CallerServices.java
@@ -2,7 +2,7 @@
 
 import io.opentelemetry.api.trace.Tracer;
 import java.util.function.Supplier;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.settings.EntrySettings;
 import org.yuccagw.core.control.ControlInput;
 import org.yuccagw.core.control.ControlSnapshot;
@@ -19,10 +19,10 @@
         EntryIdentity self,
         Supplier<ControlSnapshot> snapshot,
         ControlInput control,
-        HttpCaller http,
-        HttpCaller otherEntries,
-        Importer importer,
-        RetryGate retries,
+        HttpClient http,
+        HttpClient otherEntries,
+        BlockImporter importer,
+        RetryDecider retries,
         Tracer tracer,
         CallerMetrics metrics,
         RunRegistry runs) {}
--- a/src/main/java/org/yuccagw/adapters/caller/AnswerText.java
+++ b/src/main/java/org/yuccagw/adapters/caller/CompletionFormat.java
@@ -13,7 +13,7 @@
  *
  * @param chat whether the shape is that of a chat completion
  */
-record AnswerText(String id, String model, boolean chat) {
+record CompletionFormat(String id, String model, boolean chat) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int EVENT_LENGTH = 192;
     static final String END = "data: [DONE]\n\n";
--- a/src/main/java/org/yuccagw/adapters/caller/RunSpans.java
+++ b/src/main/java/org/yuccagw/adapters/caller/RequestSpans.java
@@ -11,22 +11,22 @@
 import org.yuccagw.core.routing.RouteExplanation;
 
 /** The spans of one request: one for the whole, one for each hop on the way. Used on the request's thread. */
-final class RunSpans {
+final class RequestSpans {
     private final Tracer tracer;
     private final String request;
     private final Span whole;
     private final Context context;
     private final Map<String, Span> open = new LinkedHashMap<>();
 
-    private RunSpans(Tracer tracer, Span whole, String request) {
+    private RequestSpans(Tracer tracer, Span whole, String request) {
         this.request = request;
         this.tracer = tracer;
         this.whole = whole;
         this.context = Context.root().with(whole);
     }
 
-    static RunSpans of(Tracer tracer, Span whole, String request) {
-        return new RunSpans(tracer, whole, request);
+    static RequestSpans of(Tracer tracer, Span whole, String request) {
+        return new RequestSpans(tracer, whole, request);
     }
 
     /** Begins the hop; one of the same name that is still open ends first. */
--- a/src/main/java/org/yuccagw/adapters/caller/ResumeRequested.java
+++ b/src/main/java/org/yuccagw/adapters/caller/ResumeRequest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.yuccagw.adapters.engine.EngineBody;
+import org.yuccagw.adapters.engine.CompletionBody;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.WorkspaceId;
@@ -24,24 +24,24 @@
  * @param text their text
  * @param body the body of the first request
  */
-record ResumeRequested(
-        ResumeToken token, long from, Optional<String> text, Optional<EngineBody> body, byte[] originalBody) {
+record ResumeRequest(
+        ResumeToken token, long from, Optional<String> text, Optional<CompletionBody> body, byte[] originalBody) {
 
-    static ResumeRequested of(Map<String, Deque<String>> query, List<String> keys) throws YuccagwException {
+    static ResumeRequest of(Map<String, Deque<String>> query, List<String> keys) throws YuccagwException {
         ResumeToken token = ResumeToken.verify(require(query, "token"), keys);
         long from = parseFrom(require(query, "from"));
-        return new ResumeRequested(token, from, Optional.empty(), Optional.empty(), new byte[0]);
+        return new ResumeRequest(token, from, Optional.empty(), Optional.empty(), new byte[0]);
     }
 
-    static ResumeRequested of(JsonNode body, List<String> keys) throws YuccagwException {
+    static ResumeRequest of(JsonNode body, List<String> keys) throws YuccagwException {
         ResumeToken token = ResumeToken.verify(body.path("token").asText(), keys);
         long from = parseFrom(body.path("from").asText());
         if (!body.path("text").isTextual() || !body.path("request").isObject()) {
             throw ErrorKind.WRONG_FIELD.raise("request", "expected the first request's body, and its text in 'text'");
         }
         byte[] original = body.path("request").toString().getBytes(StandardCharsets.UTF_8);
-        EngineBody request = EngineBody.read(original, token.chat());
-        return new ResumeRequested(
+        CompletionBody request = CompletionBody.read(original, token.chat());
+        return new ResumeRequest(
                 token, from, Optional.of(body.path("text").textValue()), Optional.of(request), original);
     }
 
--- a/src/main/java/org/yuccagw/adapters/caller/RetryGate.java
+++ b/src/main/java/org/yuccagw/adapters/caller/RetryDecider.java
@@ -19,19 +19,19 @@
  * The retry policy as the entry applies it, with one budget for each service that all traffic threads share. A
  * budget is an immutable value; a thread that loses the race to replace it decides again with the value that won.
  */
-public final class RetryGate {
+public final class RetryDecider {
     private final RetryPolicy policy;
     private final Supplier<SystemLimits> limits;
     private final Map<ServiceName, AtomicReference<RetryBudget>> budgets = new ConcurrentHashMap<>();
 
-    private RetryGate(RetryPolicy policy, Supplier<SystemLimits> limits) {
+    private RetryDecider(RetryPolicy policy, Supplier<SystemLimits> limits) {
         this.policy = policy;
         this.limits = limits;
     }
 
     /** A gate whose budgets start full at the size in the catalogue. */
-    public static RetryGate of(RetryPolicy policy, Supplier<SystemLimits> limits) {
-        return new RetryGate(policy, limits);
+    public static RetryDecider of(RetryPolicy policy, Supplier<SystemLimits> limits) {
+        return new RetryDecider(policy, limits);
     }
 
     /** Decides after a failed attempt, and spends from the budget if that is the decision. */
--- a/src/main/java/org/yuccagw/adapters/endpoint/OrderSender.java
+++ b/src/main/java/org/yuccagw/adapters/endpoint/OrderSender.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.LongSupplier;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.core.control.ActionHandler;
@@ -36,10 +36,10 @@
     private static final int CONFLICT = 409;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final LongSupplier monotonicNanos;
 
-    private OrderSender(HttpCaller caller, LongSupplier monotonicNanos) {
+    private OrderSender(HttpClient caller, LongSupplier monotonicNanos) {
         this.caller = caller;
         this.monotonicNanos = monotonicNanos;
     }
@@ -49,7 +49,7 @@
      *
      * @param monotonicNanos the same clock as the control core's, in nanoseconds
      */
-    public static OrderSender of(HttpCaller caller, LongSupplier monotonicNanos) {
+    public static OrderSender of(HttpClient caller, LongSupplier monotonicNanos) {
         return new OrderSender(caller, monotonicNanos);
     }
 
--- a/src/main/java/org/yuccagw/adapters/endpoint/PlatformPoller.java
+++ b/src/main/java/org/yuccagw/adapters/endpoint/PlatformPoller.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.control.ActionHandler;
 import org.yuccagw.core.control.ControlAction;
@@ -42,16 +42,16 @@
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(1);
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final NetworkAddress listAddress;
     private final AtomicBoolean listFailed = new AtomicBoolean();
 
-    private PlatformPoller(HttpCaller caller, NetworkAddress listAddress) {
+    private PlatformPoller(HttpClient caller, NetworkAddress listAddress) {
         this.caller = caller;
         this.listAddress = listAddress;
     }
 
-    public static PlatformPoller of(HttpCaller caller, NetworkAddress listAddress) {
+    public static PlatformPoller of(HttpClient caller, NetworkAddress listAddress) {
         return new PlatformPoller(caller, listAddress);
     }
 
@@ -129,7 +129,7 @@
         return first ? query : query.overFreshConnection();
     }
 
-    private static EndpointReported report(ProbeEndpoint probe, HttpAnswer stateAnswer, HttpAnswer loadAnswer) {
+    private static EndpointReported report(ProbeEndpoint probe, HttpResponse stateAnswer, HttpResponse loadAnswer) {
         JsonNode state = parse(stateAnswer);
         JsonNode load = parse(loadAnswer);
         String version = state.path("version").asText("");
@@ -147,7 +147,7 @@
     }
 
     /** An address may be given to another process after its VM went: an answer of another kind is a failed probe. */
-    private static JsonNode parse(HttpAnswer answer) {
+    private static JsonNode parse(HttpResponse answer) {
         if (!answer.isSuccess()) {
             throw new IllegalStateException("status " + answer.status());
         }
--- a/src/main/java/org/yuccagw/adapters/engine/EngineBody.java
+++ b/src/main/java/org/yuccagw/adapters/engine/CompletionBody.java
@@ -19,7 +19,7 @@
  * The body of a completions or chat-completions request: checked, and made anew for an engine. Fields that yuccagw
  * doesn't know go to the engine as they came.
  */
-public final class EngineBody {
+public final class CompletionBody {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int USUAL_MAX_TOKENS = 256;
     private static final int MOST_MAX_TOKENS = 1_000_000;
@@ -28,7 +28,7 @@
     private final ObjectNode body;
     private final boolean chat;
 
-    private EngineBody(ObjectNode body, boolean chat) {
+    private CompletionBody(ObjectNode body, boolean chat) {
         this.body = body;
         this.chat = chat;
     }
@@ -39,12 +39,12 @@
      * @param chat whether it came to the chat path
      * @throws YuccagwException of kind MALFORMED_UTF8, MALFORMED_BODY or WRONG_FIELD
      */
-    public static EngineBody read(byte[] bytes, boolean chat) throws YuccagwException {
+    public static CompletionBody read(byte[] bytes, boolean chat) throws YuccagwException {
         JsonNode node = parse(decode(bytes));
         if (!(node instanceof ObjectNode object)) {
             throw ErrorKind.MALFORMED_BODY.raise("expected an object");
         }
-        EngineBody read = new EngineBody(object, chat);
+        CompletionBody read = new CompletionBody(object, chat);
         read.check();
         return read;
     }
--- a/src/main/java/org/yuccagw/adapters/engine/EngineLeg.java
+++ b/src/main/java/org/yuccagw/adapters/engine/EngineResponseListener.java
@@ -22,7 +22,7 @@
  * <p>The answer is whole only after the mark {@code [DONE]}. A connection that ends before it, even in order, counts as
  * broken, so a cut answer never passes for a whole one.
  */
-public final class EngineLeg implements HttpStreamListener {
+public final class EngineResponseListener implements HttpStreamListener {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String END_MARK = "[DONE]";
     private static final String USAGE_FIELD = "\"usage\"";
@@ -42,20 +42,20 @@
     private int status;
     private boolean ended;
 
-    private EngineLeg(RequestMachine machine, long leg, boolean resuming) {
+    private EngineResponseListener(RequestMachine machine, long leg, boolean resuming) {
         this.machine = machine;
         this.leg = leg;
         this.resuming = resuming;
     }
 
     /** The leg that sends the request. */
-    public static EngineLeg sending(RequestMachine machine, long leg) {
-        return new EngineLeg(machine, leg, false);
+    public static EngineResponseListener sending(RequestMachine machine, long leg) {
+        return new EngineResponseListener(machine, leg, false);
     }
 
     /** The leg that reads a stream on which the engine has begun already. */
-    public static EngineLeg resuming(RequestMachine machine, long leg) {
-        return new EngineLeg(machine, leg, true);
+    public static EngineResponseListener resuming(RequestMachine machine, long leg) {
+        return new EngineResponseListener(machine, leg, true);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/adapters/engine/PlainCall.java
+++ b/src/main/java/org/yuccagw/adapters/engine/PlainRequest.java
@@ -13,7 +13,7 @@
  *
  * @param path behind the service's name, with the query
  */
-public record PlainCall(String method, String path, HeaderMap headers, byte[] body) {
+public record PlainRequest(String method, String path, HeaderMap headers, byte[] body) {
     /** Headers that speak of one connection or of yuccagw's own keys, and so aren't passed on. */
     private static final ImmutableSet<String> NOT_PASSED_ON = ImmutableSet.of(
             "connection",
--- a/src/main/java/org/yuccagw/adapters/engine/PlainLeg.java
+++ b/src/main/java/org/yuccagw/adapters/engine/PlainResponseListener.java
@@ -16,7 +16,7 @@
  * <p>For an idempotent call, an answer 502, 503 or 504 is a failure of the attempt that another endpoint may make good.
  * For any other call it is the answer: only the service knows whether it ran.
  */
-public final class PlainLeg implements HttpStreamListener {
+public final class PlainResponseListener implements HttpStreamListener {
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
 
@@ -25,14 +25,14 @@
     private final boolean idempotent;
     private boolean failed;
 
-    private PlainLeg(RequestMachine machine, long leg, boolean idempotent) {
+    private PlainResponseListener(RequestMachine machine, long leg, boolean idempotent) {
         this.machine = machine;
         this.leg = leg;
         this.idempotent = idempotent;
     }
 
-    public static PlainLeg of(RequestMachine machine, long leg, boolean idempotent) {
-        return new PlainLeg(machine, leg, idempotent);
+    public static PlainResponseListener of(RequestMachine machine, long leg, boolean idempotent) {
+        return new PlainResponseListener(machine, leg, idempotent);
     }
 
     @Override
@@ -44,7 +44,7 @@
         }
         ImmutableMap.Builder<String, String> passedOn = ImmutableMap.builder();
         for (HeaderValues values : headers) {
-            if (PlainCall.isPassedOn(values.getHeaderName())) {
+            if (PlainRequest.isPassedOn(values.getHeaderName())) {
                 passedOn.put(values.getHeaderName().toString(), String.join(", ", values));
             }
         }
--- a/src/main/java/org/yuccagw/adapters/http/HttpCall.java
+++ b/src/main/java/org/yuccagw/adapters/http/HttpCall.java
@@ -29,7 +29,7 @@
 public final class HttpCall {
     private static final ImmutableSet<String> BODILESS = ImmutableSet.of("GET", "HEAD", "DELETE");
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final HttpQuery query;
     private final XnioIoThread thread;
     private final HttpStreamListener listener;
@@ -44,7 +44,7 @@
     private boolean bodySent;
     private Duration idleLimit = Duration.ZERO;
 
-    HttpCall(HttpCaller caller, HttpQuery query, XnioIoThread thread, HttpStreamListener listener) {
+    HttpCall(HttpClient caller, HttpQuery query, XnioIoThread thread, HttpStreamListener listener) {
         this.caller = caller;
         this.query = query;
         this.thread = thread;
--- a/src/main/java/org/yuccagw/adapters/http/HttpCaller.java
+++ b/src/main/java/org/yuccagw/adapters/http/HttpClient.java
@@ -37,7 +37,7 @@
  * <p>A kept connection that the other side has closed meanwhile shows as a failure in phase AWAIT before any byte of an
  * answer. Such a request is not sent again here: whether that is safe is the caller's decision.
  */
-public final class HttpCaller {
+public final class HttpClient {
     /**
      * Guards against work for nobody: a connection that is given up is first half closed and drained by the library,
      * for ten seconds by default, and an endpoint that watches for a closed connection works on for as long. The time
@@ -63,7 +63,7 @@
     private final Optional<XnioSsl> tls;
     private final Map<XnioIoThread, Map<NetworkAddress, ArrayDeque<Idle>>> idle = new ConcurrentHashMap<>();
 
-    private HttpCaller(XnioWorker worker, boolean ownsWorker, Optional<XnioSsl> tls) {
+    private HttpClient(XnioWorker worker, boolean ownsWorker, Optional<XnioSsl> tls) {
         this.worker = worker;
         this.ownsWorker = ownsWorker;
         this.tls = tls;
@@ -71,14 +71,14 @@
     }
 
     /** A caller with I/O threads of its own; {@link #stop} ends them. */
-    public static HttpCaller start(int ioThreads) throws IOException {
-        return new HttpCaller(makeWorker(ioThreads), true, Optional.empty());
+    public static HttpClient start(int ioThreads) throws IOException {
+        return new HttpClient(makeWorker(ioThreads), true, Optional.empty());
     }
 
     /** A caller as by {@link #start(int)} that speaks TLS to every address. */
-    public static HttpCaller start(int ioThreads, SSLContext tls) throws IOException {
+    public static HttpClient start(int ioThreads, SSLContext tls) throws IOException {
         XnioSsl ssl = new UndertowXnioSsl(Xnio.getInstance(), OptionMap.EMPTY, tls);
-        return new HttpCaller(makeWorker(ioThreads), true, Optional.of(ssl));
+        return new HttpClient(makeWorker(ioThreads), true, Optional.of(ssl));
     }
 
     private static XnioWorker makeWorker(int ioThreads) throws IOException {
@@ -93,14 +93,14 @@
     }
 
     /** A caller on the I/O threads of a server, so that a request and its answer share one thread. */
-    public static HttpCaller on(XnioWorker worker) {
-        return new HttpCaller(worker, false, Optional.empty());
+    public static HttpClient on(XnioWorker worker) {
+        return new HttpClient(worker, false, Optional.empty());
     }
 
     /** A caller on the I/O threads of a server, for other servers that speak TLS. */
-    public static HttpCaller on(XnioWorker worker, SSLContext tls) {
+    public static HttpClient on(XnioWorker worker, SSLContext tls) {
         XnioSsl ssl = new UndertowXnioSsl(Xnio.getInstance(), OptionMap.EMPTY, tls);
-        return new HttpCaller(worker, false, Optional.of(ssl));
+        return new HttpClient(worker, false, Optional.of(ssl));
     }
 
     /** Closes idle connections and ends own threads. */
@@ -121,8 +121,8 @@
     }
 
     /** Sends the request and gives the whole answer; the future fails with an IOException. */
-    public CompletableFuture<HttpAnswer> send(HttpQuery query) {
-        CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
+    public CompletableFuture<HttpResponse> send(HttpQuery query) {
+        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         stream(query, worker.getIoThread(ThreadLocalRandom.current().nextInt()), new WholeAnswer(answer));
         return answer;
     }
@@ -218,12 +218,12 @@
     }
 
     private static final class WholeAnswer implements HttpStreamListener {
-        private final CompletableFuture<HttpAnswer> answer;
+        private final CompletableFuture<HttpResponse> answer;
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private int status;
         private io.undertow.util.HeaderMap headers;
 
-        private WholeAnswer(CompletableFuture<HttpAnswer> answer) {
+        private WholeAnswer(CompletableFuture<HttpResponse> answer) {
             this.answer = answer;
         }
 
@@ -242,7 +242,7 @@
 
         @Override
         public void onEnd() {
-            answer.complete(new HttpAnswer(status, headers, body.toByteArray()));
+            answer.complete(new HttpResponse(status, headers, body.toByteArray()));
         }
 
         @Override
--- a/src/main/java/org/yuccagw/adapters/http/HttpAnswer.java
+++ b/src/main/java/org/yuccagw/adapters/http/HttpResponse.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A whole answer to an HTTP request. */
-public record HttpAnswer(int status, HeaderMap headers, byte[] body) {
+public record HttpResponse(int status, HeaderMap headers, byte[] body) {
     private static final int SUCCESS = 200;
     private static final int REDIRECTION = 300;
 
--- a/src/main/java/org/yuccagw/adapters/serving/RunCount.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ActiveRequests.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** How many requests are in progress, for a stop that cuts none. */
-public final class RunCount {
+public final class ActiveRequests {
     private final AtomicInteger running = new AtomicInteger();
 
-    private RunCount() {}
+    private ActiveRequests() {}
 
-    public static RunCount create() {
-        return new RunCount();
+    public static ActiveRequests create() {
+        return new ActiveRequests();
     }
 
     void begin() {
--- a/src/main/java/org/yuccagw/adapters/serving/CallerWatch.java
+++ b/src/main/java/org/yuccagw/adapters/serving/DisconnectDetector.java
@@ -15,20 +15,20 @@
  * that leaves would be noticed only by a failing write, and the endpoint would work for nobody until then. This reads
  * on: the end of the connection closes it, and bytes of a next request are given back to the server for later.
  */
-final class CallerWatch {
+final class DisconnectDetector {
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
     private final StreamSourceConduit conduit;
 
-    private CallerWatch(HttpServerExchange exchange, HttpServerConnection connection) {
+    private DisconnectDetector(HttpServerExchange exchange, HttpServerConnection connection) {
         this.exchange = exchange;
         this.connection = connection;
         this.conduit = connection.getOriginalSourceConduit();
     }
 
     /** Watches from now until the answer is written; on the exchange's I/O thread, after the whole request was read. */
-    static CallerWatch begin(HttpServerExchange exchange) {
-        CallerWatch watch = new CallerWatch(exchange, (HttpServerConnection) exchange.getConnection());
+    static DisconnectDetector begin(HttpServerExchange exchange) {
+        DisconnectDetector watch = new DisconnectDetector(exchange, (HttpServerConnection) exchange.getConnection());
         watch.connection.getChannel().getSourceChannel().setReadListener(channel -> watch.look());
         watch.conduit.resumeReads();
         return watch;
--- a/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingRun.java
@@ -48,7 +48,7 @@
     private final CallerResponse response;
     private final ForwardMachine machine;
     private final Runnable ended;
-    private final CallerWatch watch;
+    private final DisconnectDetector watch;
     private final long arrivedNanos = System.nanoTime();
     private final Map<TimerKind, XnioExecutor.Key> timers = new EnumMap<>(TimerKind.class);
     private long firstByteNanos;
@@ -71,7 +71,7 @@
         this.ended = ended;
         this.response = new CallerResponse(exchange, this);
         this.machine = ForwardMachine.of(request, this);
-        this.watch = CallerWatch.begin(exchange);
+        this.watch = DisconnectDetector.begin(exchange);
     }
 
     /** Begins the run of a request that was read whole; {@code ended} runs once it is over. */
@@ -193,7 +193,7 @@
     }
 
     /** Answers with an error of ours. */
-    static void refuse(HttpServerExchange exchange, Dialect dialect, YuccagwException error) {
+    static void refuse(HttpServerExchange exchange, WireProtocol dialect, YuccagwException error) {
         exchange.setStatusCode(error.kind().status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         error.retryAfter()
--- a/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServer.java
@@ -24,7 +24,7 @@
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.ErrorKind;
@@ -55,14 +55,14 @@
     private static final String METRICS_PATH = "/metrics";
 
     private final ServingServices services;
-    private final RunCount runs;
+    private final ActiveRequests runs;
     private final Undertow server;
-    private final Regions regions;
+    private final DomainRegions regions;
     private volatile boolean stopping;
     private volatile boolean refusingStreams;
     private volatile boolean refusing;
 
-    private ServingServer(ServingServices services, GatewaySettings settings, XnioWorker worker, RunCount runs) {
+    private ServingServer(ServingServices services, GatewaySettings settings, XnioWorker worker, ActiveRequests runs) {
         this.services = services;
         this.runs = runs;
         this.regions = settings.regions();
@@ -86,7 +86,7 @@
 
     /** Listens on all three addresses with the I/O threads of the worker. */
     public static ServingServer start(
-            ServingServices services, GatewaySettings settings, XnioWorker worker, RunCount runs) {
+            ServingServices services, GatewaySettings settings, XnioWorker worker, ActiveRequests runs) {
         ServingServer created = new ServingServer(services, settings, worker, runs);
         created.server.start();
         return created;
--- a/src/main/java/org/yuccagw/adapters/serving/ServingServices.java
+++ b/src/main/java/org/yuccagw/adapters/serving/ServingServices.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.telemetry.DecisionLog;
 import org.yuccagw.adapters.telemetry.Metrics;
 import org.yuccagw.core.control.ControlInput;
@@ -22,8 +22,8 @@
 public record ServingServices(
         Supplier<ControlSnapshot> snapshot,
         ControlInput control,
-        HttpCaller traffic,
-        Dialect dialect,
+        HttpClient traffic,
+        WireProtocol dialect,
         DecisionLog decisions,
         Metrics metrics,
         FailureDomain domain,
--- a/src/main/java/org/yuccagw/adapters/serving/Dialect.java
+++ b/src/main/java/org/yuccagw/adapters/serving/WireProtocol.java
@@ -13,7 +13,7 @@
 import org.yuccagw.core.placing.PlacementDecision;
 
 /** How callers and endpoints spell what they say; it decides nothing. */
-public interface Dialect {
+public interface WireProtocol {
     /**
      * Reads the head of a caller's request.
      *
--- a/src/main/java/org/yuccagw/adapters/settings/GatewaySettings.java
+++ b/src/main/java/org/yuccagw/adapters/settings/GatewaySettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
@@ -25,7 +25,7 @@
 public record GatewaySettings(
         EntryId entry,
         FailureDomain domain,
-        Regions regions,
+        DomainRegions regions,
         NetworkAddress callers,
         NetworkAddress readiness,
         NetworkAddress directory,
--- a/src/main/java/org/yuccagw/bench/demo/Demo.java
+++ b/src/main/java/org/yuccagw/bench/demo/Demo.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
 import org.yuccagw.client.ClientSettings;
-import org.yuccagw.client.Completion;
+import org.yuccagw.client.CompletionRequest;
 import org.yuccagw.client.CompletionAnswer;
 import org.yuccagw.client.YuccagwClient;
 import org.yuccagw.core.error.ErrorKind;
@@ -128,7 +128,7 @@
     }
 
     private static Visit visit(YuccagwClient client, String prompt) throws YuccagwException {
-        Completion completion = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(ANSWER_TOKENS);
+        CompletionRequest completion = CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(ANSWER_TOKENS);
         FirstPiece first = new FirstPiece(System.nanoTime());
         CompletionAnswer answer = client.complete(completion, first);
         return new Visit(
@@ -160,7 +160,7 @@
             HttpQuery call = HttpQuery.json("POST", entry, "/" + LocalCatalogue.PLAIN + "/label", "{\"cell\":7}")
                     .withHeader("Authorization", "Bearer " + LocalCatalogue.workspaceKey(WORKSPACES.get(0)))
                     .withHeader("Idempotency-Key", "label-cell-7");
-            HttpAnswer answer = system.send(call);
+            HttpResponse answer = system.send(call);
             if (!answer.isSuccess()) {
                 problems.add("the labelling call was refused with status " + answer.status() + ": " + answer.text());
             }
@@ -196,7 +196,7 @@
         for (NetworkAddress admin : system.adminAddresses()) {
             HttpQuery query = HttpQuery.get(admin, "/admin/trace/" + request)
                     .withHeader("Authorization", "Bearer " + LocalCatalogue.OPERATOR_KEY);
-            HttpAnswer answer = system.send(query);
+            HttpResponse answer = system.send(query);
             if (answer.isSuccess()) {
                 return parse(answer);
             }
@@ -205,7 +205,7 @@
         return MAPPER.createObjectNode();
     }
 
-    private static JsonNode parse(HttpAnswer answer) throws YuccagwException {
+    private static JsonNode parse(HttpResponse answer) throws YuccagwException {
         try {
             return MAPPER.readTree(answer.body());
         } catch (IOException e) {
--- a/src/main/java/org/yuccagw/bench/local/LocalDeployment.java
+++ b/src/main/java/org/yuccagw/bench/local/LocalDeployment.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.settings.CatalogueJson;
 import org.yuccagw.adapters.settings.EntrySettings;
@@ -49,7 +49,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final LocalPlan plan;
-    private final HttpCaller http;
+    private final HttpClient http;
     private final KeyValueStandIn keyValue;
     private final VmListStandIn vmList;
     private final WeightStoreStandIn weights;
@@ -62,9 +62,9 @@
     private LocalDeployment(LocalPlan plan) throws IOException, YuccagwException {
         this.plan = plan;
         http = plan.tls().isPresent()
-                ? HttpCaller.start(
+                ? HttpClient.start(
                         1, ReloadingTls.clientContext(plan.tls().get().trusted()))
-                : HttpCaller.start(1);
+                : HttpClient.start(1);
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         vmList = VmListStandIn.start(0, 0);
         weights = WeightStoreStandIn.start(WeightStoreSettings.usual());
@@ -137,7 +137,7 @@
     }
 
     /** An HTTP client for whoever works with the deployment. */
-    public HttpCaller http() {
+    public HttpClient http() {
         return http;
     }
 
@@ -157,7 +157,7 @@
     }
 
     /** Sends and waits for the answer. */
-    public HttpAnswer send(HttpQuery query) throws YuccagwException {
+    public HttpResponse send(HttpQuery query) throws YuccagwException {
         try {
             return http.send(query).get(LONGEST_START.toSeconds(), TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
@@ -184,7 +184,7 @@
         byte[] document = CatalogueJson.create().encode(plan.catalogue());
         HttpQuery query = HttpQuery.of("PUT", adminAddresses().get(0), "/admin/catalogue?edit=first", document)
                 .withHeader("Authorization", "Bearer " + LocalCatalogue.OPERATOR_KEY);
-        HttpAnswer answer = send(query);
+        HttpResponse answer = send(query);
         if (!answer.isSuccess()) {
             throw ErrorKind.INTERNAL.raise("the catalogue was not accepted: " + answer.text());
         }
--- a/src/main/java/org/yuccagw/bench/local/Rehearsal.java
+++ b/src/main/java/org/yuccagw/bench/local/Rehearsal.java
@@ -4,8 +4,8 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.adapters.telemetry.DecisionLog;
@@ -21,7 +21,7 @@
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
 import org.yuccagw.standins.keyvalue.KeyValueStandIn;
 import org.yuccagw.standins.platform.SmallDeployment;
-import org.yuccagw.standins.platform.WillingEndpoint;
+import org.yuccagw.standins.platform.SuccessEndpoint;
 
 /**
  * Starts two entries against a stand-in of the key-value service and sends them some requests, all on loopback.
@@ -55,14 +55,14 @@
     /** Runs it to its end, within seconds. */
     public static void run() throws YuccagwException, IOException, InterruptedException {
         KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
-        HttpCaller caller = HttpCaller.start(1);
+        HttpClient caller = HttpClient.start(1);
         GatewaySettings settings = settings("rehearsal-1", keyValue);
         GatewaySettings otherSettings = settings("rehearsal-2", keyValue);
         listAbsentEntries(keyValue, settings);
         long startedNanos = System.nanoTime();
         GatewayDaemon daemon = GatewayDaemon.start(settings);
         GatewayDaemon other = GatewayDaemon.start(otherSettings);
-        WillingEndpoint endpoint = WillingEndpoint.start();
+        SuccessEndpoint endpoint = SuccessEndpoint.start();
         SmallDeployment deployment = SmallDeployment.at(endpoint.address());
         deployment.publish(keyValue);
         long until = System.nanoTime() + LONGEST_START.toNanos();
@@ -98,7 +98,7 @@
         }
     }
 
-    private static void sendSome(HttpCaller caller, GatewaySettings to) throws InterruptedException {
+    private static void sendSome(HttpClient caller, GatewaySettings to) throws InterruptedException {
         for (int request = 0; request < REQUESTS; request++) {
             status(caller, to.directory(), SmallDeployment.DIRECTORY);
             status(caller, to.callers(), SmallDeployment.PLAIN + request);
@@ -121,13 +121,13 @@
                 SmallDeployment.settings(entry, keyValue.address(), SmallDeployment.freePorts(4)));
     }
 
-    private static int status(HttpCaller caller, NetworkAddress address, String path) throws InterruptedException {
+    private static int status(HttpClient caller, NetworkAddress address, String path) throws InterruptedException {
         return send(caller, SmallDeployment.request(address, path));
     }
 
-    private static int send(HttpCaller caller, HttpQuery query) throws InterruptedException {
+    private static int send(HttpClient caller, HttpQuery query) throws InterruptedException {
         try {
-            HttpAnswer answer = caller.send(query).get(2, TimeUnit.SECONDS);
+            HttpResponse answer = caller.send(query).get(2, TimeUnit.SECONDS);
             return answer.status();
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException ignored) {
             // Not listening yet, or refused: either way the path was taken.
--- a/src/main/java/org/yuccagw/cli/AdminClient.java
+++ b/src/main/java/org/yuccagw/cli/AdminClient.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.concurrent.ExecutionException;
 import javax.net.ssl.SSLContext;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.id.NetworkAddress;
 
@@ -21,9 +21,9 @@
 
     private final NetworkAddress address;
     private final String key;
-    private final HttpCaller caller;
+    private final HttpClient caller;
 
-    private AdminClient(NetworkAddress address, String key, HttpCaller caller) {
+    private AdminClient(NetworkAddress address, String key, HttpClient caller) {
         this.address = address;
         this.key = key;
         this.caller = caller;
@@ -31,7 +31,7 @@
 
     static AdminClient start(NetworkAddress address, String key, Optional<SSLContext> tls) {
         try {
-            HttpCaller caller = tls.isPresent() ? HttpCaller.start(1, tls.get()) : HttpCaller.start(1);
+            HttpClient caller = tls.isPresent() ? HttpClient.start(1, tls.get()) : HttpClient.start(1);
             return new AdminClient(address, key, caller);
         } catch (IOException e) {
             throw CommandFailure.failed("no I/O thread: " + e.getMessage());
@@ -68,7 +68,7 @@
         }
     }
 
-    private HttpAnswer send(HttpQuery query) {
+    private HttpResponse send(HttpQuery query) {
         HttpQuery whole = query.withHeader("Authorization", "Bearer " + key).withTimeouts(CONNECT, SILENCE);
         try {
             return caller.send(whole).get();
@@ -81,7 +81,7 @@
         }
     }
 
-    private static String accepted(HttpAnswer answer) {
+    private static String accepted(HttpResponse answer) {
         if (answer.isSuccess()) {
             return answer.text();
         }
--- a/src/main/java/org/yuccagw/cli/DecisionFiles.java
+++ b/src/main/java/org/yuccagw/cli/DecisionLogReader.java
@@ -10,8 +10,8 @@
 import org.yuccagw.adapters.decisions.DecisionLine;
 
 /** Reads the decisions in files that hold the output of entries. */
-final class DecisionFiles {
-    private DecisionFiles() {}
+final class DecisionLogReader {
+    private DecisionLogReader() {}
 
     /**
      * All decisions of the files; other lines are passed over.
--- a/src/main/java/org/yuccagw/cli/EndpointsCommand.java
+++ b/src/main/java/org/yuccagw/cli/EndpointsCommand.java
@@ -25,7 +25,7 @@
     @Override
     public Integer call() throws YuccagwException {
         try (AdminClient client = admin.connect()) {
-            ViewPrinter.print(spec.commandLine().getOut(), client.get("/admin/endpoints"), "endpoints", json);
+            ListPrinter.print(spec.commandLine().getOut(), client.get("/admin/endpoints"), "endpoints", json);
         }
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/ExplainCommand.java
+++ b/src/main/java/org/yuccagw/cli/ExplainCommand.java
@@ -26,7 +26,7 @@
 
     @Override
     public Integer call() {
-        RequestTimeline timeline = RequestTimeline.of(request, DecisionFiles.read(files));
+        RequestTimeline timeline = RequestTimeline.of(request, DecisionLogReader.read(files));
         if (!timeline.isKnown()) {
             throw CommandFailure.failed("no line of the files is about request " + request);
         }
--- a/src/main/java/org/yuccagw/cli/ViewPrinter.java
+++ b/src/main/java/org/yuccagw/cli/ListPrinter.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /** Prints a list of alike JSON objects as a table, or the whole document as JSON. */
-final class ViewPrinter {
-    private ViewPrinter() {}
+final class ListPrinter {
+    private ListPrinter() {}
 
     /** Prints the objects of the list under {@code field}; the columns are the fields of the first one. */
     static void print(PrintWriter out, JsonNode document, String field, boolean asJson) {
--- a/src/main/java/org/yuccagw/cli/ShardsCommand.java
+++ b/src/main/java/org/yuccagw/cli/ShardsCommand.java
@@ -25,7 +25,7 @@
     @Override
     public Integer call() throws YuccagwException {
         try (AdminClient client = admin.connect()) {
-            ViewPrinter.print(spec.commandLine().getOut(), client.get("/admin/shards"), "shards", json);
+            ListPrinter.print(spec.commandLine().getOut(), client.get("/admin/shards"), "shards", json);
         }
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/StatusCommand.java
+++ b/src/main/java/org/yuccagw/cli/StatusCommand.java
@@ -36,7 +36,7 @@
                 out.println(status.path("entry").asText() + " is " + state + ", catalogue revision "
                         + status.path("revision").asLong());
             }
-            ViewPrinter.print(out, status, "entries", json);
+            ListPrinter.print(out, status, "entries", json);
         }
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/StoresCommand.java
+++ b/src/main/java/org/yuccagw/cli/StoresCommand.java
@@ -25,7 +25,7 @@
     @Override
     public Integer call() throws YuccagwException {
         try (AdminClient client = admin.connect()) {
-            ViewPrinter.print(spec.commandLine().getOut(), client.get("/admin/stores"), "stores", json);
+            ListPrinter.print(spec.commandLine().getOut(), client.get("/admin/stores"), "stores", json);
         }
         return ExitCode.OK;
     }
--- a/src/main/java/org/yuccagw/cli/SummarizeCommand.java
+++ b/src/main/java/org/yuccagw/cli/SummarizeCommand.java
@@ -31,7 +31,7 @@
 
     @Override
     public Integer call() {
-        List<DecisionLine> lines = DecisionFiles.read(files);
+        List<DecisionLine> lines = DecisionLogReader.read(files);
         LogSummary summary = LogSummary.of(lines);
         PromptSummary prompts = PromptSummary.of(lines);
         PrintWriter out = spec.commandLine().getOut();
--- a/src/main/java/org/yuccagw/cli/YuccagwTool.java
+++ b/src/main/java/org/yuccagw/cli/YuccagwTool.java
@@ -33,7 +33,7 @@
             DemoCommand.class,
             DevCommand.class,
             StandInCommand.class,
-            YuccagwTool.Completion.class,
+            YuccagwTool.CompletionRequest.class,
             HelpCommand.class
         },
         exitCodeListHeading = "%nExit codes:%n",
@@ -49,7 +49,7 @@
 
     /** Prints a completion script; {@code source <(yuccagw completion)} puts it to use in bash and zsh. */
     @Command(name = "completion", description = "Prints a script for shell completion: source <(yuccagw completion)")
-    static final class Completion extends GenerateCompletion {}
+    static final class CompletionRequest extends GenerateCompletion {}
 
     /** Runs the command line and ends the process with its exit code. */
     public static void main(String[] arguments) {
--- a/src/main/java/org/yuccagw/client/ClientCall.java
+++ b/src/main/java/org/yuccagw/client/ClientCall.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.adapters.http.SseParser;
@@ -52,10 +52,10 @@
     private static final int OK = 200;
 
     private final ClientSettings settings;
-    private final HttpCaller http;
+    private final HttpClient http;
     private final Directory directory;
     private final RetryPolicy policy;
-    private final Completion completion;
+    private final CompletionRequest completion;
     private final Consumer<String> pieces;
     private final XnioIoThread thread;
     private final CompletableFuture<CompletionAnswer> result = new CompletableFuture<>();
@@ -72,10 +72,10 @@
 
     private ClientCall(
             ClientSettings settings,
-            HttpCaller http,
+            HttpClient http,
             Directory directory,
             RetryPolicy policy,
-            Completion completion,
+            CompletionRequest completion,
             Consumer<String> pieces) {
         this.settings = settings;
         this.http = http;
@@ -88,10 +88,10 @@
 
     static ClientCall of(
             ClientSettings settings,
-            HttpCaller http,
+            HttpClient http,
             Directory directory,
             RetryPolicy policy,
-            Completion completion,
+            CompletionRequest completion,
             Consumer<String> pieces) {
         return new ClientCall(settings, http, directory, policy, completion, pieces);
     }
--- a/src/main/java/org/yuccagw/client/Completion.java
+++ b/src/main/java/org/yuccagw/client/CompletionRequest.java
@@ -11,21 +11,21 @@
  * @param model name of the service
  * @param key present when it must run at most once; keep it to ask again after a crash of your own
  */
-public record Completion(String model, String prompt, int maxTokens, Optional<IdempotencyKey> key) {
+public record CompletionRequest(String model, String prompt, int maxTokens, Optional<IdempotencyKey> key) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int USUAL_MAX_TOKENS = 256;
 
-    public static Completion of(String model, String prompt) {
-        return new Completion(model, prompt, USUAL_MAX_TOKENS, Optional.empty());
+    public static CompletionRequest of(String model, String prompt) {
+        return new CompletionRequest(model, prompt, USUAL_MAX_TOKENS, Optional.empty());
     }
 
-    public Completion withMaxTokens(int most) {
-        return new Completion(model, prompt, most, key);
+    public CompletionRequest withMaxTokens(int most) {
+        return new CompletionRequest(model, prompt, most, key);
     }
 
     /** The same prompt, to run at most once under this key. */
-    public Completion once(IdempotencyKey newKey) {
-        return new Completion(model, prompt, maxTokens, Optional.of(newKey));
+    public CompletionRequest once(IdempotencyKey newKey) {
+        return new CompletionRequest(model, prompt, maxTokens, Optional.of(newKey));
     }
 
     ObjectNode toJson() {
--- a/src/main/java/org/yuccagw/client/Directory.java
+++ b/src/main/java/org/yuccagw/client/Directory.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.id.NetworkAddress;
 
@@ -26,13 +26,13 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(2);
 
-    private final HttpCaller http;
+    private final HttpClient http;
     private final ClientSettings settings;
     private volatile Known known = new Known(List.of(), 0);
 
     private record Known(List<NetworkAddress> entries, long validUntilNanos) {}
 
-    Directory(HttpCaller http, ClientSettings settings) {
+    Directory(HttpClient http, ClientSettings settings) {
         this.http = http;
         this.settings = settings;
     }
@@ -68,7 +68,7 @@
                 .thenCompose(taken -> taken ? CompletableFuture.completedFuture(known.entries()) : ask(candidates));
     }
 
-    private boolean take(HttpAnswer answer) {
+    private boolean take(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return false;
         }
--- a/src/main/java/org/yuccagw/client/YuccagwClient.java
+++ b/src/main/java/org/yuccagw/client/YuccagwClient.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.IdempotencyKey;
@@ -15,11 +15,11 @@
     private static final int IO_THREADS = 2;
 
     private final ClientSettings settings;
-    private final HttpCaller http;
+    private final HttpClient http;
     private final Directory directory;
     private final RetryPolicy policy = RetryPolicy.defaults();
 
-    private YuccagwClient(ClientSettings settings, HttpCaller http) {
+    private YuccagwClient(ClientSettings settings, HttpClient http) {
         this.settings = settings;
         this.http = http;
         this.directory = new Directory(http, settings);
@@ -27,7 +27,7 @@
 
     /** Makes a client with I/O threads of its own; {@link #stop} ends them. */
     public static YuccagwClient start(ClientSettings settings) throws IOException {
-        return new YuccagwClient(settings, HttpCaller.start(IO_THREADS));
+        return new YuccagwClient(settings, HttpClient.start(IO_THREADS));
     }
 
     public void stop() {
@@ -45,7 +45,7 @@
      * @param pieces gets each piece of text once, in order, as it comes
      * @throws YuccagwException the final error; its kind tells whether the request ran and who may send it again
      */
-    public CompletionAnswer complete(Completion completion, Consumer<String> pieces) throws YuccagwException {
+    public CompletionAnswer complete(CompletionRequest completion, Consumer<String> pieces) throws YuccagwException {
         try {
             return begin(completion, pieces).get();
         } catch (ExecutionException e) {
@@ -60,7 +60,7 @@
     }
 
     /** Begins to complete a prompt; the future fails with a {@link YuccagwException}. */
-    public CompletableFuture<CompletionAnswer> begin(Completion completion, Consumer<String> pieces) {
+    public CompletableFuture<CompletionAnswer> begin(CompletionRequest completion, Consumer<String> pieces) {
         ClientCall call = ClientCall.of(settings, http, directory, policy, completion, pieces);
         return call.begin();
     }
--- a/src/main/java/org/yuccagw/client/package-info.java
+++ b/src/main/java/org/yuccagw/client/package-info.java
@@ -4,7 +4,7 @@
  *
  * <pre>{@code
  * YuccagwClient client = YuccagwClient.start(ClientSettings.of(List.of(NetworkAddress.parse("10.0.0.7:8080")), "KEY"));
- * CompletionAnswer answer = client.complete(Completion.of("assistant", "Explain cell 7:\n..."), System.out::print);
+ * CompletionAnswer answer = client.complete(CompletionRequest.of("assistant", "Explain cell 7:\n..."), System.out::print);
  * client.stop();
  * }</pre>
  */
--- a/src/main/java/org/yuccagw/core/deployment/Regions.java
+++ b/src/main/java/org/yuccagw/core/deployment/DomainRegions.java
@@ -10,9 +10,9 @@
  *
  * @param byDomain empty where the settings don't tell
  */
-public record Regions(ImmutableMap<FailureDomain, Region> byDomain) {
+public record DomainRegions(ImmutableMap<FailureDomain, Region> byDomain) {
     /** Nothing is known of regions. */
-    public static final Regions UNKNOWN = new Regions(ImmutableMap.of());
+    public static final DomainRegions UNKNOWN = new DomainRegions(ImmutableMap.of());
 
     public Optional<Region> of(FailureDomain domain) {
         return Optional.ofNullable(byDomain.get(domain));
--- a/src/main/java/org/yuccagw/core/deployment/Homes.java
+++ b/src/main/java/org/yuccagw/core/deployment/PermittedRegions.java
@@ -13,31 +13,31 @@
  * <p>A route may have homes, and so may a workspace. Where both have some, both bind: {@code north, south} and {@code
  * south, east} leave {@code south}; {@code north} and {@code south} leave nothing, and such a request can't be served.
  */
-public final class Homes {
+public final class PermittedRegions {
     /** No region is excluded. */
-    public static final Homes ANYWHERE = new Homes(Optional.empty());
+    public static final PermittedRegions ANYWHERE = new PermittedRegions(Optional.empty());
 
     private final Optional<ImmutableSet<Region>> regions;
 
-    private Homes(Optional<ImmutableSet<Region>> regions) {
+    private PermittedRegions(Optional<ImmutableSet<Region>> regions) {
         this.regions = regions;
     }
 
     /** Only these; none at all means anywhere. */
-    public static Homes in(Iterable<Region> regions) {
+    public static PermittedRegions in(Iterable<Region> regions) {
         ImmutableSet<Region> named = ImmutableSet.copyOf(regions);
-        return named.isEmpty() ? ANYWHERE : new Homes(Optional.of(named));
+        return named.isEmpty() ? ANYWHERE : new PermittedRegions(Optional.of(named));
     }
 
     /** What both allow. */
-    public Homes and(Homes other) {
+    public PermittedRegions and(PermittedRegions other) {
         if (!isBinding()) {
             return other;
         }
         if (!other.isBinding()) {
             return this;
         }
-        return new Homes(Optional.of(
+        return new PermittedRegions(Optional.of(
                 Sets.intersection(regions.get(), other.regions.get()).immutableCopy()));
     }
 
@@ -61,7 +61,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Homes that && regions.equals(that.regions);
+        return other instanceof PermittedRegions that && regions.equals(that.regions);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/core/deployment/Route.java
+++ b/src/main/java/org/yuccagw/core/deployment/Route.java
@@ -33,7 +33,7 @@
         boolean open,
         boolean affine,
         boolean resumable,
-        Homes homes) {
+        PermittedRegions homes) {
 
     /** Whether a request may run again although it may have run before. */
     public boolean repeatable() {
--- a/src/main/java/org/yuccagw/core/deployment/WorkspaceAccess.java
+++ b/src/main/java/org/yuccagw/core/deployment/WorkspaceAccess.java
@@ -13,4 +13,4 @@
  * @param homes where its requests may be served
  */
 public record WorkspaceAccess(
-        WorkspaceId id, ImmutableSet<String> keys, OptionalInt priority, boolean isolated, Homes homes) {}
+        WorkspaceId id, ImmutableSet<String> keys, OptionalInt priority, boolean isolated, PermittedRegions homes) {}
--- a/src/main/java/org/yuccagw/core/peers/DirectoryChoice.java
+++ b/src/main/java/org/yuccagw/core/peers/DirectoryChoice.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import java.util.List;
 import java.util.Optional;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.fleet.EntryContact;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.Region;
@@ -38,7 +38,7 @@
      * @param random any number, which must differ between answers
      */
     public static List<EntryContact> choose(
-            List<EntryContact> serving, Optional<FailureDomain> domain, Regions regions, int random) {
+            List<EntryContact> serving, Optional<FailureDomain> domain, DomainRegions regions, int random) {
         List<EntryContact> candidates = inRegion(serving, domain.flatMap(regions::of), regions);
         List<EntryContact> inOwnDomain = inDomain(candidates, domain);
         if (inOwnDomain.size() >= MIN_ENTRIES) {
@@ -53,7 +53,7 @@
         return ImmutableList.of(inOwnDomain.get(0), others.get(Math.floorMod(random, others.size())));
     }
 
-    private static List<EntryContact> inRegion(List<EntryContact> serving, Optional<Region> region, Regions regions) {
+    private static List<EntryContact> inRegion(List<EntryContact> serving, Optional<Region> region, DomainRegions regions) {
         List<EntryContact> inRegion = serving.stream()
                 .filter(entry ->
                         region.isPresent() && regions.of(entry.domain()).equals(region))
--- a/src/main/java/org/yuccagw/core/placing/Candidates.java
+++ b/src/main/java/org/yuccagw/core/placing/Candidates.java
@@ -14,8 +14,8 @@
 import org.yuccagw.core.deployment.BackEndService;
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Homes;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.PermittedRegions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.duty.WeightOrdersComponent;
 import org.yuccagw.core.fleet.ListedEndpoint;
 import org.yuccagw.core.follow.NamedWeightsComponent;
@@ -35,7 +35,7 @@
 
     private final EndpointTable endpoints;
     private final ColdEndpointLimit coldLimit;
-    private final Regions regions;
+    private final DomainRegions regions;
     private final NamedWeightsComponent weights;
     private final RateLimitsComponent rateLimits;
     private final NoticesComponent notices;
@@ -56,7 +56,7 @@
     Candidates(
             EndpointTable endpoints,
             ColdEndpointLimit coldLimit,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             EndpointConstraints constraints,
             PlacementComponent.Fleet fleet,
@@ -101,7 +101,7 @@
      */
     List<EndpointState> forRequest(PlacementRequest request) {
         long now = context.nowNanos();
-        Homes homes = request.homes();
+        PermittedRegions homes = request.homes();
         List<EndpointState> ready = new ArrayList<>();
         List<EndpointState> full = new ArrayList<>();
         List<EndpointState> unreached = new ArrayList<>();
@@ -131,7 +131,7 @@
      * homes.
      */
     boolean isUnservable(PlacementRequest request) {
-        Homes homes = request.homes();
+        PermittedRegions homes = request.homes();
         if (homes.isBinding()
                 && usable(request.service())
                         .noneMatch(each -> isIn(homes, each.listed().domain()))) {
@@ -233,7 +233,7 @@
         return coldLimit.allows(endpoint, coldTraits(endpoint.listed().service()), shares, now);
     }
 
-    private boolean isEligible(EndpointState endpoint, PlacementRequest request, Homes homes) {
+    private boolean isEligible(EndpointState endpoint, PlacementRequest request, PermittedRegions homes) {
         return endpoint.listed().service().equals(request.service())
                 && endpoint.isUsable(context.nowNanos())
                 && isIn(homes, endpoint.listed().domain())
@@ -257,7 +257,7 @@
         return outdatedFor.compareTo(weights.oldWeightsAllowed().minus(OUTDATED_WEIGHTS_MARGIN)) < 0;
     }
 
-    private boolean isIn(Homes homes, FailureDomain domain) {
+    private boolean isIn(PermittedRegions homes, FailureDomain domain) {
         return homes.allow(regions.of(domain));
     }
 }
--- a/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementComponent.java
@@ -17,8 +17,8 @@
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.PermittedRegions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.ListedEndpoint;
@@ -74,7 +74,7 @@
 
     private final RetryBounds retryBounds;
     private final Candidates candidates;
-    private final Regions regions;
+    private final DomainRegions regions;
     private final NamedWeightsComponent weights;
     private final StoresComponent stores;
     private final RateLimitsComponent rateLimits;
@@ -124,7 +124,7 @@
 
     private PlacementComponent(
             PlacementBounds bounds,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             StoresComponent stores,
             EngineCachesComponent caches,
@@ -165,7 +165,7 @@
      */
     public static PlacementComponent of(
             PlacementBounds bounds,
-            Regions regions,
+            DomainRegions regions,
             NamedWeightsComponent weights,
             StoresComponent stores,
             EngineCachesComponent caches,
@@ -541,7 +541,7 @@
             return Optional.empty();
         }
         int heldParts = planner.heldParts(request, endpoint);
-        Homes homes = request.homes();
+        PermittedRegions homes = request.homes();
         FailureDomain domain = endpoint.listed().domain();
         return stores.plan(
                 request.prompt().get(),
--- a/src/main/java/org/yuccagw/core/placing/PlacementRequest.java
+++ b/src/main/java/org/yuccagw/core/placing/PlacementRequest.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.yuccagw.core.control.ControlEvent;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.id.EndpointId;
@@ -65,8 +65,8 @@
     }
 
     /** Returns the regions in which the request may be served, by its route and its workspace. */
-    Homes homes() {
-        return route.homes().and(workspace.map(WorkspaceAccess::homes).orElse(Homes.ANYWHERE));
+    PermittedRegions homes() {
+        return route.homes().and(workspace.map(WorkspaceAccess::homes).orElse(PermittedRegions.ANYWHERE));
     }
 
     boolean isRetry() {
--- a/src/main/java/org/yuccagw/core/stores/CacheSalt.java
+++ b/src/main/java/org/yuccagw/core/stores/CacheSalt.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 
 /**
@@ -26,7 +26,7 @@
      *
      * @param homes of the prompt, by its route and its workspace
      */
-    public static String of(Optional<WorkspaceAccess> workspace, Homes homes, long version) {
+    public static String of(Optional<WorkspaceAccess> workspace, PermittedRegions homes, long version) {
         boolean isolated = workspace.map(WorkspaceAccess::isolated).orElse(false);
         String owner = isolated ? "w" + SEPARATOR + workspace.get().id() : "s";
         String bound = homes.isBinding() ? SEPARATOR + "@" + homes.name() : "";
--- a/src/main/java/org/yuccagw/daemon/ControlInputs.java
+++ b/src/main/java/org/yuccagw/daemon/DeferredControlInput.java
@@ -4,7 +4,7 @@
 import org.yuccagw.core.control.ControlInput;
 
 /** The way into the control core for adapters that must exist before its runner does. */
-final class ControlInputs implements ControlInput {
+final class DeferredControlInput implements ControlInput {
     private volatile ControlInput runner;
 
     void connect(ControlInput connected) {
--- a/src/main/java/org/yuccagw/daemon/EntryDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/EntryDaemon.java
@@ -15,17 +15,17 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.yuccagw.adapters.admin.AdminServer;
-import org.yuccagw.adapters.cache.CacheActions;
+import org.yuccagw.adapters.cache.CacheCommandHandler;
 import org.yuccagw.adapters.cache.ImportClient;
 import org.yuccagw.adapters.caller.CallerServer;
 import org.yuccagw.adapters.caller.CallerServices;
-import org.yuccagw.adapters.caller.Importer;
-import org.yuccagw.adapters.caller.RetryGate;
+import org.yuccagw.adapters.caller.BlockImporter;
+import org.yuccagw.adapters.caller.RetryDecider;
 import org.yuccagw.adapters.caller.RunRegistry;
 import org.yuccagw.adapters.control.ControlRunner;
 import org.yuccagw.adapters.endpoint.OrderSender;
 import org.yuccagw.adapters.endpoint.PlatformPoller;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.peer.PeerTransport;
 import org.yuccagw.adapters.settings.EntrySettings;
 import org.yuccagw.adapters.telemetry.Metrics;
@@ -61,12 +61,12 @@
     private final ControlRunner control;
     private final PeerTransport peers;
     private final XnioWorker worker;
-    private final HttpCaller traffic;
-    private final HttpCaller otherEntries;
-    private final HttpCaller platform;
+    private final HttpClient traffic;
+    private final HttpClient otherEntries;
+    private final HttpClient platform;
     private final CallerServer callers;
     private final AdminServer admin;
-    private final EntrySecurity security;
+    private final EntryTls security;
     private final Traces traces;
     private final RunRegistry runs;
     private final CountDownLatch end = new CountDownLatch(1);
@@ -74,17 +74,17 @@
 
     private EntryDaemon(EntrySettings settings) throws YuccagwException, IOException {
         self = identity(settings);
-        security = EntrySecurity.start(settings);
+        security = EntryTls.start(settings);
         traces = Traces.start(settings);
         Metrics metrics = Metrics.create();
         runs = RunRegistry.create();
         worker = makeWorker();
-        traffic = HttpCaller.on(worker);
+        traffic = HttpClient.on(worker);
         otherEntries = toOtherEntries(settings);
-        platform = HttpCaller.start(CONTROL_IO_THREADS);
+        platform = HttpClient.start(CONTROL_IO_THREADS);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
         ControlComponents components = ControlComponents.of(self);
-        ControlInputs inputs = new ControlInputs();
+        DeferredControlInput inputs = new DeferredControlInput();
         ImportClient imports = ImportClient.of(platform, inputs);
         peers = PeerTransport.of(self, components.codec(), this::peerAddress, inputs::offer, security.peers());
         control = ControlRunner.of(
@@ -94,7 +94,7 @@
                 List.of(
                         PlatformPoller.of(platform, settings.vmList()),
                         OrderSender.of(platform, System::nanoTime),
-                        CacheActions.of(platform, imports)));
+                        CacheCommandHandler.of(platform, imports)));
         inputs.connect(control);
         peers.start();
         control.start();
@@ -109,12 +109,12 @@
                         endpoint,
                         plan,
                         version,
-                        arrived -> done.accept(new Importer.Outcome(arrived.blocks(), arrived.bytes()))),
-                RetryGate.of(RetryPolicy.defaults(), this::systemLimits),
+                        arrived -> done.accept(new BlockImporter.Outcome(arrived.blocks(), arrived.bytes()))),
+                RetryDecider.of(RetryPolicy.defaults(), this::systemLimits),
                 traces.tracer(),
                 new EntryMetrics(metrics),
                 runs);
-        callers = CallerServer.start(services, worker, security.caller(), new PrefetchHints());
+        callers = CallerServer.start(services, worker, security.caller(), new PrefetchEventFactory());
         admin = AdminServer.start(settings, security.admin(), control::snapshot, control, metrics, traces, this::drain);
         addGauges(metrics, keyValue);
         tellLoad();
@@ -202,9 +202,9 @@
         security.stop();
     }
 
-    private HttpCaller toOtherEntries(EntrySettings settings) throws YuccagwException {
+    private HttpClient toOtherEntries(EntrySettings settings) throws YuccagwException {
         return settings.callerTls().isPresent()
-                ? HttpCaller.on(
+                ? HttpClient.on(
                         worker,
                         ReloadingTls.clientContext(settings.callerTls().get().trusted()))
                 : traffic;
--- a/src/main/java/org/yuccagw/daemon/EntrySecurity.java
+++ b/src/main/java/org/yuccagw/daemon/EntryTls.java
@@ -13,21 +13,21 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /** The certificates of the three addresses, as far as the settings name any. */
-final class EntrySecurity {
+final class EntryTls {
     private final List<ReloadingTls> started = new ArrayList<>();
     private final Optional<SSLContext> caller;
     private final Optional<SSLContext> admin;
     private final PeerSecurity peers;
 
-    private EntrySecurity(EntrySettings settings) throws YuccagwException {
+    private EntryTls(EntrySettings settings) throws YuccagwException {
         caller = context(settings.callerTls());
         admin = context(settings.adminTls());
         Optional<SSLContext> peer = context(settings.peerTls());
-        peers = new PeerSecurity(peer.map(EntrySecurity::serverSide), peer.map(EntrySecurity::clientSide));
+        peers = new PeerSecurity(peer.map(EntryTls::serverSide), peer.map(EntryTls::clientSide));
     }
 
-    static EntrySecurity start(EntrySettings settings) throws YuccagwException {
-        return new EntrySecurity(settings);
+    static EntryTls start(EntrySettings settings) throws YuccagwException {
+        return new EntryTls(settings);
     }
 
     void stop() {
--- a/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayDaemon.java
@@ -11,9 +11,9 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import org.yuccagw.adapters.control.ControlRunner;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.peer.PeerTransport;
-import org.yuccagw.adapters.serving.RunCount;
+import org.yuccagw.adapters.serving.ActiveRequests;
 import org.yuccagw.adapters.serving.ServingServer;
 import org.yuccagw.adapters.serving.ServingServices;
 import org.yuccagw.adapters.settings.GatewaySettings;
@@ -27,11 +27,11 @@
 import org.yuccagw.core.notice.NoticesSnapshot;
 import org.yuccagw.core.peers.PeersSnapshot;
 import org.yuccagw.core.ratelimit.RateLimitsSnapshot;
-import org.yuccagw.platform.EngineCaller;
+import org.yuccagw.platform.EngineClient;
 import org.yuccagw.platform.KeyValueClient;
-import org.yuccagw.platform.PlatformDialect;
+import org.yuccagw.platform.PlatformWireProtocol;
 import org.yuccagw.platform.PlatformRecords;
-import org.yuccagw.platform.StoreCaller;
+import org.yuccagw.platform.StoreClient;
 
 /**
  * One entry on the users' platform: the control thread with its core, one I/O thread for traffic, and the addresses for
@@ -58,10 +58,10 @@
     private final GatewaySettings settings;
     private final EntryIdentity self;
     private final DecisionLog decisions = DecisionLog.start();
-    private final RunCount runs = RunCount.create();
+    private final ActiveRequests runs = ActiveRequests.create();
     private final XnioWorker worker;
-    private final HttpCaller traffic;
-    private final HttpCaller platform;
+    private final HttpClient traffic;
+    private final HttpClient platform;
     private final PeerTransport peers;
     private final ControlRunner control;
     private final ServingServer server;
@@ -80,11 +80,11 @@
                 settings.capacity());
         Metrics metrics = Metrics.create();
         worker = makeWorker();
-        traffic = HttpCaller.on(worker);
-        platform = HttpCaller.on(worker);
+        traffic = HttpClient.on(worker);
+        platform = HttpClient.on(worker);
         KeyValueClient keyValue = KeyValueClient.of(platform, settings.keyValueService());
         GatewayComponents components = GatewayComponents.of(settings, PlatformRecords.create());
-        ControlInputs inputs = new ControlInputs();
+        DeferredControlInput inputs = new DeferredControlInput();
         peers = PeerTransport.of(
                 self,
                 GatewayComponents.codec(),
@@ -97,8 +97,8 @@
                 peers,
                 List.of(
                         decisions,
-                        EngineCaller.of(platform, settings.entry(), System::nanoTime),
-                        StoreCaller.of(platform)));
+                        EngineClient.of(platform, settings.entry(), System::nanoTime),
+                        StoreClient.of(platform)));
         inputs.connect(control);
         peers.start();
         control.start();
@@ -107,7 +107,7 @@
                         control::snapshot,
                         control,
                         traffic,
-                        PlatformDialect.create(),
+                        PlatformWireProtocol.create(),
                         decisions,
                         metrics,
                         settings.domain(),
--- a/src/main/java/org/yuccagw/daemon/PrefetchHints.java
+++ b/src/main/java/org/yuccagw/daemon/PrefetchEventFactory.java
@@ -1,7 +1,7 @@
 package org.yuccagw.daemon;
 
 import org.yuccagw.adapters.caller.CallerServer.Prefetcher;
-import org.yuccagw.adapters.engine.EngineBody;
+import org.yuccagw.adapters.engine.CompletionBody;
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.PrefetchRequested;
 import org.yuccagw.core.cache.PromptScope;
@@ -11,9 +11,9 @@
 import org.yuccagw.core.control.ControlEvent;
 
 /** Makes the event for a caller's hint that a prompt will be asked for soon. */
-final class PrefetchHints implements Prefetcher {
+final class PrefetchEventFactory implements Prefetcher {
     @Override
-    public ControlEvent prefetch(Workspace workspace, Service service, EngineBody body) {
+    public ControlEvent prefetch(Workspace workspace, Service service, CompletionBody body) {
         ModelSettings model = service.model().orElseThrow();
         String className = service.className().isBlank() ? workspace.className() : service.className();
         String salt = BlockChain.salt(
--- a/src/main/java/org/yuccagw/platform/CallerHeads.java
+++ b/src/main/java/org/yuccagw/platform/CallerHeadReader.java
@@ -29,7 +29,7 @@
  * for us and at another for the endpoint, and what lies between runs as a request that nobody sent. Such a head is
  * refused and its connection closed. A doubled request id or key is refused for the same reason.
  */
-final class CallerHeads {
+final class CallerHeadReader {
     private static final String BEARER = "bearer ";
     private static final String CHUNKED = "chunked";
     private static final Splitter COMMA = Splitter.on(',').trimResults().omitEmptyStrings();
@@ -81,7 +81,7 @@
             "Host",
             "Content-Type");
 
-    private CallerHeads() {}
+    private CallerHeadReader() {}
 
     /**
      * Reads a head.
@@ -96,13 +96,13 @@
                         .filter(id -> !id.isBlank())
                         .orElseThrow(() -> ErrorKind.MALFORMED_HEAD.raise("has no request id"))),
                 single(headers, "Host").orElse(""),
-                single(headers, "Authorization").flatMap(CallerHeads::bearerKey),
+                single(headers, "Authorization").flatMap(CallerHeadReader::bearerKey),
                 single(headers, PlatformNames.DEADLINE)
-                        .flatMap(CallerHeads::number)
+                        .flatMap(CallerHeadReader::number)
                         .map(Duration::ofMillis),
                 readPrompt(headers),
                 single(headers, PlatformNames.LAST_EVENT)
-                        .flatMap(CallerHeads::number)
+                        .flatMap(CallerHeadReader::number)
                         .orElse(ForwardRequest.FROM_START),
                 forwarded(headers));
     }
@@ -167,7 +167,7 @@
         }
         long most = counts.size() < 2 ? 0 : number(counts.get(1)).orElse(0L);
         long expected = single(headers, PlatformNames.LENGTH_HINT)
-                .flatMap(CallerHeads::number)
+                .flatMap(CallerHeadReader::number)
                 .orElse(most);
         return Optional.of(new PromptShape(
                 model.get(),
--- a/src/main/java/org/yuccagw/platform/DeploymentReader.java
+++ b/src/main/java/org/yuccagw/platform/DeploymentReader.java
@@ -13,7 +13,7 @@
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
@@ -152,10 +152,10 @@
                 readHomes(workspace));
     }
 
-    private static Homes readHomes(JsonNode object) {
+    private static PermittedRegions readHomes(JsonNode object) {
         List<Region> regions = new ArrayList<>();
         object.path("allowedRegions").forEach(region -> regions.add(Region.of(region.asText())));
-        return Homes.in(regions);
+        return PermittedRegions.in(regions);
     }
 
     private static RequestLimits readLimits(JsonNode limits) {
--- a/src/main/java/org/yuccagw/platform/EndpointHeads.java
+++ b/src/main/java/org/yuccagw/platform/EndpointHeaders.java
@@ -19,7 +19,7 @@
 import org.yuccagw.core.stores.CachePlan;
 
 /** Heads of requests to endpoints and of their answers. */
-final class EndpointHeads {
+final class EndpointHeaders {
     private static final int LEAST_URGENT = 9;
     private static final String NO_ADDRESS = "-";
     private static final ImmutableSet<HttpString> OF_THE_CONNECTION = ImmutableSet.of(
@@ -30,7 +30,7 @@
             Headers.TRANSFER_ENCODING,
             Headers.UPGRADE);
 
-    private EndpointHeads() {}
+    private EndpointHeaders() {}
 
     /** The head of one attempt: what the caller sent and what is ours to say. */
     static HeaderMap request(
@@ -94,7 +94,7 @@
                 headers.contains(Headers.CONTENT_ENCODING),
                 framed,
                 number(headers.getFirst(PlatformNames.VERSION_RUN)),
-                EndpointNotices.read(status, headers));
+                EndpointNoticeReader.read(status, headers));
     }
 
     /** The endpoint's headers that go on to the caller. */
--- a/src/main/java/org/yuccagw/platform/EndpointNotices.java
+++ b/src/main/java/org/yuccagw/platform/EndpointNoticeReader.java
@@ -6,14 +6,14 @@
 import io.undertow.util.HeaderValues;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
 import org.yuccagw.core.notice.NoticeReceived;
 import org.yuccagw.core.notice.RateLimit;
 
 /** What heads of answers say of the endpoint. */
-final class EndpointNotices {
+final class EndpointNoticeReader {
     private static final int TOO_MANY = 429;
     private static final int UNAVAILABLE = 503;
     private static final String YES = "1";
@@ -27,7 +27,7 @@
             PlatformNames.RATE_LIMIT,
             PlatformNames.LEAVING);
 
-    private EndpointNotices() {}
+    private EndpointNoticeReader() {}
 
     static EndpointNotice read(int status, HeaderMap headers) {
         boolean turnsAway = status == UNAVAILABLE || status == TOO_MANY;
@@ -41,7 +41,7 @@
     }
 
     /** What the answer to a call of this entry says of the endpoint; empty if nothing, or if another one answered. */
-    static Optional<NoticeReceived> heard(EndpointIncarnation endpoint, HttpAnswer answer) {
+    static Optional<NoticeReceived> heard(EndpointIncarnation endpoint, HttpResponse answer) {
         String from = text(answer.headers(), PlatformNames.ENDPOINT_ID);
         boolean foreign = !from.isEmpty() && !from.equals(endpoint.endpoint().value());
         EndpointNotice notice = read(answer.status(), answer.headers());
--- a/src/main/java/org/yuccagw/platform/EngineCaller.java
+++ b/src/main/java/org/yuccagw/platform/EngineClient.java
@@ -5,8 +5,8 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.LongSupplier;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.control.ActionHandler;
@@ -24,24 +24,24 @@
  * <p>The time of the lease is looked at on the I/O thread as the last thing before an order leaves: a process that
  * stood still between the decision and the sending must not order beside the next holder.
  */
-public final class EngineCaller implements ActionHandler {
+public final class EngineClient implements ActionHandler {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(900);
     /** Running requests go on with the newer weights. */
     private static final String UNDER_RUNNING_REQUESTS = "retain";
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final EntryId self;
     private final LongSupplier nanoTime;
 
-    private EngineCaller(HttpCaller caller, EntryId self, LongSupplier nanoTime) {
+    private EngineClient(HttpClient caller, EntryId self, LongSupplier nanoTime) {
         this.caller = caller;
         this.self = self;
         this.nanoTime = nanoTime;
     }
 
-    public static EngineCaller of(HttpCaller caller, EntryId self, LongSupplier nanoTime) {
-        return new EngineCaller(caller, self, nanoTime);
+    public static EngineClient of(HttpClient caller, EntryId self, LongSupplier nanoTime) {
+        return new EngineClient(caller, self, nanoTime);
     }
 
     @Override
@@ -66,7 +66,7 @@
         });
     }
 
-    private static Optional<EngineState> readState(HttpAnswer answer) {
+    private static Optional<EngineState> readState(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return Optional.empty();
         }
@@ -92,9 +92,9 @@
         });
     }
 
-    private static void hearNotice(EngineCall call, HttpAnswer answer, ControlInput input) {
+    private static void hearNotice(EngineCall call, HttpResponse answer, ControlInput input) {
         if (answer != null) {
-            EndpointNotices.heard(call.endpoint().incarnation(), answer).ifPresent(input::offer);
+            EndpointNoticeReader.heard(call.endpoint().incarnation(), answer).ifPresent(input::offer);
         }
     }
 
--- a/src/main/java/org/yuccagw/platform/EntryPages.java
+++ b/src/main/java/org/yuccagw/platform/EntryResources.java
@@ -8,8 +8,8 @@
 import org.yuccagw.core.fleet.EntryContact;
 
 /** What callers and the platform ask of an entry itself. */
-final class EntryPages {
-    private EntryPages() {}
+final class EntryResources {
+    private EntryResources() {}
 
     static boolean isReadiness(String path) {
         return path.equals(PlatformNames.READY_PATH);
--- a/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
+++ b/src/main/java/org/yuccagw/platform/GatewaySettingsReader.java
@@ -11,7 +11,7 @@
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.adapters.settings.StrictObject;
 import org.yuccagw.core.control.EntryIdentity;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.EntryId;
@@ -92,16 +92,16 @@
                 root.optionalText("log_level").orElse("info"));
     }
 
-    private static Regions readRegions(StrictObject told) throws YuccagwException {
+    private static DomainRegions readRegions(StrictObject told) throws YuccagwException {
         if (!told.has("zones")) {
-            return Regions.UNKNOWN;
+            return DomainRegions.UNKNOWN;
         }
         StrictObject zones = told.objectWithAnyFields("zones");
         ImmutableMap.Builder<FailureDomain, Region> regions = ImmutableMap.builder();
         for (String name : zones.fieldNames()) {
             regions.put(FailureDomain.of(name), Region.of(zones.text(name)));
         }
-        return new Regions(regions.buildOrThrow());
+        return new DomainRegions(regions.buildOrThrow());
     }
 
     /**
--- a/src/main/java/org/yuccagw/platform/KeyValueClient.java
+++ b/src/main/java/org/yuccagw/platform/KeyValueClient.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.adapters.http.JsonText;
@@ -48,19 +48,19 @@
     private static final int TOO_LARGE = 413;
     private static final int OVER_RATE = 429;
     private static final int UNAVAILABLE = 503;
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final NetworkAddress address;
     private final CircuitBreaker breaker = new CircuitBreaker();
     private final CallBudget budget = CallBudget.of(CALLS_PER_SECOND);
     private final LongAdder sent = new LongAdder();
     private final LongAdder refusedHere = new LongAdder();
 
-    private KeyValueClient(HttpCaller caller, NetworkAddress address) {
+    private KeyValueClient(HttpClient caller, NetworkAddress address) {
         this.caller = caller;
         this.address = address;
     }
 
-    public static KeyValueClient of(HttpCaller caller, NetworkAddress address) {
+    public static KeyValueClient of(HttpClient caller, NetworkAddress address) {
         return new KeyValueClient(caller, address);
     }
 
--- a/src/main/java/org/yuccagw/platform/PlatformDialect.java
+++ b/src/main/java/org/yuccagw/platform/PlatformWireProtocol.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.yuccagw.adapters.serving.CallerHead;
-import org.yuccagw.adapters.serving.Dialect;
+import org.yuccagw.adapters.serving.WireProtocol;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.fleet.EntryContact;
@@ -15,16 +15,16 @@
 import org.yuccagw.core.placing.PlacementDecision;
 
 /** How callers and endpoints of the platform spell requests and answers. */
-public final class PlatformDialect implements Dialect {
-    private PlatformDialect() {}
+public final class PlatformWireProtocol implements WireProtocol {
+    private PlatformWireProtocol() {}
 
-    public static PlatformDialect create() {
-        return new PlatformDialect();
+    public static PlatformWireProtocol create() {
+        return new PlatformWireProtocol();
     }
 
     @Override
     public CallerHead readHead(HeaderMap headers) throws YuccagwException {
-        return CallerHeads.read(headers);
+        return CallerHeadReader.read(headers);
     }
 
     @Override
@@ -34,41 +34,41 @@
             PlacementDecision.Placed placed,
             Duration left,
             long afterEvent) {
-        return EndpointHeads.request(head, workspace, placed, left, afterEvent);
+        return EndpointHeaders.request(head, workspace, placed, left, afterEvent);
     }
 
     @Override
     public EndpointAnswerHead readAnswer(int status, HeaderMap headers, RequestId request, EndpointId expected) {
-        return EndpointHeads.answer(status, headers, request, expected);
+        return EndpointHeaders.answer(status, headers, request, expected);
     }
 
     @Override
     public HeaderMap answerHeaders(HeaderMap endpointHeaders) {
-        return EndpointHeads.forwarded(endpointHeaders);
+        return EndpointHeaders.forwarded(endpointHeaders);
     }
 
     @Override
     public String retryAfter(Duration wait) {
-        return EndpointHeads.retryAfter(wait);
+        return EndpointHeaders.retryAfter(wait);
     }
 
     @Override
     public boolean isReadiness(String path) {
-        return EntryPages.isReadiness(path);
+        return EntryResources.isReadiness(path);
     }
 
     @Override
     public boolean isDirectory(String path) {
-        return EntryPages.isDirectory(path);
+        return EntryResources.isDirectory(path);
     }
 
     @Override
     public String domainParameter() {
-        return EntryPages.domainParameter();
+        return EntryResources.domainParameter();
     }
 
     @Override
     public String directory(List<EntryContact> entries, Duration timeToLive) {
-        return EntryPages.directory(entries, timeToLive);
+        return EntryResources.directory(entries, timeToLive);
     }
 }
--- a/src/main/java/org/yuccagw/platform/StoreCaller.java
+++ b/src/main/java/org/yuccagw/platform/StoreClient.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.Optional;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.JsonText;
 import org.yuccagw.core.control.ActionHandler;
@@ -23,18 +23,18 @@
 import org.yuccagw.core.stores.StoreCall;
 
 /** Asks cache stores for their events and lists, and frees parts there. */
-public final class StoreCaller implements ActionHandler {
+public final class StoreClient implements ActionHandler {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration ANSWER_MARGIN = Duration.ofMillis(600);
     private static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
-    private final HttpCaller caller;
+    private final HttpClient caller;
 
-    private StoreCaller(HttpCaller caller) {
+    private StoreClient(HttpClient caller) {
         this.caller = caller;
     }
 
-    public static StoreCaller of(HttpCaller caller) {
-        return new StoreCaller(caller);
+    public static StoreClient of(HttpClient caller) {
+        return new StoreClient(caller);
     }
 
     @Override
@@ -72,7 +72,7 @@
         });
     }
 
-    private static Optional<StoreAnswer.Contents> readContents(HttpAnswer answer) {
+    private static Optional<StoreAnswer.Contents> readContents(HttpResponse answer) {
         if (!answer.isSuccess()) {
             return Optional.empty();
         }
@@ -108,7 +108,7 @@
                 input.offer(new StoreAnswer.Silent(store, failure.toString()));
                 return;
             }
-            EndpointNotice notice = EndpointNotices.read(answer.status(), answer.headers());
+            EndpointNotice notice = EndpointNoticeReader.read(answer.status(), answer.headers());
             if (notice.hasContent()) {
                 input.offer(new StoreAnswer.Noticed(store, notice));
             }
@@ -116,7 +116,7 @@
         });
     }
 
-    private static StoreAnswer read(StoreCall call, HttpAnswer answer) {
+    private static StoreAnswer read(StoreCall call, HttpResponse answer) {
         StoreId store = call.store().id();
         if (!answer.isSuccess()) {
             return new StoreAnswer.Silent(store, "status " + answer.status());
--- a/src/main/java/org/yuccagw/standins/engine/AnswerShape.java
+++ b/src/main/java/org/yuccagw/standins/engine/AnswerJson.java
@@ -5,14 +5,14 @@
 import org.yuccagw.standins.http.StandInJson;
 
 /** The JSON of answers, in the shape that callers of completions and chat-completions interfaces know. */
-final class AnswerShape {
+final class AnswerJson {
     private static final String FINISH_REASON = "length";
 
     private final String id;
     private final String model;
     private final boolean chat;
 
-    AnswerShape(String id, String model, boolean chat) {
+    AnswerJson(String id, String model, boolean chat) {
         this.id = id;
         this.model = model;
         this.chat = chat;
--- a/src/main/java/org/yuccagw/standins/engine/AnswerRun.java
+++ b/src/main/java/org/yuccagw/standins/engine/AnswerRun.java
@@ -17,8 +17,8 @@
     private final PromptRequest request;
     private final Caller caller;
     private final String version;
-    private final AnswerText text;
-    private final AnswerShape shape;
+    private final CompletionFormat text;
+    private final AnswerJson shape;
     private final List<String> words = new ArrayList<>();
     private final List<ByteStream> readers = new ArrayList<>();
     private Consumer<JsonNode> wholeAnswer = ignored -> {};
@@ -36,8 +36,8 @@
         this.request = request;
         this.caller = caller;
         this.version = version;
-        this.text = AnswerText.after(request.answerStart());
-        this.shape = new AnswerShape(stream, model, request.chat());
+        this.text = CompletionFormat.after(request.answerStart());
+        this.shape = new AnswerJson(stream, model, request.chat());
         this.unreadNanos = System.nanoTime();
     }
 
@@ -139,7 +139,7 @@
         return shape.whole(String.join("", words), usage());
     }
 
-    private AnswerShape.Usage usage() {
-        return new AnswerShape.Usage(request.promptTokens(), words.size(), cachedTokens);
+    private AnswerJson.Usage usage() {
+        return new AnswerJson.Usage(request.promptTokens(), words.size(), cachedTokens);
     }
 }
--- a/src/main/java/org/yuccagw/standins/engine/BlockExport.java
+++ b/src/main/java/org/yuccagw/standins/engine/BlockExport.java
@@ -9,8 +9,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.id.NetworkAddress;
@@ -24,7 +24,7 @@
     private static final int AT_ONCE = 4;
     private static final int FULL = 507;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final NetworkAddress store;
     private final String writer;
     private final Source source;
@@ -44,7 +44,7 @@
      */
     record Source(Predicate<BlockKey> isCached, int blockBytes, BooleanSupplier beforeSeal) {}
 
-    private BlockExport(HttpCaller caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
+    private BlockExport(HttpClient caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
         this.caller = caller;
         this.store = NetworkAddress.parse(order.path("store").asText());
         this.writer = order.path("writer").asText();
@@ -53,7 +53,7 @@
         order.path("blocks").forEach(key -> waiting.add(BlockKey.parse(key.asText())));
     }
 
-    static void start(HttpCaller caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
+    static void start(HttpClient caller, JsonNode order, Source source, Consumer<JsonNode> reply) {
         new BlockExport(caller, order, source, reply).next();
     }
 
@@ -84,7 +84,7 @@
         });
     }
 
-    private void seal(BlockKey key, byte[] bytes, HttpAnswer written) {
+    private void seal(BlockKey key, byte[] bytes, HttpResponse written) {
         long generation = StandInJson.parse(written.body()).path("generation").asLong();
         long checksum = Hashing.crc32c().hashBytes(bytes).padToLong();
         String path = "/v1/blocks/" + key + "/seal?generation=" + generation + "&length=" + bytes.length + "&checksum="
--- a/src/main/java/org/yuccagw/standins/engine/BlockImport.java
+++ b/src/main/java/org/yuccagw/standins/engine/BlockImport.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.id.NetworkAddress;
@@ -28,7 +28,7 @@
     private static final int AT_ONCE = 4;
     private static final int NOT_FOUND = 404;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final NetworkAddress store;
     private final long deadlineNanos;
     private final BiFunction<Wanted, byte[], EngineRuntime.Commit> commit;
@@ -51,7 +51,7 @@
         }
 
         /** Whether the answer is this very generation, whole and undamaged. */
-        private boolean matches(HttpAnswer answered) {
+        private boolean matches(HttpResponse answered) {
             return answered.header("X-Generation").equals(Long.toString(generation))
                     && answered.body().length == length
                     && Hashing.crc32c().hashBytes(answered.body()).padToLong() == checksum;
@@ -59,7 +59,7 @@
     }
 
     private BlockImport(
-            HttpCaller caller,
+            HttpClient caller,
             JsonNode order,
             BiFunction<Wanted, byte[], EngineRuntime.Commit> commit,
             Consumer<JsonNode> reply) {
@@ -73,7 +73,7 @@
     }
 
     static void start(
-            HttpCaller caller,
+            HttpClient caller,
             ScheduledExecutorService timer,
             JsonNode order,
             BiFunction<Wanted, byte[], EngineRuntime.Commit> commit,
@@ -104,7 +104,7 @@
                 .whenComplete((answered, failure) -> onAnswer(wanted, failure == null ? answered : null));
     }
 
-    private synchronized void onAnswer(Wanted wanted, HttpAnswer answered) {
+    private synchronized void onAnswer(Wanted wanted, HttpResponse answered) {
         if (over) {
             return;
         }
--- a/src/main/java/org/yuccagw/standins/engine/AnswerText.java
+++ b/src/main/java/org/yuccagw/standins/engine/CompletionFormat.java
@@ -10,7 +10,7 @@
  * the prompt with a part of the answer appended goes on with the very words that the first one would have given, and a
  * test knows the whole answer of any prompt.
  */
-public final class AnswerText {
+public final class CompletionFormat {
     private static final long OFFSET = 0xcbf29ce484222325L;
     private static final long PRIME = 0x100000001b3L;
     private static final List<String> WORDS = List.of(
@@ -49,18 +49,18 @@
 
     private long hash = OFFSET;
 
-    private AnswerText() {}
+    private CompletionFormat() {}
 
     /** The answer that follows this text. */
-    static AnswerText after(String text) {
-        AnswerText answer = new AnswerText();
+    static CompletionFormat after(String text) {
+        CompletionFormat answer = new CompletionFormat();
         answer.add(text);
         return answer;
     }
 
     /** The first {@code tokens} words that follow this text. */
     public static String words(String text, int tokens) {
-        AnswerText answer = after(text);
+        CompletionFormat answer = after(text);
         StringBuilder words = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
             words.append(answer.nextWord());
--- a/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
+++ b/src/main/java/org/yuccagw/standins/engine/EngineStandIn.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.http.ByteStream;
@@ -32,7 +32,7 @@
     private final EngineSettings settings;
     private final StandInServer server;
     private final EngineRuntime runtime;
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final OrderHandler orders;
     private volatile boolean leaving;
     private volatile boolean dieBeforeSeal;
@@ -42,7 +42,7 @@
         this.settings = settings;
         this.server = StandInServer.create(settings.name());
         this.runtime = new EngineRuntime(settings, server.timer(), this::kill);
-        this.caller = HttpCaller.on(server.worker());
+        this.caller = HttpClient.on(server.worker());
         this.orders = new OrderHandler(settings, runtime, caller, server.timer());
         server.on("POST", "/v1/completions", call -> begin(call, PromptRequest.completions(call.json())))
                 .on("POST", "/v1/chat/completions", call -> begin(call, PromptRequest.chat(call.json())))
@@ -66,12 +66,12 @@
 
     /** The whole answer that any engine gives to this completions prompt. */
     public static String expectedAnswer(String promptText, int tokens) {
-        return AnswerText.words(promptText, tokens);
+        return CompletionFormat.words(promptText, tokens);
     }
 
     /** The whole answer that any engine gives to a chat of one message of the role {@code user}. */
     public static String expectedChatAnswer(String userContent, int tokens) {
-        return AnswerText.words(ChatText.beforeAnswer(ChatText.message("user", userContent)), tokens);
+        return CompletionFormat.words(ChatText.beforeAnswer(ChatText.message("user", userContent)), tokens);
     }
 
     @Override
--- a/src/main/java/org/yuccagw/standins/engine/OrderHandler.java
+++ b/src/main/java/org/yuccagw/standins/engine/OrderHandler.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.core.id.NetworkAddress;
@@ -27,7 +27,7 @@
 
     private final EngineSettings settings;
     private final EngineRuntime runtime;
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final ScheduledExecutorService timer;
     private final List<OrderRecord> orders = new ArrayList<>();
     private String adapter;
@@ -38,7 +38,7 @@
     /** An order as it came, and whether it was accepted. */
     record OrderRecord(String order, String value, long fencing, boolean accepted, long millis) {}
 
-    OrderHandler(EngineSettings settings, EngineRuntime runtime, HttpCaller caller, ScheduledExecutorService timer) {
+    OrderHandler(EngineSettings settings, EngineRuntime runtime, HttpClient caller, ScheduledExecutorService timer) {
         this.settings = settings;
         this.runtime = runtime;
         this.caller = caller;
--- a/src/main/java/org/yuccagw/standins/plain/PlainCall.java
+++ b/src/main/java/org/yuccagw/standins/plain/PlainRequest.java
@@ -14,7 +14,7 @@
  * @param traced whether it carried {@code traceparent}
  * @param millis since the epoch
  */
-public record PlainCall(
+public record PlainRequest(
         String service,
         long number,
         String method,
@@ -25,7 +25,7 @@
         List<String> markers,
         boolean traced,
         long millis) {
-    public PlainCall {
+    public PlainRequest {
         markers = List.copyOf(markers);
     }
 }
--- a/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
+++ b/src/main/java/org/yuccagw/standins/plain/PlainServiceStandIn.java
@@ -22,7 +22,7 @@
 public final class PlainServiceStandIn implements StandIn {
     private final String name;
     private final StandInServer server;
-    private final List<PlainCall> calls = new ArrayList<>();
+    private final List<PlainRequest> calls = new ArrayList<>();
     private PlainFaults faults = PlainFaults.none();
 
     private PlainServiceStandIn(String name, int port) {
@@ -73,7 +73,7 @@
     }
 
     /** Every call that took effect, in order. */
-    public synchronized List<PlainCall> calls() {
+    public synchronized List<PlainRequest> calls() {
         return List.copyOf(calls);
     }
 
@@ -89,7 +89,7 @@
             call.cut();
             return;
         }
-        PlainCall done = note(call);
+        PlainRequest done = note(call);
         if (now.cutAfter() > 0) {
             faults = now.withCutAfter(now.cutAfter() - 1);
             call.cut();
@@ -99,9 +99,9 @@
         server.timer().schedule(() -> call.reply(answer), now.answerMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private PlainCall note(StandInCall call) {
+    private PlainRequest note(StandInCall call) {
         String body = new String(call.body(), StandardCharsets.UTF_8);
-        PlainCall done = new PlainCall(
+        PlainRequest done = new PlainRequest(
                 name,
                 calls.size() + 1L,
                 call.method(),
--- a/src/main/java/org/yuccagw/standins/platform/WillingEndpoint.java
+++ b/src/main/java/org/yuccagw/standins/platform/SuccessEndpoint.java
@@ -11,25 +11,25 @@
  * An endpoint on loopback that answers every request at once with success: below {@link SmallDeployment#PROMPTS} with a
  * stream of two events, elsewhere with a short body.
  */
-public final class WillingEndpoint {
+public final class SuccessEndpoint {
     private static final HttpString REQUEST_ID = new HttpString("Yuccagw-Request-Id");
     private static final HttpString SEAL = new HttpString("Yuccagw-Response-Seal");
     private static final String EVENTS = "id: 1\ndata: one\n\nid: 2\ndata: two\n\n";
 
     private final Undertow server;
 
-    private WillingEndpoint() {
+    private SuccessEndpoint() {
         server = Undertow.builder()
                 .addHttpListener(0, "127.0.0.1")
                 .setIoThreads(1)
                 .setWorkerThreads(1)
-                .setHandler(WillingEndpoint::answer)
+                .setHandler(SuccessEndpoint::answer)
                 .build();
         server.start();
     }
 
-    public static WillingEndpoint start() {
-        return new WillingEndpoint();
+    public static SuccessEndpoint start() {
+        return new SuccessEndpoint();
     }
 
     public NetworkAddress address() {
--- a/src/main/java/org/yuccagw/standins/store/BlockShelf.java
+++ b/src/main/java/org/yuccagw/standins/store/BlockTable.java
@@ -17,13 +17,13 @@
  * checksum. A deleted generation can't be found any more at once; its memory is freed, and overwritten with zeros as a
  * real store's next block would do, only after the reads in progress ended.
  */
-final class BlockShelf {
-    private final TreeMap<BlockKey, TreeMap<Long, HeldBlock>> blocks = new TreeMap<>();
+final class BlockTable {
+    private final TreeMap<BlockKey, TreeMap<Long, StoredBlock>> blocks = new TreeMap<>();
     private final Map<Tier, Long> capacity = new EnumMap<>(Tier.class);
     private final Map<Tier, Long> used = new EnumMap<>(Tier.class);
     private long lastGeneration;
 
-    BlockShelf(long memoryBytes, long diskBytes) {
+    BlockTable(long memoryBytes, long diskBytes) {
         capacity.put(Tier.MEMORY, memoryBytes);
         capacity.put(Tier.DISK, diskBytes);
         used.put(Tier.MEMORY, 0L);
@@ -46,10 +46,10 @@
     }
 
     /** Takes an unsealed generation into memory, else onto disk; empty if neither has room. */
-    Optional<HeldBlock> write(long now, BlockKey key, String writer, byte[] bytes) {
+    Optional<StoredBlock> write(long now, BlockKey key, String writer, byte[] bytes) {
         for (Tier tier : Tier.values()) {
             if (fits(tier, bytes.length)) {
-                HeldBlock block = new HeldBlock(key, ++lastGeneration, writer, bytes, now, tier);
+                StoredBlock block = new StoredBlock(key, ++lastGeneration, writer, bytes, now, tier);
                 blocks.computeIfAbsent(key, absent -> new TreeMap<>()).put(block.generation(), block);
                 used.merge(tier, (long) bytes.length, Long::sum);
                 return Optional.of(block);
@@ -59,11 +59,11 @@
     }
 
     Outcome seal(BlockKey key, long generation, long length, long checksum) {
-        Optional<HeldBlock> found = find(key, generation);
+        Optional<StoredBlock> found = find(key, generation);
         if (found.isEmpty()) {
             return Outcome.UNKNOWN;
         }
-        HeldBlock block = found.get();
+        StoredBlock block = found.get();
         if (block.bytes().length != length || block.checksum() != checksum) {
             return Outcome.WRONG;
         }
@@ -72,20 +72,20 @@
     }
 
     /** The sealed generation; its bytes stay as they are until {@link #endRead}. */
-    Optional<HeldBlock> beginRead(BlockKey key, long generation) {
-        Optional<HeldBlock> found = find(key, generation).filter(HeldBlock::sealed);
-        found.ifPresent(HeldBlock::addReader);
+    Optional<StoredBlock> beginRead(BlockKey key, long generation) {
+        Optional<StoredBlock> found = find(key, generation).filter(StoredBlock::sealed);
+        found.ifPresent(StoredBlock::addReader);
         return found;
     }
 
-    void endRead(HeldBlock block) {
+    void endRead(StoredBlock block) {
         block.removeReader();
         freeIfPossible(block);
     }
 
     void delete(BlockKey key, long generation) {
         find(key, generation).ifPresent(block -> {
-            Map<Long, HeldBlock> generations = blocks.get(key);
+            Map<Long, StoredBlock> generations = blocks.get(key);
             generations.remove(generation);
             if (generations.isEmpty()) {
                 blocks.remove(key);
@@ -96,11 +96,11 @@
     }
 
     Outcome move(BlockKey key, long generation, Tier tier) {
-        Optional<HeldBlock> found = find(key, generation).filter(HeldBlock::sealed);
+        Optional<StoredBlock> found = find(key, generation).filter(StoredBlock::sealed);
         if (found.isEmpty()) {
             return Outcome.UNKNOWN;
         }
-        HeldBlock block = found.get();
+        StoredBlock block = found.get();
         if (block.tier() == tier) {
             return Outcome.DONE;
         }
@@ -115,8 +115,8 @@
     }
 
     /** The latest sealed generation of each of the keys that has one. */
-    List<HeldBlock> lookup(Collection<BlockKey> keys) {
-        List<HeldBlock> found = new ArrayList<>();
+    List<StoredBlock> lookup(Collection<BlockKey> keys) {
+        List<StoredBlock> found = new ArrayList<>();
         for (BlockKey key : keys) {
             latestSealed(key).ifPresent(found::add);
         }
@@ -124,7 +124,7 @@
     }
 
     /** Sealed blocks in the order of keys. */
-    List<HeldBlock> page(Optional<BlockKey> after, int limit) {
+    List<StoredBlock> page(Optional<BlockKey> after, int limit) {
         Collection<BlockKey> keys =
                 after.isPresent() ? blocks.tailMap(after.get(), false).keySet() : blocks.keySet();
         return keys.stream()
@@ -133,24 +133,24 @@
                 .toList();
     }
 
-    List<HeldBlock> unsealed() {
+    List<StoredBlock> unsealed() {
         return blocks.values().stream()
                 .flatMap(generations -> generations.values().stream())
                 .filter(block -> !block.sealed())
                 .toList();
     }
 
-    private Optional<HeldBlock> latestSealed(BlockKey key) {
-        TreeMap<Long, HeldBlock> generations = blocks.get(key);
+    private Optional<StoredBlock> latestSealed(BlockKey key) {
+        TreeMap<Long, StoredBlock> generations = blocks.get(key);
         if (generations == null) {
             return Optional.empty();
         }
         return generations.descendingMap().values().stream()
-                .filter(HeldBlock::sealed)
+                .filter(StoredBlock::sealed)
                 .findFirst();
     }
 
-    private Optional<HeldBlock> find(BlockKey key, long generation) {
+    private Optional<StoredBlock> find(BlockKey key, long generation) {
         return Optional.ofNullable(blocks.get(key)).map(generations -> generations.get(generation));
     }
 
@@ -158,7 +158,7 @@
         return used.get(tier) + size <= capacity.get(tier);
     }
 
-    private void freeIfPossible(HeldBlock block) {
+    private void freeIfPossible(StoredBlock block) {
         if (block.isFree()) {
             used.merge(block.tier(), -(long) block.bytes().length, Long::sum);
             Arrays.fill(block.bytes(), (byte) 0);
--- a/src/main/java/org/yuccagw/standins/store/CacheStoreStandIn.java
+++ b/src/main/java/org/yuccagw/standins/store/CacheStoreStandIn.java
@@ -32,7 +32,7 @@
 
     private final CacheStoreSettings settings;
     private final StandInServer server;
-    private final BlockShelf shelf;
+    private final BlockTable shelf;
     private final PacedLink link;
     private ReadFaults readFaults = ReadFaults.none();
     private boolean full;
@@ -42,7 +42,7 @@
     private CacheStoreStandIn(CacheStoreSettings settings) {
         this.settings = settings;
         this.server = StandInServer.create(settings.name());
-        this.shelf = new BlockShelf(settings.memoryBytes(), settings.diskBytes());
+        this.shelf = new BlockTable(settings.memoryBytes(), settings.diskBytes());
         this.link = PacedLink.of(settings.linkBytesPerSecond());
         server.on("PUT", "/v1/blocks/{block}", this::write)
                 .on("POST", "/v1/blocks/{block}/seal", this::seal)
@@ -116,7 +116,7 @@
 
     private synchronized void write(StandInCall call) {
         String writer = call.required("writer");
-        Optional<HeldBlock> written =
+        Optional<StoredBlock> written =
                 full ? Optional.empty() : shelf.write(System.nanoTime(), key(call), writer, call.body());
         if (written.isEmpty()) {
             call.replyError(FULL, "full", "no tier has room for " + call.body().length + " bytes");
@@ -136,12 +136,12 @@
     }
 
     private synchronized void read(StandInCall call) {
-        Optional<HeldBlock> found = shelf.beginRead(key(call), call.number("generation"));
+        Optional<StoredBlock> found = shelf.beginRead(key(call), call.number("generation"));
         if (found.isEmpty()) {
             call.replyError(NOT_FOUND, "unknown", "that generation isn't sealed here");
             return;
         }
-        HeldBlock block = found.get();
+        StoredBlock block = found.get();
         if (readFaults.silent() > 0) {
             readFaults = new ReadFaults(readFaults.damaged(), readFaults.cut(), readFaults.silent() - 1);
             return;
@@ -150,7 +150,7 @@
         afterLink(block.bytes().length, delay, () -> call.onIoThread(() -> send(call, block)));
     }
 
-    private synchronized void send(StandInCall call, HeldBlock block) {
+    private synchronized void send(StandInCall call, StoredBlock block) {
         call.withHeader("X-Generation", Long.toString(block.generation()));
         call.withHeader("X-Checksum", Long.toString(block.checksum()));
         call.withHeader("X-Tier", block.tier().text());
@@ -174,7 +174,7 @@
         stream.end();
     }
 
-    private synchronized void endRead(HeldBlock block) {
+    private synchronized void endRead(StoredBlock block) {
         shelf.endRead(block);
     }
 
@@ -208,7 +208,7 @@
         ObjectNode answer = StandInJson.object();
         ArrayNode list = answer.putArray("blocks");
         long now = System.nanoTime();
-        for (HeldBlock block : shelf.unsealed()) {
+        for (StoredBlock block : shelf.unsealed()) {
             list.addObject()
                     .put("key", block.key().toString())
                     .put("generation", block.generation())
@@ -226,8 +226,8 @@
         call.reply(answer);
     }
 
-    private static void describe(List<HeldBlock> blocks, ArrayNode list) {
-        for (HeldBlock block : blocks) {
+    private static void describe(List<StoredBlock> blocks, ArrayNode list) {
+        for (StoredBlock block : blocks) {
             list.addObject()
                     .put("key", block.key().toString())
                     .put("generation", block.generation())
--- a/src/main/java/org/yuccagw/standins/store/HeldBlock.java
+++ b/src/main/java/org/yuccagw/standins/store/StoredBlock.java
@@ -4,7 +4,7 @@
 import org.yuccagw.core.cache.BlockKey;
 
 /** One generation of a block that the store holds. */
-final class HeldBlock {
+final class StoredBlock {
     private final BlockKey key;
     private final long generation;
     private final String writer;
@@ -16,7 +16,7 @@
     private boolean deleted;
     private int readers;
 
-    HeldBlock(BlockKey key, long generation, String writer, byte[] bytes, long writtenNanos, Tier tier) {
+    StoredBlock(BlockKey key, long generation, String writer, byte[] bytes, long writtenNanos, Tier tier) {
         this.key = key;
         this.generation = generation;
         this.writer = writer;
--- a/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.membership.StopRequested;
 
@@ -22,13 +22,13 @@
     private static final int TIMEOUT_SECONDS = 30;
 
     private AdminFixture fixture;
-    private HttpCaller caller;
+    private HttpClient caller;
     private String sample;
 
     @BeforeClass
     public void start() throws Exception {
         fixture = AdminFixture.start();
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         sample = Files.readString(Path.of("config/samples/catalogue.json"));
     }
 
@@ -74,14 +74,14 @@
         fixture.removeCatalogue();
         HttpQuery put = HttpQuery.json("PUT", fixture.address(), "/admin/catalogue?edit=e1", sample);
         assertEquals(send(withKey(put, AdminFixture.OPERATOR_KEY)).status(), 403);
-        HttpAnswer first = send(withKey(put, AdminFixture.BOOTSTRAP_KEY));
+        HttpResponse first = send(withKey(put, AdminFixture.BOOTSTRAP_KEY));
         assertEquals(json(first).path("revision").asLong(), 1);
         assertEquals(send(withKey(put, AdminFixture.BOOTSTRAP_KEY)).status(), 403);
     }
 
     @Test
     public void anEditOfAnEarlierRevisionIsAConflictThatNamesTheFields() throws Exception {
-        HttpAnswer answer = put(sample);
+        HttpResponse answer = put(sample);
         assertEquals(answer.status(), 409);
         assertTrue(answer.text().contains("services/assistant/owner"), answer.text());
     }
@@ -89,14 +89,14 @@
     @Test
     public void aCatalogueCanBeReadChangedAndWrittenBack() throws Exception {
         String document = get("/admin/catalogue").text();
-        HttpAnswer answer = put(document.replace("assistant@example.org", "other@example.org"));
+        HttpResponse answer = put(document.replace("assistant@example.org", "other@example.org"));
         assertEquals(json(answer).path("revision").asLong(), 4);
         assertTrue(get("/admin/catalogue").text().contains("other@example.org"));
     }
 
     @Test
     public void anInvalidCatalogueIsRejectedBeforeItReachesTheCore() throws Exception {
-        HttpAnswer answer = put(sample.replace("\"shards\"", "\"shadrs\""));
+        HttpResponse answer = put(sample.replace("\"shards\"", "\"shadrs\""));
         assertEquals(answer.status(), 422);
         assertTrue(answer.text().contains("did you mean 'shards'"), answer.text());
         assertEquals(fixture.offered().size(), 0);
@@ -111,7 +111,7 @@
     public void anEntryThatIsNotReadyReportsTheReason() throws Exception {
         assertEquals(send(HttpQuery.get(fixture.address(), "/readyz")).status(), 200);
         fixture.setReady(false);
-        HttpAnswer answer = send(HttpQuery.get(fixture.address(), "/readyz"));
+        HttpResponse answer = send(HttpQuery.get(fixture.address(), "/readyz"));
         assertEquals(answer.status(), 503);
         assertEquals(json(answer).path("reason").asText(), "has no catalogue");
         assertEquals(send(HttpQuery.get(fixture.address(), "/healthz")).status(), 200);
@@ -119,7 +119,7 @@
 
     @Test
     public void metricsAreReadWithoutAKey() throws Exception {
-        HttpAnswer answer = send(HttpQuery.get(fixture.address(), "/metrics"));
+        HttpResponse answer = send(HttpQuery.get(fixture.address(), "/metrics"));
         assertEquals(answer.status(), 200);
         assertTrue(answer.text().contains("jvm_memory_used_bytes"));
     }
@@ -140,21 +140,21 @@
 
     @Test
     public void anUnknownPathIsAnsweredWithAnErrorDocument() throws Exception {
-        HttpAnswer answer = get("/nothing");
+        HttpResponse answer = get("/nothing");
         assertEquals(answer.status(), 404);
         assertEquals(json(answer).path("error").path("code").asText(), "unknown_path");
     }
 
-    private HttpAnswer get(String path) throws Exception {
+    private HttpResponse get(String path) throws Exception {
         return send(withKey(HttpQuery.get(fixture.address(), path), AdminFixture.OPERATOR_KEY));
     }
 
-    private HttpAnswer put(String document) throws Exception {
+    private HttpResponse put(String document) throws Exception {
         HttpQuery query = HttpQuery.json("PUT", fixture.address(), "/admin/catalogue?edit=e2", document);
         return send(withKey(query, AdminFixture.OPERATOR_KEY));
     }
 
-    private HttpAnswer send(HttpQuery query) throws Exception {
+    private HttpResponse send(HttpQuery query) throws Exception {
         return caller.send(query).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
@@ -162,7 +162,7 @@
         return query.withHeader("Authorization", "Bearer " + key);
     }
 
-    private static JsonNode json(HttpAnswer answer) throws Exception {
+    private static JsonNode json(HttpResponse answer) throws Exception {
         return new ObjectMapper().readTree(answer.text());
     }
 }
--- a/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
+++ b/src/test/java/org/yuccagw/adapters/cache/CacheMovementTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.cache.BlockChain;
 import org.yuccagw.core.cache.BlockKey;
@@ -50,9 +50,9 @@
     private final List<ControlEvent> events = new CopyOnWriteArrayList<>();
     private EngineStandIn engine;
     private CacheStoreStandIn store;
-    private HttpCaller caller;
+    private HttpClient caller;
     private ImportClient imports;
-    private CacheActions actions;
+    private CacheCommandHandler actions;
 
     @BeforeMethod
     public void start() throws Exception {
@@ -60,10 +60,10 @@
                 .withCosts(EngineCosts.usual().faster(10))
                 .withLags(new EngineSettings.Lags(Duration.ZERO, Duration.ZERO, 0)));
         store = CacheStoreStandIn.start(CacheStoreSettings.usual("store-0"));
-        caller = HttpCaller.start(2);
+        caller = HttpClient.start(2);
         events.clear();
         imports = ImportClient.of(caller, events::add);
-        actions = CacheActions.of(caller, imports);
+        actions = CacheCommandHandler.of(caller, imports);
     }
 
     @AfterMethod(alwaysRun = true)
--- a/src/test/java/org/yuccagw/adapters/endpoint/PlatformActionsTest.java
+++ b/src/test/java/org/yuccagw/adapters/endpoint/PlatformActionsTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.endpoint.EndpointReported;
 import org.yuccagw.core.endpoint.PlatformListed;
@@ -39,7 +39,7 @@
     private static final long NOW_NANOS = Duration.ofHours(1).toNanos();
 
     private final BlockingQueue<ControlEvent> events = new LinkedBlockingQueue<>();
-    private HttpCaller caller;
+    private HttpClient caller;
     private EngineStandIn engine;
     private NetworkAddress address;
     private OrderSender sender;
@@ -47,7 +47,7 @@
     @BeforeMethod
     public void startAnEngineThatChecksFencing() throws IOException {
         events.clear();
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         engine = EngineStandIn.start(EngineSettings.usual(ENDPOINT.value(), "assistant", WeightVersion.of("v1"))
                 .withFencingCheck(true));
         address = engine.address();
--- a/src/test/java/org/yuccagw/adapters/http/HttpCallerTest.java
+++ b/src/test/java/org/yuccagw/adapters/http/HttpClientTest.java
@@ -18,9 +18,9 @@
 import org.testng.annotations.Test;
 import org.yuccagw.core.id.NetworkAddress;
 
-public class HttpCallerTest {
+public class HttpClientTest {
     private Undertow server;
-    private HttpCaller caller;
+    private HttpClient caller;
     private NetworkAddress address;
 
     @BeforeClass
@@ -41,7 +41,7 @@
         InetSocketAddress bound =
                 (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
         address = NetworkAddress.of("127.0.0.1", bound.getPort());
-        caller = HttpCaller.start(2);
+        caller = HttpClient.start(2);
     }
 
     @AfterClass
@@ -52,14 +52,14 @@
 
     @Test
     public void aGetIsAnswered() throws Exception {
-        HttpAnswer answer = caller.send(HttpQuery.get(address, "/a")).get(10, TimeUnit.SECONDS);
+        HttpResponse answer = caller.send(HttpQuery.get(address, "/a")).get(10, TimeUnit.SECONDS);
         assertEquals(answer.text(), "GET /a ");
     }
 
     @Test
     public void aLargeBodyArrivesWhole() throws Exception {
         String body = "x".repeat(1_000_000);
-        HttpAnswer answer =
+        HttpResponse answer =
                 caller.send(HttpQuery.json("POST", address, "/b", body)).get(10, TimeUnit.SECONDS);
         assertEquals(answer.text().length(), "POST /b ".length() + body.length());
     }
@@ -67,7 +67,7 @@
     @Test
     public void aKeptConnectionServesManyRequests() throws Exception {
         for (int i = 0; i < 200; i++) {
-            HttpAnswer answer =
+            HttpResponse answer =
                     caller.send(HttpQuery.json("PUT", address, "/" + i, "{}")).get(10, TimeUnit.SECONDS);
             assertEquals(answer.text(), "PUT /" + i + " {}");
         }
--- a/src/test/java/org/yuccagw/cli/ToolProcessTest.java
+++ b/src/test/java/org/yuccagw/cli/ToolProcessTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.id.NetworkAddress;
 import org.yuccagw.standins.keyvalue.KeyValueSettings;
@@ -29,14 +29,14 @@
 
     private KeyValueStandIn keyValue;
     private VmListStandIn vmList;
-    private HttpCaller caller;
+    private HttpClient caller;
     private Path output;
 
     @BeforeClass
     public void startPlatform() throws IOException {
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         vmList = VmListStandIn.start(0, 0);
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
     }
 
     @AfterClass
@@ -91,7 +91,7 @@
 
     private boolean isAlive(NetworkAddress admin) throws InterruptedException {
         try {
-            HttpAnswer answer = caller.send(HttpQuery.get(admin, "/healthz")).get();
+            HttpResponse answer = caller.send(HttpQuery.get(admin, "/healthz")).get();
             return answer.isSuccess();
         } catch (ExecutionException e) {
             return false;
--- a/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
+++ b/src/test/java/org/yuccagw/core/forward/ForwardMachineTest.java
@@ -13,7 +13,7 @@
 import java.util.OptionalLong;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
 import org.yuccagw.core.deployment.ServiceShare;
@@ -430,7 +430,7 @@
                 false,
                 false,
                 resumable,
-                Homes.ANYWHERE);
+                PermittedRegions.ANYWHERE);
         ForwardRequest request = new ForwardRequest(
                 RequestId.of("r1"),
                 route,
--- a/src/test/java/org/yuccagw/core/peers/DirectoryChoiceTest.java
+++ b/src/test/java/org/yuccagw/core/peers/DirectoryChoiceTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.testng.annotations.Test;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.fleet.EntryContact;
 import org.yuccagw.core.id.EntryId;
 import org.yuccagw.core.id.FailureDomain;
@@ -49,14 +49,14 @@
     @Test
     public void allEntriesAreListedIfTheDomainIsUnknownOrHasNoEntry() {
         assertEquals(choose("e", 0), ENTRIES);
-        assertEquals(DirectoryChoice.choose(ENTRIES, Optional.empty(), Regions.UNKNOWN, 0), ENTRIES);
+        assertEquals(DirectoryChoice.choose(ENTRIES, Optional.empty(), DomainRegions.UNKNOWN, 0), ENTRIES);
     }
 
     // Guards against requests that leave their region. A caller whose failure domain has one entry left received an
     // entry in another region, to which its request bodies must not be sent.
     @Test
     public void additionalEntriesAreInTheCallersRegion() {
-        Regions regions = new Regions(ImmutableMap.of(
+        DomainRegions regions = new DomainRegions(ImmutableMap.of(
                 FailureDomain.of("a"), Region.of("north"),
                 FailureDomain.of("d"), Region.of("north"),
                 FailureDomain.of("b"), Region.of("south"),
@@ -71,20 +71,20 @@
         assertEquals(choose("f", regions, 0), ENTRIES);
     }
 
-    private static List<EntryContact> choose(String domain, Regions regions, int random) {
+    private static List<EntryContact> choose(String domain, DomainRegions regions, int random) {
         return DirectoryChoice.choose(ENTRIES, Optional.of(FailureDomain.of(domain)), regions, random);
     }
 
     @Test
     public void theOnlyEntryOfTheFleetIsListedAlone() {
         List<EntryContact> single = ImmutableList.of(ENTRIES.get(0));
-        assertEquals(DirectoryChoice.choose(single, Optional.of(FailureDomain.of("a")), Regions.UNKNOWN, 5), single);
-        assertTrue(DirectoryChoice.choose(ImmutableList.of(), Optional.of(FailureDomain.of("a")), Regions.UNKNOWN, 5)
+        assertEquals(DirectoryChoice.choose(single, Optional.of(FailureDomain.of("a")), DomainRegions.UNKNOWN, 5), single);
+        assertTrue(DirectoryChoice.choose(ImmutableList.of(), Optional.of(FailureDomain.of("a")), DomainRegions.UNKNOWN, 5)
                 .isEmpty());
     }
 
     private static List<EntryContact> choose(String domain, int random) {
-        return DirectoryChoice.choose(ENTRIES, Optional.of(FailureDomain.of(domain)), Regions.UNKNOWN, random);
+        return DirectoryChoice.choose(ENTRIES, Optional.of(FailureDomain.of(domain)), DomainRegions.UNKNOWN, random);
     }
 
     private static EntryContact entry(String name, String domain) {
--- a/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
+++ b/src/test/java/org/yuccagw/core/placing/PrefillPlannerTest.java
@@ -21,7 +21,7 @@
 import org.yuccagw.core.deployment.ColdTraits;
 import org.yuccagw.core.deployment.Deployment;
 import org.yuccagw.core.deployment.EngineTraits;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.RequestLimits;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
@@ -140,7 +140,7 @@
                 true,
                 true,
                 false,
-                Homes.ANYWHERE);
+                PermittedRegions.ANYWHERE);
         return new PlacementRequest(
                 RequestId.of("r1"),
                 route,
--- a/src/test/java/org/yuccagw/core/placing/RequestQueueTest.java
+++ b/src/test/java/org/yuccagw/core/placing/RequestQueueTest.java
@@ -12,7 +12,7 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import org.testng.annotations.Test;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.deployment.RouteKind;
 import org.yuccagw.core.deployment.ServiceShare;
@@ -99,13 +99,13 @@
                 false,
                 true,
                 false,
-                Homes.ANYWHERE);
+                PermittedRegions.ANYWHERE);
         WorkspaceAccess workspace = new WorkspaceAccess(
                 WorkspaceId.of("w" + workspacePriority),
                 ImmutableSet.of(),
                 OptionalInt.of(workspacePriority),
                 false,
-                Homes.ANYWHERE);
+                PermittedRegions.ANYWHERE);
         PromptShape prompt = new PromptShape("model", 900, 50, ImmutableList.of(new PromptPart("own", 900)));
         return new PlacementRequest(
                 RequestId.of(name),
--- a/src/test/java/org/yuccagw/core/placing/RetryAllowanceTest.java
+++ b/src/test/java/org/yuccagw/core/placing/RetryAllowanceTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import org.testng.annotations.Test;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.deployment.WorkspaceAccess;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
@@ -69,18 +69,18 @@
     @Test
     public void cachesAreSeparateForIsolatedWorkspacesAndWeightVersions() {
         assertEquals(
-                CacheSalt.of(Optional.of(workspace("a", false)), Homes.ANYWHERE, 1),
-                CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 1));
-        assertFalse(CacheSalt.of(Optional.of(workspace("a", true)), Homes.ANYWHERE, 1)
-                .equals(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 1)));
-        assertFalse(CacheSalt.of(Optional.of(workspace("a", true)), Homes.ANYWHERE, 1)
-                .equals(CacheSalt.of(Optional.of(workspace("b", true)), Homes.ANYWHERE, 1)));
-        assertFalse(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 1)
-                .equals(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 2)));
+                CacheSalt.of(Optional.of(workspace("a", false)), PermittedRegions.ANYWHERE, 1),
+                CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 1));
+        assertFalse(CacheSalt.of(Optional.of(workspace("a", true)), PermittedRegions.ANYWHERE, 1)
+                .equals(CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 1)));
+        assertFalse(CacheSalt.of(Optional.of(workspace("a", true)), PermittedRegions.ANYWHERE, 1)
+                .equals(CacheSalt.of(Optional.of(workspace("b", true)), PermittedRegions.ANYWHERE, 1)));
+        assertFalse(CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 1)
+                .equals(CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 2)));
     }
 
     private static WorkspaceAccess workspace(String name, boolean isolated) {
         return new WorkspaceAccess(
-                WorkspaceId.of(name), ImmutableSet.of(), OptionalInt.empty(), isolated, Homes.ANYWHERE);
+                WorkspaceId.of(name), ImmutableSet.of(), OptionalInt.empty(), isolated, PermittedRegions.ANYWHERE);
     }
 }
--- a/src/test/java/org/yuccagw/daemon/CallerGoneTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerDisconnectTest.java
@@ -21,8 +21,8 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import org.yuccagw.adapters.http.HttpCaller;
-import org.yuccagw.adapters.serving.RunCount;
+import org.yuccagw.adapters.http.HttpClient;
+import org.yuccagw.adapters.serving.ActiveRequests;
 import org.yuccagw.adapters.serving.ServingServer;
 import org.yuccagw.adapters.serving.ServingServices;
 import org.yuccagw.adapters.settings.GatewaySettings;
@@ -36,13 +36,13 @@
 import org.yuccagw.core.placing.PlacementDecision;
 import org.yuccagw.core.placing.PlacementRequest;
 import org.yuccagw.platform.GatewaySettingsReader;
-import org.yuccagw.platform.PlatformDialect;
+import org.yuccagw.platform.PlatformWireProtocol;
 import org.yuccagw.platform.PlatformRecords;
 import org.yuccagw.standins.platform.PlatformDocuments;
 import org.yuccagw.standins.platform.SmallDeployment;
 
 /** Callers who have left before an entry that is behind comes to their requests. */
-public class CallerGoneTest {
+public class CallerDisconnectTest {
     private static final int CALLERS = 20;
     private static final Duration LONG = Duration.ofSeconds(30);
 
@@ -81,8 +81,8 @@
                 new ServingServices(
                         () -> snapshot,
                         this::place,
-                        HttpCaller.on(worker),
-                        PlatformDialect.create(),
+                        HttpClient.on(worker),
+                        PlatformWireProtocol.create(),
                         DecisionLog.start(),
                         Metrics.create(),
                         settings.domain(),
@@ -90,7 +90,7 @@
                         Optional.empty()),
                 settings,
                 worker,
-                RunCount.create());
+                ActiveRequests.create());
     }
 
     @AfterMethod(alwaysRun = true)
--- a/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
+++ b/src/test/java/org/yuccagw/daemon/CallerErrorsTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
@@ -72,7 +72,7 @@
     @Test(dataProvider = "wrongRequests")
     public void aWrongRequestGetsItsOwnErrorAndIsNotRun(String path, String body, int status, String code)
             throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.json("POST", entry, path, body).withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), status, answer.text());
         assertError(answer.text(), code);
@@ -91,7 +91,7 @@
     @Test(dataProvider = "wrongKeys")
     public void aWrongKeyIsRefused(String authorization, int status, String code) throws Exception {
         HttpQuery query = HttpQuery.json("POST", entry, "/v1/completions", GOOD);
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(authorization.isEmpty() ? query : query.withHeader("Authorization", authorization));
         assertEquals(answer.status(), status, answer.text());
         assertEquals(answer.header("WWW-Authenticate"), "Bearer");
@@ -103,7 +103,7 @@
         byte[] body = GOOD.replace("hello", "hel?lo").getBytes(StandardCharsets.ISO_8859_1);
         int place = GOOD.indexOf("hello") + 3;
         body[place] = (byte) 0xE4;
-        HttpAnswer answer = deployment.send(
+        HttpResponse answer = deployment.send(
                 HttpQuery.of("POST", entry, "/v1/completions", body).withHeader("Authorization", "Bearer " + KEY));
         assertError(answer.text(), "malformed_utf8");
         assertTrue(answer.text().contains("byte " + place), answer.text());
@@ -124,7 +124,7 @@
             slow.getOutputStream().write(head("/v1/completions", GOOD.length()));
             slow.getOutputStream().write(GOOD.substring(0, 10).getBytes(StandardCharsets.UTF_8));
             slow.getOutputStream().flush();
-            HttpAnswer other = deployment.send(HttpQuery.json("POST", entry, "/v1/completions", GOOD)
+            HttpResponse other = deployment.send(HttpQuery.json("POST", entry, "/v1/completions", GOOD)
                     .withHeader("Authorization", "Bearer " + KEY));
             assertEquals(other.status(), 200, other.text());
             String answer = readAll(slow);
@@ -141,7 +141,7 @@
                 cut.getOutputStream().write(GOOD.substring(0, 10).getBytes(StandardCharsets.UTF_8));
             }
         }
-        HttpAnswer other = deployment.send(
+        HttpResponse other = deployment.send(
                 HttpQuery.json("POST", entry, "/v1/completions", GOOD).withHeader("Authorization", "Bearer " + KEY));
         assertEquals(other.status(), 200, other.text());
     }
@@ -151,13 +151,13 @@
         String huge = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Filler: " + "y".repeat(100_000) + "\r\n\r\n";
         String answer = exchange(huge.getBytes(StandardCharsets.US_ASCII), new byte[0]);
         assertTrue(answer.isEmpty() || answer.startsWith("HTTP/1.1 4"), answer);
-        HttpAnswer other = deployment.send(HttpQuery.get(entry, "/v1/directory"));
+        HttpResponse other = deployment.send(HttpQuery.get(entry, "/v1/directory"));
         assertEquals(other.status(), 200, other.text());
     }
 
     @Test
     public void anotherMethodIsRefusedWithTheRightOne() throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.get(entry, "/v1/completions").withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), 405, answer.text());
         assertTrue(answer.text().contains("POST"), answer.text());
--- a/src/test/java/org/yuccagw/daemon/WholePathTest.java
+++ b/src/test/java/org/yuccagw/daemon/EndToEndTest.java
@@ -10,20 +10,20 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
 import org.yuccagw.bench.local.LocalPlan;
 import org.yuccagw.client.ClientSettings;
-import org.yuccagw.client.Completion;
+import org.yuccagw.client.CompletionRequest;
 import org.yuccagw.client.CompletionAnswer;
 import org.yuccagw.client.YuccagwClient;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.IdempotencyKey;
 import org.yuccagw.standins.engine.EngineStandIn;
 
-public class WholePathTest {
+public class EndToEndTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String KEY = LocalCatalogue.workspaceKey("statistics");
 
@@ -48,7 +48,7 @@
 
     @Test
     public void theDirectoryNamesEveryEntry() throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.get(deployment.callerAddresses().get(0), "/v1/directory"));
         JsonNode directory = JSON.readTree(answer.body());
         assertEquals(directory.path("entries").size(), 3, answer.text());
@@ -60,7 +60,7 @@
         String prompt = "Explain cell 7 of the notebook. ".repeat(20);
         StringBuilder streamed = new StringBuilder();
         CompletionAnswer answer =
-                client.complete(Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
+                client.complete(CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(20), streamed::append);
         assertEquals(answer.text(), EngineStandIn.expectedAnswer(prompt, 20));
         assertEquals(streamed.toString(), answer.text());
         assertEquals(answer.answerTokens(), 20);
@@ -68,7 +68,7 @@
 
     @Test
     public void aWholeAnswerHasTheShapeOfCompletions() throws Exception {
-        HttpAnswer answer = deployment.send(
+        HttpResponse answer = deployment.send(
                 post("/v1/completions", "{\"model\":\"assistant\",\"prompt\":\"label me\"," + "\"max_tokens\":5}"));
         assertEquals(answer.status(), 200, answer.text());
         JsonNode body = JSON.readTree(answer.body());
@@ -78,7 +78,7 @@
 
     @Test
     public void aChatAnswerHasTheShapeOfChatCompletions() throws Exception {
-        HttpAnswer answer = deployment.send(post(
+        HttpResponse answer = deployment.send(post(
                 "/v1/chat/completions",
                 "{\"model\":\"assistant\",\"max_tokens\":5,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}"));
         assertEquals(answer.status(), 200, answer.text());
@@ -94,7 +94,7 @@
 
     @Test
     public void aPlainServiceIsReachedThroughTheSameEntry() throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 deployment.send(HttpQuery.get(deployment.callerAddresses().get(1), "/notebook/preview?x=1")
                         .withHeader("Authorization", "Bearer " + KEY));
         assertEquals(answer.status(), 200, answer.text());
@@ -102,7 +102,7 @@
 
     @Test
     public void aNonIdempotentCallWithoutAKeyIsRefusedAsNotRun() throws Exception {
-        HttpAnswer answer = deployment.send(post("/notebook/label", "{}"));
+        HttpResponse answer = deployment.send(post("/notebook/label", "{}"));
         assertEquals(answer.status(), 400, answer.text());
         assertEquals(JSON.readTree(answer.body()).path("error").path("ran").asText(), "not-run");
     }
@@ -110,8 +110,8 @@
     @Test
     public void aRepeatedKeyGetsTheKeptAnswerAndRunsOnce() throws Exception {
         HttpQuery label = post("/notebook/label", "{\"column\":\"age\"}").withHeader("Idempotency-Key", "label-1");
-        HttpAnswer first = deployment.send(label);
-        HttpAnswer second = deployment.send(label);
+        HttpResponse first = deployment.send(label);
+        HttpResponse second = deployment.send(label);
         assertEquals(first.status(), 200, first.text());
         assertEquals(second.text(), first.text());
         assertEquals(second.header("Idempotent-Replayed"), "true", second.text());
@@ -124,7 +124,7 @@
     @Test
     public void aKeyedCompletionRunsOnceForTheClientLibrary() throws Exception {
         IdempotencyKey key = YuccagwClient.newKey();
-        Completion once = Completion.of(LocalCatalogue.MODEL, "call the referee")
+        CompletionRequest once = CompletionRequest.of(LocalCatalogue.MODEL, "call the referee")
                 .withMaxTokens(4)
                 .once(key);
         CompletionAnswer first = client.complete(once, piece -> {});
@@ -137,7 +137,7 @@
     @Test
     public void aPromptThatReturnsAfterEvictionIsMostlyReused() throws Exception {
         String prompt = "The whole notebook context of the budget tables. ".repeat(100);
-        Completion question = Completion.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
+        CompletionRequest question = CompletionRequest.of(LocalCatalogue.MODEL, prompt).withMaxTokens(4);
         client.complete(question, piece -> {});
         client.complete(question, piece -> {});
         long wholeBlocks = prompt.length() / 64 * 1024L;
@@ -155,7 +155,7 @@
     }
 
     /** Asked at intervals over the lag of cache events: an entry that hasn't heard of the eviction imports nothing. */
-    private boolean returnsReused(Completion question) throws YuccagwException {
+    private boolean returnsReused(CompletionRequest question) throws YuccagwException {
         CompletionAnswer answer = client.complete(question, piece -> {});
         boolean mostly = answer.cachedTokens() > answer.promptTokens() * 3 / 4 && storeBytesRead() > 0;
         deployment.engines().forEach(EngineStandIn::evictAll);
--- a/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.platform.GatewaySettingsReader;
@@ -37,7 +37,7 @@
     private ScriptedEndpoint inNeed;
     private ScriptedEndpoint busy;
     private ScriptedEndpoint leaving;
-    private HttpCaller caller;
+    private HttpClient caller;
     private GatewaySettings settings;
     private GatewayDaemon daemon;
     private int requests;
@@ -46,7 +46,7 @@
     public void startAll() throws Exception {
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
         endpoint = new ScriptedEndpoint();
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         keyValue.put(
                 PlatformDocuments.CONFIGURATION,
                 PlatformDocuments.configuration(3)
@@ -96,13 +96,13 @@
 
     @Test
     public void theDirectoryNamesTheEntry() throws Exception {
-        HttpAnswer answer = send(HttpQuery.get(settings.directory(), SmallDeployment.DIRECTORY));
+        HttpResponse answer = send(HttpQuery.get(settings.directory(), SmallDeployment.DIRECTORY));
         assertTrue(answer.text().contains("\"" + settings.callers() + "\""), answer.text());
     }
 
     @Test
     public void anAnswerComesWithTheEndpointsHeadersAndBody() throws Exception {
-        HttpAnswer answer = ask("/once/plain");
+        HttpResponse answer = ask("/once/plain");
         assertEquals(answer.status(), 200);
         assertEquals(answer.text(), "body");
         assertEquals(answer.header("Yuccagw-Response-Seal"), "seal-1");
@@ -132,7 +132,7 @@
 
     @Test
     public void aStreamArrivesWholeAndInOrder() throws Exception {
-        HttpAnswer answer = ask("/stream/stream");
+        HttpResponse answer = ask("/stream/stream");
         assertEquals(answer.text(), "id: 1\ndata: word1\n\nid: 2\ndata: word2\n\nid: 3\ndata: word3\n\n");
     }
 
@@ -151,7 +151,7 @@
     // A late answer to another request comes in place of the own one.
     @Test
     public void anAnswerToAnotherRequestIsNotPassedOn() throws Exception {
-        HttpAnswer answer = ask("/once/foreign");
+        HttpResponse answer = ask("/once/foreign");
         assertEquals(answer.status(), 502);
         assertFalse(answer.text().contains("forged"));
     }
@@ -239,7 +239,7 @@
         long begunNanos = System.nanoTime();
         int refused = 0;
         for (int index = 0; index < 20; index++) {
-            HttpAnswer answer = ask("/spared/limited");
+            HttpResponse answer = ask("/spared/limited");
             if (answer.status() == 503) {
                 refused++;
                 assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0, answer.text());
@@ -258,7 +258,7 @@
                 .until(() ->
                         ask("/busy/busy").status() == 503 && !busy.requests().isEmpty());
         for (int index = 0; index < 5; index++) {
-            HttpAnswer answer = ask("/busy/busy");
+            HttpResponse answer = ask("/busy/busy");
             assertEquals(answer.status(), 503);
             assertTrue(Double.parseDouble(answer.header("Retry-After")) > 20, answer.header("Retry-After"));
         }
@@ -275,7 +275,7 @@
         assertEquals(leaving.requests().size(), 1);
     }
 
-    private HttpAnswer ask(String path) throws Exception {
+    private HttpResponse ask(String path) throws Exception {
         return send(request(path, "key-1"));
     }
 
@@ -296,7 +296,7 @@
         }
     }
 
-    private HttpAnswer send(HttpQuery query)
+    private HttpResponse send(HttpQuery query)
             throws InterruptedException, ExecutionException, java.util.concurrent.TimeoutException {
         return caller.send(query).get(LONG.toSeconds(), TimeUnit.SECONDS);
     }
--- a/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.platform.GatewaySettingsReader;
@@ -29,14 +29,14 @@
     @Test
     public void aStoppingEntryTakesNoStreamThatItMightCutAndFinishesWhatItTook() throws Exception {
         KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
-        HttpCaller caller = HttpCaller.start(1);
+        HttpClient caller = HttpClient.start(1);
         try (ScriptedEndpoint endpoint = new ScriptedEndpoint()) {
             publish(keyValue, endpoint);
             GatewaySettings settings = GatewaySettingsReader.parse(
                     SmallDeployment.settings("entry-1", keyValue.address(), SmallDeployment.freePorts(4)));
             GatewayDaemon daemon = GatewayDaemon.start(settings);
             await().atMost(LONG).until(() -> ask(caller, settings, "/again/x").status() == 200);
-            CompletableFuture<HttpAnswer> running = caller.send(request(settings, "/again/hang"));
+            CompletableFuture<HttpResponse> running = caller.send(request(settings, "/again/hang"));
             Thread stopping = new Thread(daemon::stop, "stop");
             stopping.start();
             await().atMost(LONG)
@@ -64,7 +64,7 @@
                 PlatformDocuments.endpoint("plain", endpoint.address(), "a", false));
     }
 
-    private static HttpAnswer ask(HttpCaller caller, GatewaySettings settings, String path) throws Exception {
+    private static HttpResponse ask(HttpClient caller, GatewaySettings settings, String path) throws Exception {
         return caller.send(request(settings, path)).get(LONG.toSeconds(), TimeUnit.SECONDS);
     }
 
--- a/src/test/java/org/yuccagw/daemon/HomesTest.java
+++ b/src/test/java/org/yuccagw/daemon/HomesTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import org.yuccagw.bench.control.BenchNode;
-import org.yuccagw.core.deployment.Homes;
+import org.yuccagw.core.deployment.PermittedRegions;
 import org.yuccagw.core.error.ErrorKind;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.Region;
@@ -99,27 +99,27 @@
 
     @Test
     public void whereRouteAndWorkspaceHaveHomesBothBind() {
-        Homes route = Homes.in(List.of(Region.of("north"), Region.of("south")));
-        Homes workspace = Homes.in(List.of(Region.of("south"), Region.of("east")));
-        Homes both = route.and(workspace);
+        PermittedRegions route = PermittedRegions.in(List.of(Region.of("north"), Region.of("south")));
+        PermittedRegions workspace = PermittedRegions.in(List.of(Region.of("south"), Region.of("east")));
+        PermittedRegions both = route.and(workspace);
         assertTrue(both.allow(Optional.of(Region.of("south"))));
         assertFalse(both.allow(Optional.of(Region.of("north"))));
         assertFalse(both.allow(Optional.of(Region.of("east"))));
-        Homes neither = Homes.in(List.of(Region.of("north"))).and(Homes.in(List.of(Region.of("east"))));
+        PermittedRegions neither = PermittedRegions.in(List.of(Region.of("north"))).and(PermittedRegions.in(List.of(Region.of("east"))));
         assertTrue(neither.isBinding());
         assertFalse(neither.allow(Optional.of(Region.of("north"))));
-        assertEquals(Homes.ANYWHERE.and(route), route);
-        assertEquals(route.and(Homes.ANYWHERE), route);
+        assertEquals(PermittedRegions.ANYWHERE.and(route), route);
+        assertEquals(route.and(PermittedRegions.ANYWHERE), route);
         assertFalse(route.allow(Optional.empty()));
-        assertTrue(Homes.ANYWHERE.allow(Optional.empty()));
+        assertTrue(PermittedRegions.ANYWHERE.allow(Optional.empty()));
     }
 
     @Test
     public void whatBoundPromptsLeaveHasANameOfItsOwn() {
-        Homes north = Homes.in(List.of(Region.of("north")));
+        PermittedRegions north = PermittedRegions.in(List.of(Region.of("north")));
         String bound = CacheSalt.of(Optional.empty(), north, 7);
-        assertFalse(bound.equals(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 7)));
+        assertFalse(bound.equals(CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 7)));
         assertEquals(bound, "s.@north.7");
-        assertEquals(CacheSalt.of(Optional.empty(), Homes.ANYWHERE, 7), "s.7");
+        assertEquals(CacheSalt.of(Optional.empty(), PermittedRegions.ANYWHERE, 7), "s.7");
     }
 }
--- a/src/test/java/org/yuccagw/daemon/LeadPlacingTest.java
+++ b/src/test/java/org/yuccagw/daemon/LeadPlacementTest.java
@@ -24,7 +24,7 @@
 import org.yuccagw.core.placing.PlacementRequest.Kind;
 
 /** Requests of a large fleet, which the lead of the failure domain places. */
-public class LeadPlacingTest {
+public class LeadPlacementTest {
     private static final int ENTRIES = 20;
     private static final int ENGINES = 6;
     private static final FailureDomain DOMAIN = FailureDomain.of("ulemiste");
--- a/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
+++ b/src/test/java/org/yuccagw/daemon/SecureEntriesTest.java
@@ -15,8 +15,8 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.settings.EntrySettings.TlsFiles;
 import org.yuccagw.adapters.tls.TestCertificate;
@@ -49,14 +49,14 @@
 
     @Test
     public void callersAndOperatorsAreServedOverTls() throws Exception {
-        HttpAnswer answer = deployment.send(HttpQuery.json(
+        HttpResponse answer = deployment.send(HttpQuery.json(
                         "POST",
                         deployment.callerAddresses().get(0),
                         "/v1/completions",
                         "{\"model\":\"assistant\",\"prompt\":\"hello\",\"max_tokens\":3}")
                 .withHeader("Authorization", KEY));
         assertEquals(answer.status(), 200, answer.text());
-        HttpAnswer ready =
+        HttpResponse ready =
                 deployment.send(HttpQuery.get(deployment.adminAddresses().get(0), "/readyz"));
         assertEquals(ready.status(), 200, ready.text());
     }
@@ -64,7 +64,7 @@
     @Test
     public void entriesFindEachOtherOverMutualTls() {
         Awaitility.await().atMost(Duration.ofMinutes(1)).until(() -> {
-            HttpAnswer answer =
+            HttpResponse answer =
                     deployment.send(HttpQuery.get(deployment.callerAddresses().get(1), "/v1/directory"));
             return JSON.readTree(answer.body()).path("entries").size() == 2;
         });
@@ -72,7 +72,7 @@
 
     @Test
     public void plainTextGetsNoAnswer() throws Exception {
-        HttpCaller plain = HttpCaller.start(1);
+        HttpClient plain = HttpClient.start(1);
         try {
             HttpQuery query = HttpQuery.get(deployment.callerAddresses().get(0), "/v1/directory")
                     .withTimeouts(Duration.ofSeconds(2), Duration.ofSeconds(2));
--- a/src/test/java/org/yuccagw/daemon/VirtualFleet.java
+++ b/src/test/java/org/yuccagw/daemon/VirtualFleet.java
@@ -20,7 +20,7 @@
 import org.yuccagw.core.control.Decision;
 import org.yuccagw.core.control.EntryIdentity;
 import org.yuccagw.core.deployment.Deployment;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.deployment.Route;
 import org.yuccagw.core.duty.EngineAnswer;
 import org.yuccagw.core.duty.EngineCall;
@@ -53,8 +53,8 @@
 
     static final FailureDomain NORTHERN = FailureDomain.of("ulemiste");
     static final FailureDomain SOUTHERN = FailureDomain.of("kadaka");
-    private static final Regions REGIONS =
-            new Regions(ImmutableMap.of(NORTHERN, Region.of("north"), SOUTHERN, Region.of("south")));
+    private static final DomainRegions REGIONS =
+            new DomainRegions(ImmutableMap.of(NORTHERN, Region.of("north"), SOUTHERN, Region.of("south")));
 
     private static final int COLD_SECONDS = 3;
     static final Duration COLD = Duration.ofSeconds(COLD_SECONDS);
--- a/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
+++ b/src/test/java/org/yuccagw/daemon/WeightSwapTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.local.LocalCatalogue;
 import org.yuccagw.bench.local.LocalDeployment;
@@ -46,7 +46,7 @@
     @Test
     public void aSwapRollsOverThePoolWhileCallersAreServed() throws Exception {
         JsonNode wanted = catalogueWithVersion("v2");
-        HttpAnswer accepted =
+        HttpResponse accepted =
                 deployment.send(HttpQuery.json("PUT", admin(), "/admin/catalogue?edit=swap", wanted.toString())
                         .withHeader("Authorization", OPERATOR));
         assertEquals(accepted.status(), 200, accepted.text());
@@ -60,7 +60,7 @@
     }
 
     private void ask(ConcurrentLinkedQueue<String> failures) throws Exception {
-        HttpAnswer answer = deployment.send(
+        HttpResponse answer = deployment.send(
                 HttpQuery.json("POST", deployment.callerAddresses().get(0), "/v1/completions", QUESTION)
                         .withHeader("Authorization", "Bearer " + LocalCatalogue.workspaceKey("statistics")));
         if (answer.status() != 200) {
@@ -80,7 +80,7 @@
     }
 
     private JsonNode catalogueWithVersion(String version) throws Exception {
-        HttpAnswer present =
+        HttpResponse present =
                 deployment.send(HttpQuery.get(admin(), "/admin/catalogue").withHeader("Authorization", OPERATOR));
         JsonNode catalogue = JSON.readTree(present.body());
         ObjectNode model = (ObjectNode)
--- a/src/test/java/org/yuccagw/faults/FaultProxyTest.java
+++ b/src/test/java/org/yuccagw/faults/FaultProxyTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.standins.http.TestCaller;
 import org.yuccagw.standins.plain.PlainFaults;
 import org.yuccagw.standins.plain.PlainServiceStandIn;
@@ -46,7 +46,7 @@
     public void bytesPassWholeAndInOrderWhileTheDelayChanges() throws Exception {
         proxy.delay(Duration.ofMillis(30));
         byte[] body = bytes();
-        CompletableFuture<HttpAnswer> slow = caller.send("POST", "/a", body);
+        CompletableFuture<HttpResponse> slow = caller.send("POST", "/a", body);
         proxy.delay(Duration.ZERO);
         assertEquals(
                 json(slow.get(30, TimeUnit.SECONDS)).path("body_hash").asText(),
@@ -75,7 +75,7 @@
     public void aSilencedConnectionStaysOpenWhileNewOnesPass() throws Exception {
         caller.call("GET", "/a");
         proxy.silenceOpen();
-        CompletableFuture<HttpAnswer> stuck = caller.send("GET", "/a", new byte[0]);
+        CompletableFuture<HttpResponse> stuck = caller.send("GET", "/a", new byte[0]);
         TestCaller fresh = TestCaller.to(proxy.address());
         assertEquals(fresh.call("GET", "/b").status(), 200);
         assertFalse(stuck.isDone());
@@ -94,7 +94,7 @@
     @Test
     public void aCutEndsWhatIsInProgress() throws Exception {
         service.order(PlainFaults.none().withAnswerMillis(600_000));
-        CompletableFuture<HttpAnswer> waiting = caller.send("GET", "/a", new byte[0]);
+        CompletableFuture<HttpResponse> waiting = caller.send("GET", "/a", new byte[0]);
         await().until(() -> service.calls().size() == 1);
         proxy.cut();
         expectThrows(ExecutionException.class, () -> waiting.get(30, TimeUnit.SECONDS));
--- a/src/test/java/org/yuccagw/fuzz/RandomBytesTest.java
+++ b/src/test/java/org/yuccagw/fuzz/RandomBytesTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.engine.EngineBody;
+import org.yuccagw.adapters.engine.CompletionBody;
 import org.yuccagw.adapters.peer.PeerCodec;
 import org.yuccagw.adapters.settings.CatalogueJson;
 import org.yuccagw.adapters.settings.EntrySettingsReader;
@@ -39,8 +39,8 @@
 
     @Test
     public void anyRequestBodyIsReadOrRefused() throws Exception {
-        attack(BODY.getBytes(StandardCharsets.UTF_8), 3, bytes -> EngineBody.read(bytes, false), ROUNDS);
-        attack(BODY.getBytes(StandardCharsets.UTF_8), 4, bytes -> EngineBody.read(bytes, true), ROUNDS);
+        attack(BODY.getBytes(StandardCharsets.UTF_8), 3, bytes -> CompletionBody.read(bytes, false), ROUNDS);
+        attack(BODY.getBytes(StandardCharsets.UTF_8), 4, bytes -> CompletionBody.read(bytes, true), ROUNDS);
     }
 
     @Test
--- a/src/test/java/org/yuccagw/platform/CallerHeadsTest.java
+++ b/src/test/java/org/yuccagw/platform/CallerHeadReaderTest.java
@@ -16,10 +16,10 @@
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.prompt.PromptPart;
 
-public class CallerHeadsTest {
+public class CallerHeadReaderTest {
     @Test
     public void aHeadIsReadIntoItsTypes() throws YuccagwException {
-        CallerHead head = CallerHeads.read(headers(
+        CallerHead head = CallerHeadReader.read(headers(
                 "Yuccagw-Deadline-Ms", "5000",
                 "Authorization", "Bearer key-1",
                 "Last-Event-Id", "12",
@@ -39,7 +39,7 @@
     // nobody sent, with the rights of whoever comes next on that connection.
     @Test(dataProvider = "ambiguousHeads")
     public void aHeadThatCouldMeanTwoThingsIsRefused(String[] fields) {
-        YuccagwException refused = expectThrows(YuccagwException.class, () -> CallerHeads.read(headers(fields)));
+        YuccagwException refused = expectThrows(YuccagwException.class, () -> CallerHeadReader.read(headers(fields)));
         assertEquals(refused.kind(), ErrorKind.MALFORMED_HEAD);
     }
 
@@ -60,7 +60,7 @@
 
     @Test
     public void whatOnlyTheSystemMaySetIsNotTakenFromCallers() throws YuccagwException {
-        HeaderMap forwarded = CallerHeads.read(headers(
+        HeaderMap forwarded = CallerHeadReader.read(headers(
                         "Authorization", "Bearer key-1",
                         "Yuccagw-Tenant", "somebody",
                         "Yuccagw-Cache-Salt", "theirs",
@@ -83,7 +83,7 @@
     // another request than the one that was sent.
     @Test
     public void aConnectionHeaderCannotStripWhatMakesTheRequest() throws YuccagwException {
-        HeaderMap forwarded = CallerHeads.read(headers(
+        HeaderMap forwarded = CallerHeadReader.read(headers(
                         "Connection", "keep-alive, X-Hop, Yuccagw-Model, Yuccagw-Request-Id",
                         "Yuccagw-Model", "m",
                         "X-Hop", "goes"))
--- a/src/test/java/org/yuccagw/platform/EndpointHeadsTest.java
+++ b/src/test/java/org/yuccagw/platform/EndpointHeadersTest.java
@@ -11,7 +11,7 @@
 import org.yuccagw.core.id.RequestId;
 import org.yuccagw.core.notice.RateLimit;
 
-public class EndpointHeadsTest {
+public class EndpointHeadersTest {
     @DataProvider
     public Object[][] limits() {
         return new Object[][] {
@@ -31,7 +31,7 @@
             headers.put(new HttpString("Server-Limit"), text);
         }
         assertEquals(
-                EndpointHeads.answer(200, headers, RequestId.of("r"), EndpointId.of("e"))
+                EndpointHeaders.answer(200, headers, RequestId.of("r"), EndpointId.of("e"))
                         .notice()
                         .rateLimit(),
                 limit);
--- a/src/test/java/org/yuccagw/platform/EndpointNoticesTest.java
+++ b/src/test/java/org/yuccagw/platform/EndpointNoticeReaderTest.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.EndpointId;
 import org.yuccagw.core.id.EndpointIncarnation;
 import org.yuccagw.core.notice.EndpointNotice;
 import org.yuccagw.core.notice.NoticeReceived;
 
-public class EndpointNoticesTest {
+public class EndpointNoticeReaderTest {
     private static final EndpointIncarnation ENDPOINT = EndpointIncarnation.of(EndpointId.of("e1"), 1);
 
     @DataProvider
@@ -26,9 +26,9 @@
     @Test(dataProvider = "statuses")
     public void anEndpointSaysInAnswersOfAnyStatusThatItLeaves(int status) {
         assertEquals(
-                EndpointNotices.read(status, headers("Server-Leaving", "1")).leaving(), true);
+                EndpointNoticeReader.read(status, headers("Server-Leaving", "1")).leaving(), true);
         assertEquals(
-                EndpointNotices.read(status, headers("Server-Leaving", "0")).leaving(), false);
+                EndpointNoticeReader.read(status, headers("Server-Leaving", "0")).leaving(), false);
     }
 
     @DataProvider
@@ -52,7 +52,7 @@
     @Test(dataProvider = "waits")
     public void anAnswerThatTurnsAwayNamesTheSecondsForWhichTheEndpointWantsNothing(
             int status, String text, Optional<Duration> wait) {
-        assertEquals(EndpointNotices.read(status, headers("Retry-After", text)).backOff(), wait);
+        assertEquals(EndpointNoticeReader.read(status, headers("Retry-After", text)).backOff(), wait);
     }
 
     // A header that says something new of the endpoint went unnoticed until a rule of it was broken.
@@ -62,16 +62,16 @@
         headers.put(new HttpString("yuccagw-request-id"), "r");
         headers.put(new HttpString("Server"), "any");
         headers.put(new HttpString("X-Own"), "kept");
-        assertEquals(EndpointNotices.read(200, headers).unknown(), ImmutableList.of("Server-Mood"));
+        assertEquals(EndpointNoticeReader.read(200, headers).unknown(), ImmutableList.of("Server-Mood"));
     }
 
     @Test
     public void anotherEndpointAtTheAddressSaysNothingOfTheOneThatWasCalled() {
         HeaderMap headers = headers("Server-Leaving", "1");
         NoticeReceived received = new NoticeReceived(ENDPOINT, EndpointNotice.ofLeaving(), false);
-        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpAnswer(503, headers, new byte[0])), Optional.of(received));
+        assertEquals(EndpointNoticeReader.heard(ENDPOINT, new HttpResponse(503, headers, new byte[0])), Optional.of(received));
         headers.put(new HttpString("Yuccagw-Instance-Id"), "e2");
-        assertEquals(EndpointNotices.heard(ENDPOINT, new HttpAnswer(503, headers, new byte[0])), Optional.empty());
+        assertEquals(EndpointNoticeReader.heard(ENDPOINT, new HttpResponse(503, headers, new byte[0])), Optional.empty());
     }
 
     private static HeaderMap headers(String name, String value) {
--- a/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
+++ b/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.core.control.EntryIdentity;
-import org.yuccagw.core.deployment.Regions;
+import org.yuccagw.core.deployment.DomainRegions;
 import org.yuccagw.core.error.YuccagwException;
 import org.yuccagw.core.id.FailureDomain;
 import org.yuccagw.core.id.NetworkAddress;
@@ -42,7 +42,7 @@
     @Test
     public void regionsOfFailureDomainsAreRead() throws YuccagwException {
         String told = TOLD.replace("\"bounds\":", "\"zones\": {\"a\": \"north\", \"b\": \"south\"}, \"bounds\":");
-        Regions regions = GatewaySettingsReader.parse(rendered(told)).regions();
+        DomainRegions regions = GatewaySettingsReader.parse(rendered(told)).regions();
         assertEquals(regions.of(FailureDomain.of("b")), Optional.of(Region.of("south")));
         assertEquals(regions.of(FailureDomain.of("c")), Optional.empty());
     }
--- a/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
+++ b/src/test/java/org/yuccagw/platform/KeyValueClientTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.port.KeyValueAnswer;
 import org.yuccagw.core.port.KeyValueCall;
 import org.yuccagw.standins.http.ServiceFaults;
@@ -26,13 +26,13 @@
     private static final long LONG_SECONDS = 60;
 
     private KeyValueStandIn service;
-    private HttpCaller caller;
+    private HttpClient caller;
     private KeyValueClient client;
 
     @BeforeMethod
     public void startServiceAndClient() throws IOException {
         service = KeyValueStandIn.start(KeyValueSettings.usual());
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         client = KeyValueClient.of(caller, service.address());
     }
 
--- a/src/test/java/org/yuccagw/platform/PlatformWordsTest.java
+++ b/src/test/java/org/yuccagw/platform/PlatformNamesTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** The names of the users' platform stand in one folder; the stand-ins that play its part are the exception. */
-public class PlatformWordsTest {
+public class PlatformNamesTest {
     private static final Path SOURCES = Path.of("src", "main", "java", "org", "yuccagw");
     private static final List<Path> SPEAK_IT = List.of(SOURCES.resolve("platform"), SOURCES.resolve("standins"));
     private static final Pattern NAMES = Pattern.compile("(Yuccagw|Server)-[A-Z]|Kv-From|Last-Event-Id|Wait-Ms"
@@ -41,7 +41,7 @@
     private static void assertNone(Pattern pattern) throws IOException {
         List<String> found = new ArrayList<>();
         try (Stream<Path> files = Files.walk(SOURCES)) {
-            for (Path file : files.filter(PlatformWordsTest::isScanned).toList()) {
+            for (Path file : files.filter(PlatformNamesTest::isScanned).toList()) {
                 int number = 0;
                 for (String line : Files.readAllLines(file)) {
                     number++;
--- a/src/test/java/org/yuccagw/platform/StoreCallerTest.java
+++ b/src/test/java/org/yuccagw/platform/StoreClientTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.core.control.ControlEvent;
 import org.yuccagw.core.deployment.CacheStore;
 import org.yuccagw.core.id.FailureDomain;
@@ -33,7 +33,7 @@
 import org.yuccagw.standins.http.StandInServer;
 
 /** The calls to a managed cache store over a real socket, against a store that holds a few parts. */
-public class StoreCallerTest {
+public class StoreClientTest {
     private static final long LONG_SECONDS = 60;
     private static final int CONFLICT = 409;
 
@@ -42,8 +42,8 @@
     private final Map<PartName, Integer> partial = new LinkedHashMap<>();
     private long epoch;
     private StandInServer server;
-    private HttpCaller caller;
-    private StoreCaller calls;
+    private HttpClient caller;
+    private StoreClient calls;
     private CacheStore store;
 
     @BeforeMethod
@@ -60,8 +60,8 @@
                 .on("GET", "/kv-list", call -> call.reply(list()))
                 .on("POST", "/kv-free", this::free)
                 .listen(0);
-        caller = HttpCaller.start(1);
-        calls = StoreCaller.of(caller);
+        caller = HttpClient.start(1);
+        calls = StoreClient.of(caller);
         store = new CacheStore(
                 StoreId.of("store"), server.address(), FailureDomain.of("a"), 10_000, 1_000, 12, true, 1);
     }
--- a/src/test/java/org/yuccagw/process/Callers.java
+++ b/src/test/java/org/yuccagw/process/Callers.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.invariant.ObservedRequest;
 import org.yuccagw.bench.invariant.ObservedRequest.Sending;
@@ -24,12 +24,12 @@
 
     private static final AtomicInteger NUMBERS = new AtomicInteger();
 
-    private final HttpCaller http;
+    private final HttpClient http;
     private final Map<String, List<Sending>> sendings = new LinkedHashMap<>();
     private final Map<String, Request> requests = new LinkedHashMap<>();
     private final Map<String, List<String>> notes = new LinkedHashMap<>();
 
-    Callers(HttpCaller http) {
+    Callers(HttpClient http) {
         this.http = http;
     }
 
