--- a/src/test/java/org/yuccagw/process/Deployment.java
+++ b/src/test/java/org/yuccagw/process/Deployment.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.invariant.ObservedRun;
 import org.yuccagw.core.id.NetworkAddress;
@@ -32,7 +32,7 @@
     private static final int ASSISTANTS = 3;
     private static final int JUDGES = 2;
 
-    private final HttpCaller http;
+    private final HttpClient http;
     private final StandInProcess keyValue;
     private final StandInProcess vmList;
     private final StandInProcess letters;
@@ -42,7 +42,7 @@
     private final List<EntryProcess> entries = new ArrayList<>();
 
     private Deployment() throws Exception {
-        http = HttpCaller.start(1);
+        http = HttpClient.start(1);
         keyValue = StandInProcess.begin("key-value", http, "key-value");
         vmList = StandInProcess.begin("vm-list", http, "vm-list");
         letters = StandInProcess.begin("letters-1", http, "plain", "name=letters-1");
@@ -127,7 +127,7 @@
         http.stop();
     }
 
-    HttpCaller http() {
+    HttpClient http() {
         return http;
     }
 
@@ -208,7 +208,7 @@
 
     /** The caller addresses that the entry's directory names, sorted. */
     List<String> directory(EntryProcess entry) throws Exception {
-        HttpAnswer answer =
+        HttpResponse answer =
                 http.send(HttpQuery.get(entry.directAddress(), "/v1/directory")).get(10, TimeUnit.SECONDS);
         return StandInJson.parse(answer.body()).path("entries").findValuesAsText("address").stream()
                 .sorted()
@@ -251,7 +251,7 @@
                         "/admin/catalogue?edit=first",
                         Files.readAllBytes(CATALOGUE))
                 .withHeader("Authorization", "Bearer operator-key");
-        HttpAnswer answer = http.send(query).get(30, TimeUnit.SECONDS);
+        HttpResponse answer = http.send(query).get(30, TimeUnit.SECONDS);
         if (!answer.isSuccess()) {
             throw new IllegalStateException("the catalogue was refused: " + answer.text());
         }
--- a/src/test/java/org/yuccagw/process/EntryProcess.java
+++ b/src/test/java/org/yuccagw/process/EntryProcess.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.local.FreePorts;
 import org.yuccagw.cli.YuccagwTool;
@@ -25,7 +25,7 @@
 
     private final String name;
     private final String domain;
-    private final HttpCaller http;
+    private final HttpClient http;
     private final FaultProxy keyValue;
     private final NetworkAddress vmList;
     private final FaultProxy callers;
@@ -34,7 +34,7 @@
     private NetworkAddress peer;
     private JvmProcess process;
 
-    private EntryProcess(String name, String domain, HttpCaller http, FaultProxy keyValue, NetworkAddress vmList)
+    private EntryProcess(String name, String domain, HttpClient http, FaultProxy keyValue, NetworkAddress vmList)
             throws IOException {
         this.name = name;
         this.domain = domain;
@@ -46,7 +46,7 @@
     }
 
     /** An entry with free addresses that doesn't run yet. */
-    static EntryProcess create(String name, String domain, HttpCaller http, FaultProxy keyValue, NetworkAddress vmList)
+    static EntryProcess create(String name, String domain, HttpClient http, FaultProxy keyValue, NetworkAddress vmList)
             throws IOException {
         return new EntryProcess(name, domain, http, keyValue, vmList);
     }
--- a/src/test/java/org/yuccagw/process/GatewayProcessTest.java
+++ b/src/test/java/org/yuccagw/process/GatewayProcessTest.java
@@ -17,8 +17,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.decisions.DecisionLine;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.settings.GatewaySettings;
 import org.yuccagw.core.id.NetworkAddress;
@@ -37,7 +37,7 @@
     private final List<Process> processes = new ArrayList<>();
     private final List<GatewaySettings> settings = new ArrayList<>();
     private KeyValueStandIn keyValue;
-    private HttpCaller caller;
+    private HttpClient caller;
     private ScriptedEndpoint endpoint;
     private Path folder;
 
@@ -45,7 +45,7 @@
     public void startTwoEntries() throws Exception {
         folder = Files.createTempDirectory("gateways");
         keyValue = KeyValueStandIn.start(KeyValueSettings.usual());
-        caller = HttpCaller.start(1);
+        caller = HttpClient.start(1);
         endpoint = new ScriptedEndpoint();
         SmallDeployment.at(endpoint.address()).publish(keyValue);
         start("entry-1");
@@ -71,7 +71,7 @@
     public void anAnswerComesThroughEveryEntryAsItsEndpointGaveIt() throws Exception {
         for (GatewaySettings entry : settings) {
             await().atMost(LONG).until(() -> status(entry.callers(), SmallDeployment.PLAIN + "x") == 200);
-            HttpAnswer answer = send(entry.callers(), SmallDeployment.PLAIN + "x");
+            HttpResponse answer = send(entry.callers(), SmallDeployment.PLAIN + "x");
             assertEquals(answer.text(), "body");
             assertEquals(answer.header("Yuccagw-Response-Seal"), "seal-1");
         }
@@ -196,7 +196,7 @@
         }
     }
 
-    private HttpAnswer send(NetworkAddress address, String path) throws IOException {
+    private HttpResponse send(NetworkAddress address, String path) throws IOException {
         HttpQuery query = SmallDeployment.request(address, path).overFreshConnection();
         try {
             return caller.send(query).get(LONG.toSeconds(), TimeUnit.SECONDS);
--- a/src/test/java/org/yuccagw/process/StandInProcess.java
+++ b/src/test/java/org/yuccagw/process/StandInProcess.java
@@ -9,8 +9,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.bench.invariant.ObservedRun;
 import org.yuccagw.core.id.NetworkAddress;
@@ -28,7 +28,7 @@
 
     private final String name;
     private final String[] arguments;
-    private final HttpCaller http;
+    private final HttpClient http;
     private final List<ObservedRun> earlierRuns = new ArrayList<>();
     private final FaultProxy proxy;
     private JvmProcess process;
@@ -37,7 +37,7 @@
     private int incarnation = 1;
     private boolean crashed;
 
-    private StandInProcess(String name, HttpCaller http, String... arguments) throws Exception {
+    private StandInProcess(String name, HttpClient http, String... arguments) throws Exception {
         this.name = name;
         this.http = http;
         this.arguments = arguments;
@@ -46,7 +46,7 @@
     }
 
     /** Starts the process and returns at once. */
-    static StandInProcess begin(String name, HttpCaller http, String... arguments) throws Exception {
+    static StandInProcess begin(String name, HttpClient http, String... arguments) throws Exception {
         return new StandInProcess(name, http, arguments);
     }
 
@@ -84,7 +84,7 @@
     }
 
     JsonNode record() throws Exception {
-        HttpAnswer answer = http.send(HttpQuery.get(control, "/record")).get(30, TimeUnit.SECONDS);
+        HttpResponse answer = http.send(HttpQuery.get(control, "/record")).get(30, TimeUnit.SECONDS);
         return StandInJson.parse(answer.body());
     }
 
--- a/src/test/java/org/yuccagw/process/StreamedCall.java
+++ b/src/test/java/org/yuccagw/process/StreamedCall.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.adapters.http.HttpStreamListener;
 import org.yuccagw.standins.engine.SseText;
@@ -26,7 +26,7 @@
     private volatile boolean complete;
     private volatile String failure = "";
 
-    static StreamedCall begin(HttpCaller http, HttpQuery query, Duration silence) {
+    static StreamedCall begin(HttpClient http, HttpQuery query, Duration silence) {
         StreamedCall call = new StreamedCall();
         http.stream(
                 query.withTimeouts(Duration.ofSeconds(5), silence),
--- a/src/test/java/org/yuccagw/standins/engine/EngineStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/engine/EngineStandInTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.id.WeightVersion;
 import org.yuccagw.standins.http.StandInJson;
 import org.yuccagw.standins.http.TestCaller;
@@ -88,7 +88,7 @@
     public void aSecondRunReusesTheBlocksOfItsSaltOnly() throws Exception {
         complete(PROMPT, 1, false);
         assertTrue(cachedTokens(complete(PROMPT, 1, false)) > 300);
-        HttpAnswer other =
+        HttpResponse other =
                 caller.call("POST", "/v1/completions", body(PROMPT, 1, false).put("cache_salt", "other"));
         assertEquals(cachedTokens(other), 0);
     }
@@ -97,7 +97,7 @@
     // was, whether or not it has finished meanwhile.
     @Test
     public void aStreamIsResumedBehindAnyToken() throws Exception {
-        HttpAnswer first = complete(PROMPT, 20, true);
+        HttpResponse first = complete(PROMPT, 20, true);
         String stream = first.header("X-Stream-Id");
         SseText rest = SseText.of(caller.call("GET", "/v1/streams/" + stream + "?from=15"));
         assertEquals(rest.ids(), List.of(16, 17, 18, 19, 20));
@@ -107,7 +107,7 @@
 
     @Test
     public void aCancelledStreamIsForgottenAndItsReaderCut() throws Exception {
-        CompletableFuture<HttpAnswer> reading =
+        CompletableFuture<HttpResponse> reading =
                 caller.send("POST", "/v1/completions", StandInJson.bytes(body(PROMPT, 100_000, true)));
         await().until(() -> engine.runs().size() == 1);
         String path = "/v1/streams/" + engine.runs().get(0).stream();
@@ -119,11 +119,11 @@
 
     @Test
     public void refusalsThatSayNotRunLeaveNoRun() throws Exception {
-        HttpAnswer wrong =
+        HttpResponse wrong =
                 caller.call("POST", "/v1/completions", body(PROMPT, 1, false).put("weight_version", "v2"));
         assertEquals(wrong.status(), 409);
         engine.setLeaving(true);
-        HttpAnswer leaving = complete(PROMPT, 1, false);
+        HttpResponse leaving = complete(PROMPT, 1, false);
         assertEquals(leaving.status(), 503);
         assertEquals(json(leaving).path("error").path("code").asText(), "leaving");
         assertEquals(
@@ -209,7 +209,7 @@
     public void anOrderWithAnOldFencingNumberIsRefusedByAnEngineThatChecks() throws Exception {
         assertEquals(order("load_version", "v2", 7).status(), 200);
         await().until(() -> state().path("version").asText().equals("v2"));
-        HttpAnswer stale = order("load_version", "v1", 6);
+        HttpResponse stale = order("load_version", "v1", 6);
         assertEquals(json(stale).path("error").path("code").asText(), "stale_fencing");
         assertEquals(state().path("fencing").asLong(), 7);
         assertEquals(engine.cached().size(), 0);
@@ -221,7 +221,7 @@
         engine = EngineStandIn.start(SETTINGS.withLoadTime(Duration.ofMinutes(10)));
         caller = TestCaller.to(engine.address());
         assertEquals(order("load_adapter", "a", 1).status(), 200);
-        HttpAnswer busy = order("change_role", "prefill", 2);
+        HttpResponse busy = order("change_role", "prefill", 2);
         assertEquals(json(busy).path("error").path("code").asText(), "busy");
         assertEquals(complete(PROMPT, 1, false).status(), 503);
     }
@@ -230,7 +230,7 @@
         return json(caller.call("GET", "/v1/state"));
     }
 
-    private HttpAnswer order(String order, String value, long fencing) throws Exception {
+    private HttpResponse order(String order, String value, long fencing) throws Exception {
         return caller.call(
                 "POST",
                 "/v1/orders",
@@ -252,11 +252,11 @@
         return order;
     }
 
-    private static long cachedTokens(HttpAnswer answer) {
+    private static long cachedTokens(HttpResponse answer) {
         return json(answer).path("usage").path("cached_tokens").asLong();
     }
 
-    private HttpAnswer complete(String prompt, int tokens, boolean stream) throws Exception {
+    private HttpResponse complete(String prompt, int tokens, boolean stream) throws Exception {
         return caller.call("POST", "/v1/completions", body(prompt, tokens, stream));
     }
 
--- a/src/test/java/org/yuccagw/standins/engine/SseText.java
+++ b/src/test/java/org/yuccagw/standins/engine/SseText.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.standins.http.StandInJson;
 
 /** A streamed answer taken apart; for tests only. */
@@ -19,7 +19,7 @@
 
     private SseText() {}
 
-    public static SseText of(HttpAnswer answer) {
+    public static SseText of(HttpResponse answer) {
         return of(answer.text());
     }
 
--- a/src/test/java/org/yuccagw/standins/http/TestCaller.java
+++ b/src/test/java/org/yuccagw/standins/http/TestCaller.java
@@ -4,8 +4,8 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.yuccagw.adapters.http.HttpAnswer;
-import org.yuccagw.adapters.http.HttpCaller;
+import org.yuccagw.adapters.http.HttpResponse;
+import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpQuery;
 import org.yuccagw.core.id.NetworkAddress;
 
@@ -13,39 +13,39 @@
 public final class TestCaller {
     private static final Duration LONG = Duration.ofSeconds(60);
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final NetworkAddress address;
 
-    private TestCaller(HttpCaller caller, NetworkAddress address) {
+    private TestCaller(HttpClient caller, NetworkAddress address) {
         this.caller = caller;
         this.address = address;
     }
 
     public static TestCaller to(NetworkAddress address) throws Exception {
-        return new TestCaller(HttpCaller.start(1), address);
+        return new TestCaller(HttpClient.start(1), address);
     }
 
     public void stop() {
         caller.stop();
     }
 
-    public CompletableFuture<HttpAnswer> send(String method, String path, byte[] body) {
+    public CompletableFuture<HttpResponse> send(String method, String path, byte[] body) {
         return caller.send(HttpQuery.of(method, address, path, body).withTimeouts(LONG, LONG));
     }
 
-    public HttpAnswer call(String method, String path, byte[] body) throws Exception {
+    public HttpResponse call(String method, String path, byte[] body) throws Exception {
         return send(method, path, body).get(60, TimeUnit.SECONDS);
     }
 
-    public HttpAnswer call(String method, String path) throws Exception {
+    public HttpResponse call(String method, String path) throws Exception {
         return call(method, path, new byte[0]);
     }
 
-    public HttpAnswer call(String method, String path, JsonNode body) throws Exception {
+    public HttpResponse call(String method, String path, JsonNode body) throws Exception {
         return call(method, path, StandInJson.bytes(body));
     }
 
-    public static JsonNode json(HttpAnswer answer) {
+    public static JsonNode json(HttpResponse answer) {
         return StandInJson.parse(answer.body());
     }
 }
--- a/src/test/java/org/yuccagw/standins/keyvalue/KeyValueStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/keyvalue/KeyValueStandInTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.standins.http.ServiceFaults;
 import org.yuccagw.standins.http.StandInJson;
 import org.yuccagw.standins.http.TestCaller;
@@ -43,7 +43,7 @@
     @Test
     public void aWriteTakesEffectOnlyAtTheExpectedRevision() throws Exception {
         assertEquals(put("a", 0).status(), 200);
-        HttpAnswer conflict = put("a", 0);
+        HttpResponse conflict = put("a", 0);
         assertEquals(conflict.status(), 412);
         assertEquals(json(conflict).path("items").get(0).path("revision").asLong(), 1);
         assertEquals(put("a", 1).status(), 200);
@@ -79,7 +79,7 @@
 
     @Test
     public void aWatchWaitsForAChangeUnderItsPrefix() throws Exception {
-        CompletableFuture<HttpAnswer> watch =
+        CompletableFuture<HttpResponse> watch =
                 caller.send("GET", "/kv-watch?pathPrefix=a&after=0&waitMs=30000", new byte[0]);
         put("b", 0);
         assertFalse(watch.isDone());
@@ -118,7 +118,7 @@
     @Test
     public void aDelayedWriteLandsLateAndMeetsTheRevisionOfThatTime() throws Exception {
         service.order(WriteFaults.delays("a", 1, 300));
-        CompletableFuture<HttpAnswer> late =
+        CompletableFuture<HttpResponse> late =
                 caller.send("POST", "/kv-txn", StandInJson.bytes(transaction("a", 0, VALUE, 0)));
         await().until(() -> service.callsByKind().getOrDefault("write", 0L) == 1);
         assertEquals(put("a", 0).status(), 200);
@@ -160,11 +160,11 @@
         assertEquals(items("b").size(), 0);
     }
 
-    private HttpAnswer put(String key, long revision) throws Exception {
+    private HttpResponse put(String key, long revision) throws Exception {
         return put(key, revision, VALUE, 0);
     }
 
-    private HttpAnswer put(String key, long revision, byte[] value, long lease) throws Exception {
+    private HttpResponse put(String key, long revision, byte[] value, long lease) throws Exception {
         return caller.call("POST", "/kv-txn", transaction(key, revision, value, lease));
     }
 
--- a/src/test/java/org/yuccagw/standins/store/CacheStoreStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/store/CacheStoreStandInTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.cache.BlockKey;
 import org.yuccagw.standins.http.StandInJson;
 import org.yuccagw.standins.http.TestCaller;
@@ -46,7 +46,7 @@
         assertEquals(read(KEY, generation).status(), 404);
         assertEquals(lookup().size(), 0);
         assertEquals(seal(KEY, generation, CHECKSUM).status(), 200);
-        HttpAnswer answer = read(KEY, generation);
+        HttpResponse answer = read(KEY, generation);
         assertEquals(answer.body(), BYTES);
         assertEquals(answer.header("X-Generation"), Long.toString(generation));
         assertEquals(answer.header("X-Checksum"), Long.toString(CHECKSUM));
@@ -86,7 +86,7 @@
         long generation = write(KEY);
         seal(KEY, generation, CHECKSUM);
         store.setLink(4_000);
-        CompletableFuture<HttpAnswer> slow =
+        CompletableFuture<HttpResponse> slow =
                 caller.send("GET", "/v1/blocks/" + KEY + "?generation=" + generation, new byte[0]);
         await().until(() -> calls("GET /v1/blocks/{block}") == 1);
         assertEquals(
@@ -148,14 +148,14 @@
                 .asLong();
     }
 
-    private HttpAnswer seal(BlockKey key, long generation, long checksum) throws Exception {
+    private HttpResponse seal(BlockKey key, long generation, long checksum) throws Exception {
         return caller.call(
                 "POST",
                 "/v1/blocks/" + key + "/seal?generation=" + generation + "&length=" + BYTES.length + "&checksum="
                         + checksum);
     }
 
-    private HttpAnswer read(BlockKey key, long generation) throws Exception {
+    private HttpResponse read(BlockKey key, long generation) throws Exception {
         return caller.call("GET", "/v1/blocks/" + key + "?generation=" + generation);
     }
 
--- a/src/test/java/org/yuccagw/standins/weights/WeightStoreStandInTest.java
+++ b/src/test/java/org/yuccagw/standins/weights/WeightStoreStandInTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpAnswer;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.standins.http.TestCaller;
 
 public class WeightStoreStandInTest {
@@ -19,8 +19,8 @@
                 WeightStoreSettings.usual().withSize(SIZE, 4.0 * SIZE).withVersions(Set.of("v1")));
         TestCaller caller = TestCaller.to(store.address());
         long begin = System.nanoTime();
-        CompletableFuture<HttpAnswer> first = caller.send("GET", "/v1/weights/model/v1", new byte[0]);
-        CompletableFuture<HttpAnswer> second = caller.send("GET", "/v1/weights/model/v1", new byte[0]);
+        CompletableFuture<HttpResponse> first = caller.send("GET", "/v1/weights/model/v1", new byte[0]);
+        CompletableFuture<HttpResponse> second = caller.send("GET", "/v1/weights/model/v1", new byte[0]);
         assertEquals(first.get(30, TimeUnit.SECONDS).body().length, SIZE);
         assertEquals(second.get(30, TimeUnit.SECONDS).body().length, SIZE);
         // Both together can't be faster than the rate allows: 2 * SIZE at 4 * SIZE a second.
