--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -97,8 +97,9 @@
     ObjectNode shards(ControlSnapshot snapshot) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode shards = root.putArray("shards");
-        snapshot.find(ShardsSnapshot.class)
-                .ifPresent(known -> known.owners()
+        snapshot.part(ShardsSnapshot.class)
+                .ifPresent(ownerships -> ownerships
+                        .owners()
                         .forEach((shard, ownership) -> shards.addObject()
                                 .put("shard", shard.value())
                                 .put("owner", ownership.owner().value())
@@ -109,10 +110,10 @@
         return root;
     }
 
-    ObjectNode stores(List<StoresRequested.StoreStatus> known) {
+    ObjectNode stores(List<StoresRequested.StoreStatus> statuses) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode stores = root.putArray("stores");
-        known.forEach(store -> writeStore(store, stores.addObject()));
+        statuses.forEach(store -> writeStore(store, stores.addObject()));
         return root;
     }
 
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -70,7 +70,7 @@
         ownDomain = settings.domain();
         follow = KeyValueFollowComponent.of(
                 codec,
-                settings.bounds().keysUnconfirmed().isPresent()
+                settings.bounds().unconfirmedKeyTimeout().isPresent()
                         ? KeyValueFollowComponent.WatchRole.alwaysWatching()
                         : new GatewayWatchRole());
         configuration = ConfigurationComponent.create();
@@ -87,7 +87,7 @@
         PlacementResponder responder = PlacementResponder.of(this::workOf, notices);
         placement = PlacementComponent.of(
                 new PlacementBounds(
-                        settings.bounds().retries(), settings.bounds().cold()),
+                        settings.bounds().retries(), settings.bounds().coldEndpoints()),
                 settings.regions(),
                 weights,
                 stores,
--- a/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
+++ b/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
@@ -35,8 +35,8 @@
         assertEquals(settings.peer(), NetworkAddress.of("10.1.0.19", 7580));
         assertEquals(
                 settings.seeds(), List.of(NetworkAddress.of("10.1.0.19", 7580), NetworkAddress.of("10.2.0.13", 7580)));
-        assertEquals(settings.bounds().orderSeparation(), Duration.ofSeconds(3));
-        assertTrue(settings.bounds().keysUnconfirmed().isEmpty());
+        assertEquals(settings.bounds().minOrderSeparation(), Duration.ofSeconds(3));
+        assertTrue(settings.bounds().unconfirmedKeyTimeout().isEmpty());
     }
 
     @Test
