--- a/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
+++ b/src/main/java/org/yuccagw/adapters/admin/SnapshotViews.java
@@ -97,7 +97,7 @@
     ObjectNode shards(ControlSnapshot snapshot) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode shards = root.putArray("shards");
-        snapshot.part(ShardsSnapshot.class)
+        snapshot.find(ShardsSnapshot.class)
                 .ifPresent(ownerships -> ownerships
                         .owners()
                         .forEach((shard, ownership) -> shards.addObject()
--- a/src/main/java/org/yuccagw/daemon/GatewayComponents.java
+++ b/src/main/java/org/yuccagw/daemon/GatewayComponents.java
@@ -102,7 +102,7 @@
                 codec,
                 peers::allLeads,
                 follow::isReachable,
-                settings.bounds().orderSeparation());
+                settings.bounds().minOrderSeparation());
         orders = WeightOrdersComponent.of(
                 duty, weights, this::announceOrderChange, placement::requestsOn, internalCalls);
         RetiredPartsComponent retired =
--- a/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
-import org.yuccagw.adapters.http.HttpQuery;
+import org.yuccagw.adapters.http.HttpRequest;
 import org.yuccagw.core.membership.StopRequested;
 
 public class AdminServerTest {
@@ -111,7 +111,7 @@
     public void anEntryThatIsNotReadyReportsTheReason() throws Exception {
         assertEquals(send(HttpRequest.get(fixture.address(), "/readyz")).status(), 200);
         fixture.setReady(false);
-        HttpResponse answer = send(HttpQuery.get(fixture.address(), "/readyz"));
+        HttpResponse answer = send(HttpRequest.get(fixture.address(), "/readyz"));
         assertEquals(answer.status(), 503);
         assertEquals(json(answer).path("reason").asText(), "has no catalogue");
         assertEquals(send(HttpRequest.get(fixture.address(), "/healthz")).status(), 200);
@@ -119,7 +119,7 @@
 
     @Test
     public void metricsAreReadWithoutAKey() throws Exception {
-        HttpResponse answer = send(HttpQuery.get(fixture.address(), "/metrics"));
+        HttpResponse answer = send(HttpRequest.get(fixture.address(), "/metrics"));
         assertEquals(answer.status(), 200);
         assertTrue(answer.text().contains("jvm_memory_used_bytes"));
     }
@@ -146,15 +146,15 @@
     }
 
     private HttpResponse get(String path) throws Exception {
-        return send(withKey(HttpQuery.get(fixture.address(), path), AdminFixture.OPERATOR_KEY));
+        return send(withKey(HttpRequest.get(fixture.address(), path), AdminFixture.OPERATOR_KEY));
     }
 
     private HttpResponse put(String document) throws Exception {
-        HttpQuery query = HttpQuery.json("PUT", fixture.address(), "/admin/catalogue?edit=e2", document);
+        HttpRequest query = HttpRequest.json("PUT", fixture.address(), "/admin/catalogue?edit=e2", document);
         return send(withKey(query, AdminFixture.OPERATOR_KEY));
     }
 
-    private HttpResponse send(HttpQuery query) throws Exception {
+    private HttpResponse send(HttpRequest query) throws Exception {
         return caller.send(query).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
+++ b/src/test/java/org/yuccagw/platform/GatewaySettingsReaderTest.java
@@ -56,7 +56,7 @@
         assertEquals(
                 GatewaySettingsReader.parse(renderSettings(platformJson))
                         .bounds()
-                        .cold(),
+                        .coldEndpoints(),
                 new ColdBounds(1.5, 5));
     }
 
