--- a/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
@@ -13,9 +13,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.adapters.http.HttpClient;
 import org.yuccagw.adapters.http.HttpRequest;
+import org.yuccagw.adapters.http.HttpResponse;
 import org.yuccagw.core.membership.StopRequested;
 
 public class AdminServerTest {
