--- a/src/main/java/org/yuccagw/cli/YuccagwTool.java
+++ b/src/main/java/org/yuccagw/cli/YuccagwTool.java
@@ -33,7 +33,7 @@
             DemoCommand.class,
             DevCommand.class,
             StandInCommand.class,
-            YuccagwTool.CompletionRequest.class,
+            YuccagwTool.Completion.class,
             HelpCommand.class
         },
         exitCodeListHeading = "%nExit codes:%n",
@@ -49,7 +49,7 @@
 
     /** Prints a completion script, which {@code source <(yuccagw completion)} enables in bash and zsh. */
     @Command(name = "completion", description = "Prints a script for shell completion: source <(yuccagw completion)")
-    static final class CompletionRequest extends GenerateCompletion {}
+    static final class Completion extends GenerateCompletion {}
 
     /** Runs the command line and ends the process with its exit code. */
     public static void main(String[] arguments) {
--- a/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
+++ b/src/test/java/org/yuccagw/adapters/admin/AdminServerTest.java
@@ -22,13 +22,13 @@
     private static final int TIMEOUT_SECONDS = 30;
 
     private AdminFixture fixture;
-    private HttpClient caller;
+    private HttpClient httpClient;
     private String sample;
 
     @BeforeClass
     public void start() throws Exception {
         fixture = AdminFixture.start();
-        caller = HttpClient.start(1);
+        httpClient = HttpClient.start(1);
         sample = Files.readString(Path.of("config/samples/catalogue.json"));
     }
 
@@ -41,7 +41,7 @@
 
     @AfterClass
     public void stop() {
-        caller.stop();
+        httpClient.stop();
         fixture.stop();
     }
 
@@ -155,7 +155,7 @@
     }
 
     private HttpResponse send(HttpRequest query) throws Exception {
-        return caller.send(query).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        return httpClient.send(query).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static HttpRequest withKey(HttpRequest query, String key) {
--- a/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayPathTest.java
@@ -37,7 +37,7 @@
     private ScriptedEndpoint limited;
     private ScriptedEndpoint busy;
     private ScriptedEndpoint leaving;
-    private HttpClient caller;
+    private HttpClient httpClient;
     private GatewaySettings settings;
     private GatewayDaemon daemon;
     private int sentRequests;
@@ -46,7 +46,7 @@
     public void startAll() throws Exception {
         keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
         endpoint = new ScriptedEndpoint();
-        caller = HttpClient.start(1);
+        httpClient = HttpClient.start(1);
         keyValue.put(
                 PlatformDocuments.CONFIGURATION,
                 PlatformDocuments.configuration(3)
@@ -87,7 +87,7 @@
     @AfterClass(alwaysRun = true)
     public void stopAll() throws IOException {
         daemon.halt();
-        caller.stop();
+        httpClient.stop();
         endpoint.close();
         limited.close();
         busy.close();
@@ -301,7 +301,7 @@
 
     private HttpResponse send(HttpRequest query)
             throws InterruptedException, ExecutionException, java.util.concurrent.TimeoutException {
-        return caller.send(query).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+        return httpClient.send(query).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private static String head(String line, String id) {
--- a/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
+++ b/src/test/java/org/yuccagw/daemon/GatewayStopTest.java
@@ -28,25 +28,25 @@
     @Test
     public void aStoppingEntryAcceptsNoStreamThatItMightCutAndFinishesItsRequests() throws Exception {
         KeyValueStandIn keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
-        HttpClient caller = HttpClient.start(1);
+        HttpClient httpClient = HttpClient.start(1);
         try (ScriptedEndpoint endpoint = new ScriptedEndpoint()) {
             writeConfiguration(keyValue, endpoint);
             GatewaySettings settings = GatewaySettingsReader.parse(
                     SmallDeployment.settings("entry-1", keyValue.address(), SmallDeployment.freePorts(4)));
             GatewayDaemon daemon = GatewayDaemon.start(settings);
             await().atMost(TIMEOUT)
-                    .until(() -> post(caller, settings, "/again/x").status() == 200);
-            CompletableFuture<HttpResponse> running = caller.send(request(settings, "/again/hang"));
+                    .until(() -> post(httpClient, settings, "/again/x").status() == 200);
+            CompletableFuture<HttpResponse> running = httpClient.send(request(settings, "/again/hang"));
             Thread stopping = new Thread(daemon::stop, "stop");
             stopping.start();
             await().atMost(TIMEOUT)
-                    .until(() -> post(caller, settings, "/stream/stream").status() == 503);
-            assertEquals(post(caller, settings, "/again/x").status(), 200);
+                    .until(() -> post(httpClient, settings, "/stream/stream").status() == 503);
+            assertEquals(post(httpClient, settings, "/again/x").status(), 200);
             assertTrue(running.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).status() > 0, "the answer was cut");
             stopping.join(TIMEOUT.toMillis());
             daemon.awaitStopped();
         } finally {
-            caller.stop();
+            httpClient.stop();
             keyValue.stop();
         }
     }
@@ -64,8 +64,8 @@
                 PlatformDocuments.endpoint("plain", endpoint.address(), "a", false));
     }
 
-    private static HttpResponse post(HttpClient caller, GatewaySettings settings, String path) throws Exception {
-        return caller.send(request(settings, path)).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+    private static HttpResponse post(HttpClient httpClient, GatewaySettings settings, String path) throws Exception {
+        return httpClient.send(request(settings, path)).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private static HttpRequest request(GatewaySettings settings, String path) {
--- a/src/test/java/org/yuccagw/process/GatewayProcessTest.java
+++ b/src/test/java/org/yuccagw/process/GatewayProcessTest.java
@@ -37,7 +37,7 @@
     private final List<Process> processes = new ArrayList<>();
     private final List<GatewaySettings> settings = new ArrayList<>();
     private KeyValueStandIn keyValue;
-    private HttpClient caller;
+    private HttpClient httpClient;
     private ScriptedEndpoint endpoint;
     private Path directory;
 
@@ -45,7 +45,7 @@
     public void startTwoEntries() throws Exception {
         directory = Files.createTempDirectory("gateways");
         keyValue = KeyValueStandIn.start(KeyValueSettings.defaults());
-        caller = HttpClient.start(1);
+        httpClient = HttpClient.start(1);
         endpoint = new ScriptedEndpoint();
         SmallDeployment.at(endpoint.address()).publish(keyValue);
         start("entry-1");
@@ -62,7 +62,7 @@
         processes.forEach(Process::destroyForcibly);
         processes.clear();
         settings.clear();
-        caller.stop();
+        httpClient.stop();
         endpoint.close();
         keyValue.stop();
     }
@@ -202,7 +202,7 @@
     private HttpResponse send(NetworkAddress address, String path) throws IOException {
         HttpRequest query = SmallDeployment.request(address, path).withNewConnection();
         try {
-            return caller.send(query).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+            return httpClient.send(query).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
             throw new IOException(e);
         } catch (InterruptedException e) {
