--- a/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
+++ b/src/main/java/org/yuccagw/adapters/admin/AdminServer.java
@@ -28,7 +28,7 @@
 import org.yuccagw.core.error.YuccagwException;
 
 /**
- * Serves the HTTP API of the admin address: calls of authenticator under {@code /admin/}, which need a bearer key, and
+ * Serves the HTTP API of the admin address: calls of operators under {@code /admin/}, which need a bearer key, and
  * {@code /healthz}, {@code /readyz} and {@code /metrics}, which need no authentication.
  *
  * <p>The server is stateless: queries are answered from the current snapshot, and changes are sent to the control core
